--- a/internal/hosted/adopt.go
+++ b/internal/hosted/adopt.go
@@ -17,8 +17,9 @@
 	"github.com/pathbend/pathbend/internal/wait"
 )
 
-// adopt reads the items of a job and what was made of them, then hands the job to
-// the scheduler. It is called under the lock and goes on in a goroutine.
+// adopt loads the items of a job and the text generated for them so far, then adds the job
+// to the scheduler. The caller holds e.mutex; loading runs in a goroutine and is retried
+// until it succeeds or the job is no longer open.
 func (e *executor) adopt(job *ledger.Job) {
 	session, scheduler := e.session, e.scheduler
 	e.work.Go(func() {
@@ -35,12 +36,12 @@
 	})
 }
 
-// awaitRoute waits while no route leads to a job: nothing can serve it, and where its bodies
-// may be read is not known.
+// awaitRoute waits until the configuration has a route for a job. Without one nothing can
+// serve the job, and the regions in which its bodies may be read are unknown.
 func (e *executor) awaitRoute(session context.Context, job *ledger.Job) {
 	for told := false; e.routeOf(job.Spec) == nil && e.open(job); told = true {
 		if !told {
-			e.node.logger.Log(event.JobUnread, "job_id", job.ID, "detail", "no route leads to it")
+			e.node.logger.Log(event.JobUnread, "job_id", job.ID, "detail", "no route matches the job")
 		}
 		if !wait.For(session, adoptPause) {
 			return
@@ -48,7 +49,7 @@
 	}
 }
 
-// adoptPause is the pause before the items of a job are read again.
+// adoptPause is the pause before loading a job is retried.
 const adoptPause = 60 * time.Millisecond
 
 func (e *executor) open(job *ledger.Job) bool {
@@ -57,10 +58,11 @@
 	return open
 }
 
-// adopted is a job's items with the text that was made of them. It implements
+// adopted is a loaded job: its items and the text generated for them so far. It implements
 // schedule.Kept.
 type adopted struct {
-	// regions are those of the job, remote is set if a worker carries it.
+	// regions are the allowed regions of the job. remote is set if a worker in another region
+	// runs its items.
 	regions  locality.Regions
 	remote   bool
 	items    []*pathbendv1.BatchItem
@@ -80,8 +82,8 @@
 	return listed, ok
 }
 
-// read reads a job's items and the partial texts. Text that
-// cannot be read is made again.
+// read loads a job's items and their partial texts. Items whose partial text cannot be
+// read are generated from the start.
 func (e *executor) read(ctx context.Context, job *ledger.Job) (adopted, error) {
 	found := adopted{regions: e.node.regionsOfJob(job.Spec)}
 	found.remote = e.node.remote(found.regions)
@@ -104,7 +106,8 @@
 	return found, nil
 }
 
-// countsOf returns partial texts without their bytes, which a worker reads.
+// countsOf returns the event counts and versions of partial texts without their bytes,
+// which the worker reads itself.
 func countsOf(partial map[string]ledger.Progress) map[string]schedule.Partial {
 	counts := make(map[string]schedule.Partial, len(partial))
 	for itemID, progress := range partial {
@@ -113,11 +116,12 @@
 	return counts
 }
 
-// readsTogether is how many texts are read at once: a step's long items wait for
-// all of them.
+// readsTogether is how many partial texts are read concurrently: the long items of a
+// training step cannot start before all of them have been read.
 const readsTogether = 8
 
-// readPartial reads partial texts. Text that cannot be read is made again.
+// readPartial reads partial texts. Those that cannot be read are left out, so that they
+// are generated again.
 func (e *executor) readPartial(ctx context.Context, job *ledger.Job, partial map[string]ledger.Progress) map[string]schedule.Partial {
 	var mutex sync.Mutex
 	texts := make(map[string]schedule.Partial, len(partial))
@@ -144,9 +148,9 @@
 	e.node.logger.Log(event.JobUnread, "job_id", jobID, "item_id", itemID, "detail", err.Error())
 }
 
-// textsOf finds what the log holds of items: texts that an earlier job listed, and
-// partial texts. An item may have both, if its listed text was too old for
-// a later job that began it anew.
+// textsOf returns what the ledger knows of items: results listed by an earlier job, and
+// partial texts. An item has both if its listed text was too old for a later job, which
+// started it again.
 func textsOf(known *ledger.Ledger, items []*pathbendv1.BatchItem) (finished map[string]ledger.Result, partial map[string]ledger.Progress) {
 	finished, partial = make(map[string]ledger.Result), make(map[string]ledger.Progress)
 	for _, item := range items {
@@ -160,8 +164,8 @@
 	return finished, partial
 }
 
-// add hands a job to the scheduler, unless its regions changed since it was read: then it
-// is read anew.
+// add adds a loaded job to the scheduler. If the job's regions changed since it was loaded
+// it is loaded again; if scheduler is that of a former session the job is dropped.
 func (e *executor) add(scheduler *schedule.Scheduler, job *ledger.Job, found adopted) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -198,7 +202,7 @@
 	e.wake()
 }
 
-// slackOf is how many versions behind the newest a job allows.
+// slackOf returns how many versions behind the newest one a job allows.
 func (e *executor) slackOf(spec *pathbendv1.BatchJob) uint64 {
 	newest := max(e.node.targets()[spec.Model], firstVersion)
 	if spec.MinVersion >= newest {
@@ -207,7 +211,7 @@
 	return newest - spec.MinVersion
 }
 
-// firstVersion is what samplers serve before any version is named.
+// firstVersion is the version that samplers serve before any version is announced.
 const firstVersion = 1
 
 func (e *executor) policyOf(job *ledger.Job) schedule.Policy {
@@ -226,12 +230,12 @@
 	return policy
 }
 
-// routeRanks is the number of ranks that routes have within one rank of tenants: the
-// users' sheets use 0 to 2.
+// routeRanks is the number of route priorities within one tenant priority: configurations
+// use 0 to 2.
 const routeRanks = 3
 
-// rankOf ranks a tenant's work on a route, 0 first: the route's priority comes after the
-// tenant's.
+// rankOf returns the scheduling rank of a tenant's work on a route, 0 first. The tenant's
+// priority takes precedence over the route's.
 func (n *Node) rankOf(tenantName string, route *catalog.Route) int {
 	rank := min(max(route.Priority, 0), routeRanks-1)
 	if current := n.Catalog(); current != nil {
--- a/internal/hosted/announce.go
+++ b/internal/hosted/announce.go
@@ -13,23 +13,25 @@
 )
 
 const (
-	// unreadPause is the pause of a node that waits for what it has not read yet.
+	// unreadPause is the poll interval while waiting for data that is not read yet.
 	unreadPause = 20 * time.Millisecond
-	// leastRepeat is the least time from a start until an entry that stands there already is
-	// repeated: what all nodes read at a start is read by then (295 nodes took 4 s).
+	// leastRepeat is the minimum delay after a start before a node repeats an entry that the
+	// directory already holds, so that the initial reads of all nodes are over by then; with
+	// 295 nodes these took 4 s.
 	leastRepeat = 10 * time.Second
-	// announceAttempt bounds one attempt to announce, announceRetry is the pause
-	// after one that failed.
+	// announceAttempt is the timeout of one announcement, announceRetry the minimum pause
+	// after one that failed; a random part of up to the same length is added.
 	announceAttempt = 3 * time.Second
 	announceRetry   = time.Second
-	// emptyPatience is how long a node that announces itself waits for the first entry
-	// before it takes part in the group: what cannot be written must not stop the jobs
-	// (chosen).
+	// emptyPatience is how long a node that announces itself waits for the first directory
+	// entry before it joins the group anyway: a failure to write entries must not stop the
+	// jobs.
 	emptyPatience = time.Second
 )
 
-// awaitAnnouncements waits until any node's machine is known. The nodes of a new deployment
-// read an empty directory, and by that each of them would be as large as any.
+// awaitAnnouncements waits up to emptyPatience until the directory has an entry. In a new
+// deployment the directory is empty, and every node would consider its own machine the
+// largest.
 func (n *Node) awaitAnnouncements(ctx context.Context) {
 	if n.settings.Millicores == 0 && n.settings.PeerAddress() == "" {
 		return
@@ -44,8 +46,8 @@
 	}
 }
 
-// Peers lists the nodes that make calls to the log service for this one: those of its own
-// region, as what passes through them may be bound to it.
+// Peers returns the nodes that may relay this node's calls to the log service: only those
+// of its own region, as the relayed data may be bound to it.
 func (n *Node) Peers() []relay.Peer {
 	region := n.settings.Topology.Region(n.settings.Zone)
 	return slices.DeleteFunc(n.directory.Peers(), func(peer relay.Peer) bool {
@@ -53,9 +55,9 @@
 	})
 }
 
-// announce tells the other nodes this node's capacity, again and again. A process
-// that starts again on its machine leaves the entry that it finds: when all start at
-// once, their entries would only be in the way of their reads.
+// announce writes this node's capacity to the directory periodically until ctx ends. If a
+// restarted process finds its entry unchanged it does not repeat it at first: when all
+// nodes start at once, the writes would only slow down their initial reads.
 func (n *Node) announce(ctx context.Context) {
 	if n.settings.Millicores == 0 && n.settings.PeerAddress() == "" {
 		return
@@ -77,7 +79,7 @@
 	}
 }
 
-// calledAt is where other nodes call this one, empty if they do not.
+// calledAt returns the address at which other nodes call this one, empty if they do not.
 func (n *Node) calledAt() string {
 	if address := n.peerAddress.Load(); address != nil {
 		return *address
@@ -90,7 +92,7 @@
 	return read
 }
 
-// entry is what this node announces.
+// entry returns the directory entry of this node.
 func (n *Node) entry() directory.Entry {
 	return directory.Entry{
 		Millicores: n.settings.Millicores, Zone: n.settings.Zone, Address: n.settings.PeerAddress(), Worker: n.calledAt(),
--- a/internal/hosted/batch.go
+++ b/internal/hosted/batch.go
@@ -10,8 +10,9 @@
 	"github.com/pathbend/pathbend/internal/result"
 )
 
-// Submit keeps a batch job of the tenant that its specification names. An error of
-// LogUnavailable promises that it was not taken; LogUnknown promises nothing.
+// Submit stores a batch job of the tenant that its specification names. Submitting a known
+// job again succeeds, unless it belongs to another tenant. The error LogUnavailable
+// guarantees that the job was not accepted; with LogUnknown it may have been.
 func (n *Node) Submit(ctx context.Context, id string, spec *pathbendv1.BatchJob, items []*pathbendv1.BatchItem) error {
 	n.active.Add(1)
 	defer n.active.Add(-1)
@@ -43,16 +44,17 @@
 	return nil
 }
 
-// taken is the answer to the submission of a job that is known already.
+// taken returns the result of submitting a job that is already known: an error if it
+// belongs to another tenant.
 func taken(id string, foreign bool) error {
 	if foreign {
-		return result.New(result.JobConflict, "the id %q is taken", id)
+		return result.New(result.JobConflict, "job id %q is already in use", id)
 	}
 	return nil
 }
 
-// submit keeps the items of a job and then the job itself. Items without their
-// job never run.
+// submit stores the items of a job and then the job itself. Items whose job is not stored
+// never run.
 func (b *jobBook) submit(ctx context.Context, id string, spec *pathbendv1.BatchJob, items []*pathbendv1.BatchItem, known func() bool) error {
 	began := time.Now()
 	patience := b.submitPatience()
@@ -65,10 +67,10 @@
 	return b.record(ctx, patience-time.Since(began), known, entry)
 }
 
-// submitPatience is how long a submission is tried before it is refused. A node
-// that has been without the log for a while refuses soon: the caller finds one
-// that has it, or comes back. One that has just started and does not follow the log
-// yet is not without it.
+// submitPatience returns how long a submission is retried before it is refused. A node
+// that has not reached the log for a while refuses early, so that the caller can try
+// another node or come back. A node that has just started and does not follow the log yet
+// does not count as such.
 func (b *jobBook) submitPatience() time.Duration {
 	if b.inTouch() || !b.followed.Load() {
 		return submitPatience
@@ -76,7 +78,7 @@
 	return isolatedPatience
 }
 
-// isolatedPatience is that of a node that is not ready for want of the log.
+// isolatedPatience is the submission timeout of a node that cannot reach the log.
 const isolatedPatience = 400 * time.Millisecond
 
 func itemIDs(items []*pathbendv1.BatchItem) []string {
@@ -87,11 +89,12 @@
 	return ids
 }
 
-// notTaken turns a failure to keep a job's items into a promise that the job was
-// not taken, whatever became of the append.
+// notTaken converts a log error from storing a job's items into LogUnavailable, which
+// guarantees that the job was not accepted: even if the items were stored, the job itself
+// was never appended.
 func notTaken(err error) error {
 	if result.Is(err, result.LogUnknown) || result.Is(err, result.LogUnavailable) {
-		return result.Wrap(result.LogUnavailable, err, "keep the items").WithRetryAfter(submitHint)
+		return result.Wrap(result.LogUnavailable, err, "store the items").WithRetryAfter(submitHint)
 	}
 	return err
 }
@@ -115,8 +118,8 @@
 }
 
 // requireJob returns an error unless the job is known and belongs to the tenant that
-// holds the key, after asking the log if it is not known. A key that nobody holds is
-// denied, but for a job of a route that asks for none.
+// holds the key. It reads the log if the job is unknown. An invalid key is denied, except
+// for a job of a route that requires none.
 func (n *Node) requireJob(ctx context.Context, id, key string) error {
 	tenant, denial := n.Caller(ctx, key)
 	known, usable := false, false
@@ -144,21 +147,22 @@
 	return nil
 }
 
-// unknownJob is the same for a job that there is not and for one of another tenant.
+// unknownJob is the error for a job that does not exist. A job of another tenant gets the
+// same one, so that the answer does not reveal its existence.
 func unknownJob(id string) error { return result.New(result.JobUnknown, "no batch job %q", id) }
 
-// Page is a part of a job's results.
+// Page is a range of consecutive results of a job.
 type Page struct {
 	Total   int
 	Results []ledger.Result
-	// Texts are those of the results, in order, nil for dead items.
+	// Texts holds the text of each result, in the same order; nil for dead items.
 	Texts [][]byte
 	// Next is the position after the last result of the page.
 	Next int
 }
 
-// Results returns the results of a job of the tenant that holds the key, from a
-// position on. It waits up to hold for one.
+// Results returns the results of a job of the tenant that holds the key, starting at
+// position from. If there are none yet it waits for up to hold.
 func (n *Node) Results(ctx context.Context, id, key string, from int, hold time.Duration) (Page, error) {
 	n.active.Add(1)
 	defer n.active.Add(-1)
@@ -185,13 +189,13 @@
 	return n.withTexts(ctx, id, page, began)
 }
 
-// textsPatience is how long the texts of a page are read before the page ends with those
-// that were: callers wait 1.5 s beyond the time for which they let an answer be held, and
-// of that the connection and the answer take their way too (the users' bound; chosen half).
+// textsPatience bounds the time for reading the texts of a page; after it the page is cut
+// before the first text that is missing. Callers wait 1.5 s beyond the long-poll time that
+// they ask for; half of that is left for the connection and the transfer of the answer.
 const textsPatience = 750 * time.Millisecond
 
-// withTexts reads the texts of a page that was asked for at a time. A page whose texts could not all be read in time
-// ends before the first of the others.
+// withTexts reads the texts of a page that was requested at asked. If not all of them can
+// be read in time, the page is cut before the first missing one.
 func (n *Node) withTexts(ctx context.Context, id string, page Page, asked time.Time) (Page, error) {
 	found := time.Now()
 	var wanted []*pathbendv1.Blob
@@ -217,8 +221,9 @@
 	return page, nil
 }
 
-// fill puts texts, those of the first results that have one, into the page and ends it
-// before a result whose text is not among them. It returns how many results the page had.
+// fill sets the texts of the page's results. texts holds those of the first results that
+// have one; the page is cut before the first result whose text is missing. It returns the
+// number of results before the cut.
 func (p *Page) fill(texts [][]byte) (whole int) {
 	whole = len(p.Results)
 	p.Next -= whole
@@ -238,7 +243,9 @@
 	return whole
 }
 
-// page reads a page. settled is set if no further result can come.
+// page returns the known results of a job starting at position from, up to maxPageBytes of
+// text, and a channel that is closed at the next change. settled is true if no further
+// results can follow.
 func (b *jobBook) page(id string, from int) (page Page, changed <-chan struct{}, settled bool) {
 	page.Results = []ledger.Result{}
 	changed = b.view(id, func(job *ledger.Job) {
@@ -261,8 +268,8 @@
 	return page, changed, settled
 }
 
-// Body returns the body of an item that is not listed yet, of a job of the tenant that
-// holds the key.
+// Body returns the body of an item that has no result yet, of a job of the tenant that
+// holds the key. It returns ItemUnknown if there is no such item.
 func (n *Node) Body(ctx context.Context, id, key, itemID string) ([]byte, error) {
 	if err := n.requireJob(ctx, id, key); err != nil {
 		return nil, err
--- a/internal/hosted/claims.go
+++ b/internal/hosted/claims.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	// claimPatience bounds how long a claim waits for the log.
+	// claimPatience is the timeout of each log operation of a claim.
 	claimPatience = 700 * time.Millisecond
-	// claimLimit is how old a claim may be when its call is made.
+	// claimLimit is the maximum age of a claim when the call that it permits is made.
 	claimLimit = time.Second
 )
 
-// claims lets the holder of the jobs' partition, and no other node, make calls that only
-// one node at a time may make: orders to samplers and duties towards the platform.
-// Whoever is about to make one writes it down and reads the log up to that entry. The
-// log puts the claims of two nodes that both take themselves for the holder in one
-// order: the one with the lower fence that comes second finds the other's and gives its
-// call up, and the one with the higher fence leaves the subject alone for a while that
-// the other claimed before.
+// claims ensures that only the holder of the job partition makes calls that a single node
+// at a time may make: orders to samplers and duties towards the platform. Before such a
+// call, a node appends a claim for its subject and reads the log up to that entry. If two
+// nodes both consider themselves the holder, the log puts their claims in one order: a node
+// with the lower fencing token that comes second sees the other's claim and cancels its
+// call, and a node with the higher token waits for a grace period before it acts on a
+// subject that the other has claimed.
 type claims struct {
 	node *Node
 }
@@ -62,12 +62,12 @@
 	if c.superseded(fence) || c.recent(subject, time.Now()) {
 		return duty.Right{}, false
 	}
-	// The share may have ended while the log was slow.
+	// The node may have lost the partition while the log was slow.
 	fence, ok = c.node.ownership.MayOrder(jobPartition, time.Now())
 	return duty.Right{Holder: holder, Fence: fence}, ok
 }
 
-// superseded reports whether another node made a claim under a higher fence.
+// superseded reports whether another node made a claim with a higher fencing token.
 func (c *claims) superseded(fence uint64) bool {
 	superseded := false
 	c.node.jobs.withLedger(func(known *ledger.Ledger) {
@@ -77,8 +77,8 @@
 	return superseded
 }
 
-// recent reports whether another node claimed a subject of late. Calls of two nodes
-// about one subject must lie the grace apart.
+// recent reports whether another node claimed a subject within the grace period. Calls of
+// two nodes for the same subject must be at least that far apart.
 func (c *claims) recent(subject string, now time.Time) bool {
 	waits := false
 	c.node.jobs.withLedger(func(known *ledger.Ledger) {
--- a/internal/hosted/contact.go
+++ b/internal/hosted/contact.go
@@ -6,21 +6,22 @@
 )
 
 const (
-	// contactLimit is how long a node may be without the log and call itself ready.
+	// contactLimit is how long a node stays ready without having read the log.
 	contactLimit = 1300 * time.Millisecond
-	// quietLimit is how long the log may be quiet before a node that is asked whether it
-	// is ready asks the log: followers are answered every 600 ms while nothing happens, and
-	// a service next door in some 5 ms (chosen; as long as two calls that get no answer go
-	// out beside each other).
+	// quietLimit is how long the log may have been silent before a readiness check probes it.
+	// Without new records, long polls are answered every 600 ms, while a nearby log
+	// answers a call in some 5 ms. The limit leaves time for two parallel calls to go
+	// unanswered.
 	quietLimit = 200 * time.Millisecond
-	// questionTimeout bounds that question at a log next door. After 150 ms without an
-	// answer it goes to a peer too, after as long again to a second one.
+	// questionTimeout is the timeout of that probe for a nearby log. After 150 ms
+	// without an answer the probe is also sent through a peer, and after another 150 ms
+	// through a second one.
 	questionTimeout = 400 * time.Millisecond
 )
 
-// Ready reports whether the node takes new work. A node that is cut off from
-// the log can neither take nor show batch jobs, so it sends clients elsewhere;
-// if the log is down for all, all say so and the entry uses them all the same.
+// Ready reports whether the node accepts new work. A node that cannot reach the log can
+// neither accept batch jobs nor return their results, so clients should use other nodes.
+// If the log is down for all nodes, none is ready and the load balancer uses them anyway.
 func (n *Node) Ready(ctx context.Context) bool {
 	if n.draining.Load() || n.catalog.Load() == nil || n.samplers.Load() == nil {
 		return false
@@ -29,8 +30,9 @@
 }
 
 // reachesLog reports whether the log answers this node, directly or through a peer. It
-// asks the log if that was quiet: a follower notices only after the time for which it asked
-// the log to hold its read, and the entry sends clients here for two of its questions more.
+// probes the log if it has been silent for quietLimit: a follower notices a lost connection
+// only after its long poll expires, and the load balancer sends clients here for two more
+// of its readiness checks.
 func (n *Node) reachesLog(ctx context.Context) bool {
 	if n.log.Quiet() < quietLimit {
 		return true
--- a/internal/hosted/early.go
+++ b/internal/hosted/early.go
@@ -11,28 +11,28 @@
 )
 
 const (
-	// startPatience is how long a request waits for what a node that has just started
-	// reads first: the configuration comes within about 100 ms, the first samplers soon
-	// after.
+	// startPatience is how long a request to a node that has just started waits for the
+	// configuration, which takes about 100 ms to arrive, and for the first samplers, which
+	// follow soon after.
 	startPatience = 400 * time.Millisecond
-	// notReadyHint is when to come back to a node that has no configuration, or knows no
+	// notReadyHint is the retry-after hint of a node that has no configuration, or knows no
 	// sampler for the request yet.
 	notReadyHint = 300 * time.Millisecond
-	// earlyLimit is how long requests go by a part of the first list: changes of what was
-	// read first are known only once the last was read, and the users allow 3 s until a
-	// sampler that leaves gets nothing more (chosen).
+	// earlyLimit is how long requests may use a partly read first list of samplers. Changes
+	// to entries that were read early become known only once the whole list is read, and a
+	// leaving sampler must get no new work after 3 s.
 	earlyLimit = 2 * time.Second
 )
 
-// earlyList is the part of the first list of samplers that was read so far. It serves
-// requests of the application only: what batch jobs may use, and whether samplers that
-// are missing are gone, is decided by entire lists.
+// earlyList is the part of the first sampler list that was read so far. It is used only
+// for application requests: batch jobs, and the decision whether a missing sampler is
+// gone, need the complete list.
 type earlyList struct {
 	mutex    sync.Mutex
 	samplers *[]schedule.Sampler
-	// began is when the first part came.
+	// began is when the first part was read.
 	began time.Time
-	// changed is closed and replaced when more was read.
+	// changed is closed and reset when more is read; nil if nothing waits for it.
 	changed chan struct{}
 }
 
@@ -55,8 +55,8 @@
 	}
 }
 
-// look reports whether a sampler is among those that were read, and returns what is closed
-// when there are more.
+// look reports whether the list is recent enough to be used and has a usable sampler. It
+// returns a channel that is closed when more samplers are read.
 func (l *earlyList) look(usable func(schedule.Sampler) bool) (found bool, changed <-chan struct{}) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -67,7 +67,8 @@
 	return fresh && slices.ContainsFunc(*l.samplers, usable), l.changed
 }
 
-// TakeEarlySamplers applies a part of the first list of samplers.
+// TakeEarlySamplers applies a part of the first sampler list. It does nothing once a
+// complete list is known.
 func (n *Node) TakeEarlySamplers(listed []schedule.Sampler) {
 	if n.samplers.Load() != nil {
 		return
@@ -76,7 +77,7 @@
 	n.updateFleet()
 }
 
-// awaitConfigured waits a little for the first configuration.
+// awaitConfigured waits up to startPatience for the first configuration.
 func (n *Node) awaitConfigured(ctx context.Context) {
 	select {
 	case <-n.configured:
@@ -91,8 +92,10 @@
 	}
 }
 
-// awaitSampler waits a little until the node, if it has just started, knows a sampler for a
-// request or the entire list. A node cannot tell before whether there is one.
+// awaitSampler waits, on a node that has just started, until it knows a sampler for the
+// request or the complete list; before, it cannot tell whether there is one. It waits at
+// most startPatience and half of the time to the request's deadline, and then returns
+// NotReady.
 func (n *Node) awaitSampler(ctx context.Context, request *dispatch.Request) error {
 	if n.samplers.Load() != nil {
 		return nil
@@ -113,7 +116,7 @@
 		case <-n.informed:
 			return nil
 		case <-ctx.Done():
-			return notReady("the list of samplers is not read yet")
+			return notReady("sampler list not read yet")
 		}
 	}
 }
--- a/internal/hosted/executor.go
+++ b/internal/hosted/executor.go
@@ -20,28 +20,30 @@
 )
 
 const (
-	// executorTick is how often the executor looks at what no event announces, idleTick how
-	// often a node looks that does not execute, which hears of its share at once: of some 85
-	// wake-ups a second of an idle node 20 were for this look (sweep of kps-catalogue-large).
+	// executorTick is how often an executing node checks for changes that no event announces.
+	// idleTick is the same interval for a node that does not execute. It is long because such
+	// a node is notified at once when it gains the partition, and polling every 50 ms caused
+	// 20 of the about 85 wake-ups per second of an idle node.
 	executorTick = 50 * time.Millisecond
 	idleTick     = 2 * time.Second
-	// relistInterval is how often an unchanged list of samplers is taken in again, so
-	// that those whose last run has ended since they left it are forgotten.
+	// relistInterval is how often an unchanged sampler list is passed to the scheduler again,
+	// so that it forgets removed samplers whose last run has ended since.
 	relistInterval = time.Second
-	// executorRest lets events of a moment be looked at together.
+	// executorRest is the delay after a wake-up that lets simultaneous events be handled in
+	// one step.
 	executorRest = 4 * time.Millisecond
-	// progressInterval is how often the text of running items is saved.
+	// progressInterval is how often the partial text of running items is saved.
 	progressInterval = 300 * time.Millisecond
-	// progressEvents is how many new events are worth saving: a shorter text is
-	// made again sooner than it is kept by every node.
+	// progressEvents is the minimum number of new events for which an item's text is saved:
+	// generating a shorter text again takes less time than storing it on every node.
 	progressEvents = 24
-	// flushPatience bounds the last appends before a planned stop.
+	// flushPatience is the time limit of the final appends before a planned stop.
 	flushPatience = 700 * time.Millisecond
-	// defaultDue is assumed of routes that name no due time.
+	// defaultDue is the due time of jobs on routes that configure none.
 	defaultDue = 10 * time.Second
 )
 
-// executor runs the jobs of the partitions that this node holds.
+// executor runs the jobs of the job partition while this node holds it.
 type executor struct {
 	node   *Node
 	lister *lister
@@ -54,25 +56,26 @@
 	mutex     sync.Mutex
 	scheduler *schedule.Scheduler // nil while this node does not execute
 	runs      map[schedule.Key]context.CancelFunc
-	// remote is the work that is not for this node's region.
+	// remote is the work that must run in regions other than this node's.
 	remote remoteWork
-	// session ends when the node stops to execute; sessionID tells it from others.
+	// session is canceled when the node stops executing; sessionID distinguishes it from
+	// other sessions.
 	session      context.Context
 	sessionID    uint64
 	beganAt      clock.Moment
 	endSession   context.CancelFunc
 	progressedAt time.Time
 	reviewedAt   time.Time
-	// listed is the list of samplers that the scheduler took in last, at listedAt.
+	// listed is the sampler list passed to the scheduler most recently, at listedAt.
 	listed   *[]schedule.Sampler
 	listedAt time.Time
-	// coldBefore is the number of cold samplers that was told last, coldToldAt when work
-	// was told of that waits for them.
+	// coldBefore is the number of cold samplers logged last, coldToldAt when work that waits
+	// for them was last logged.
 	coldBefore int
 	coldToldAt time.Time
-	// evacuated is the list of evacuated zones that the scheduler took in last.
+	// evacuated is the set of evacuated zones passed to the scheduler most recently.
 	evacuated *evacuation.Zones
-	// configured is the configuration by which the jobs were taken in.
+	// configured is the configuration under which the open jobs were loaded.
 	configured *catalog.Catalog
 	rewards    *rewarder
 	splitBrain splitBrainDetector
@@ -89,7 +92,7 @@
 	return e
 }
 
-// wake makes the executor look at once.
+// wake makes the executor run its next step without waiting for the ticker.
 func (e *executor) wake() {
 	select {
 	case e.woken <- struct{}{}:
@@ -97,8 +100,7 @@
 	}
 }
 
-// jobChanged records a change of the ledger. It is called under the ledger's
-// lock.
+// jobChanged queues a ledger change for the next step. The caller holds the ledger's lock.
 func (e *executor) jobChanged(change ledger.Change) {
 	if change.Kind == ledger.Nothing || change.Kind == ledger.Progressed {
 		return
@@ -182,7 +184,7 @@
 	}
 }
 
-// review does what looks at the entire fleet and need not be done at every event.
+// review runs the checks that scan the whole fleet and are not needed on every event.
 func (e *executor) review(now time.Time) {
 	if now.Sub(e.progressedAt) >= progressInterval {
 		e.progressedAt = now
@@ -194,8 +196,8 @@
 	e.detectSplitBrain(now)
 }
 
-// peaks returns, by model, the most items that were wanted at once of late; false if
-// this node does not execute.
+// peaks returns the recent peak number of concurrently requested items per model. It
+// returns false if this node does not execute.
 func (e *executor) peaks(now time.Time) (map[string]int, bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -211,7 +213,8 @@
 	return e.scheduler != nil
 }
 
-// begin takes the open jobs over, from the newest state of the log.
+// begin starts executing: it catches up with the log and takes over the open jobs. If the
+// log cannot be read it does nothing, and the next step tries again.
 func (e *executor) begin(ctx context.Context) {
 	if e.node.jobs.refresh(ctx) != nil {
 		return
@@ -239,8 +242,8 @@
 	e.node.metrics.executing.Set(1)
 }
 
-// noteDemand tells the scheduler how much work the jobs had that are known, also those that
-// are over. It is called under the lock.
+// noteDemand reports the number of items of every known job to the scheduler, including
+// jobs that have ended. The caller holds e.mutex.
 func (e *executor) noteDemand(now time.Time) {
 	e.node.jobs.withLedger(func(known *ledger.Ledger) {
 		for _, job := range known.Jobs() {
@@ -249,8 +252,8 @@
 	})
 }
 
-// flush saves what running items made so far, hands over what is finished and
-// stops executing.
+// flush saves the partial text of running items, appends the pending results and stops
+// executing.
 func (e *executor) flush(ctx context.Context) {
 	e.mutex.Lock()
 	if e.scheduler == nil {
@@ -285,7 +288,7 @@
 	e.node.metrics.executing.Set(0)
 }
 
-// stopRuns stops all runs. It is called under the lock.
+// stopRuns cancels all runs. The caller holds e.mutex.
 func (e *executor) stopRuns() {
 	for key, cancel := range e.runs {
 		cancel()
@@ -311,8 +314,8 @@
 	e.scheduler.Samplers(*listed, now)
 }
 
-// takeConfiguration takes in anew the jobs whose regions a new configuration changed. It is
-// called under the lock.
+// takeConfiguration reloads the jobs whose allowed regions changed with a new
+// configuration. The caller holds e.mutex.
 func (e *executor) takeConfiguration() {
 	current := e.node.Catalog()
 	if current == e.configured {
@@ -362,8 +365,8 @@
 	}
 }
 
-// logListed tells how long ago the item passed each milestone on its way to the
-// result that was just read back from the log.
+// logListed logs how long ago an item passed each milestone on its way to the result that
+// was just read back from the log.
 func (e *executor) logListed(key schedule.Key, dead bool, passed schedule.Milestones) {
 	now := time.Now()
 	e.node.logger.Log(event.ItemListed, "job_id", key.Job, "item_id", key.Item, "dead", dead,
@@ -375,7 +378,7 @@
 		"group", passed.Group, "group_open", passed.GroupOpen, "carried", passed.Carried)
 }
 
-// millisecondsSince returns how long ago a moment was, -1 if it is not known.
+// millisecondsSince returns the milliseconds from moment to now, or -1 if moment is zero.
 func millisecondsSince(moment, now time.Time) int64 {
 	if moment.IsZero() {
 		return -1
@@ -399,7 +402,8 @@
 	}
 }
 
-// start runs an item at its sampler in a goroutine, or lets the job's worker carry the run.
+// start runs an item on its sampler in a goroutine, or passes the run to the worker that
+// serves the job's regions. The caller holds e.mutex.
 func (e *executor) start(start schedule.Start) {
 	e.node.metrics.started.Inc()
 	e.node.logger.Log(event.ItemStarted, "job_id", start.Key.Job, "item_id", start.Key.Item,
@@ -438,7 +442,7 @@
 	e.endRun(start, end, time.Now())
 }
 
-// endRun records the end of a run. It is called under the lock.
+// endRun records the end of a run. The caller holds e.mutex.
 func (e *executor) endRun(start schedule.Start, end RunEnd, now time.Time) {
 	verdict := e.scheduler.RunEnded(start.Key, start.Run, end.Ending, now)
 	e.node.metrics.runEnded(end.Ending)
@@ -446,7 +450,7 @@
 		e.node.logger.Log(event.ItemRunEnded, "job_id", start.Key.Job, "item_id", start.Key.Item,
 			"sampler", start.Sampler.ID, "ending", end.Ending.String(), "detail", end.Detail, "failures", verdict.Failures)
 	}
-	// A worker goes on to score and list what it completed.
+	// A worker scores and lists the items that it completed itself.
 	if verdict.Finished != nil && !verdict.Finished.Remote {
 		e.finish(*verdict.Finished)
 	}
@@ -461,7 +465,8 @@
 	e.lister.addResult(key.Job, &pathbendv1.BatchResult{ItemId: key.Item, Dead: true}, nil)
 }
 
-// finish scores a complete text and lists it. It is called under the lock.
+// finish scores a complete text in a goroutine and then appends its result. The caller
+// holds e.mutex.
 func (e *executor) finish(completed schedule.Finished) {
 	scored := completed.Kept != nil && (completed.Score != "" || completed.Reward == nil)
 	if completed.Remote && !scored {
@@ -487,7 +492,8 @@
 	})
 }
 
-// list puts the result of a complete text down, or the item as dead if it is given up.
+// list queues the result of a complete text for the log. If alive is false, or the text
+// is too large for the log, it queues the item as dead.
 func (e *executor) list(completed schedule.Finished, stamp string, alive bool) {
 	if !alive {
 		e.dead(completed.Key, 0, "its reward call failed too often")
@@ -502,7 +508,8 @@
 	}, completed.Text)
 }
 
-// wants reports whether an item still waits for its result.
+// wants reports whether the job of an item is still being executed here, so that its
+// result is needed.
 func (e *executor) wants(key schedule.Key) bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
--- a/internal/hosted/jobs.go
+++ b/internal/hosted/jobs.go
@@ -18,46 +18,52 @@
 )
 
 const (
-	// jobTopic holds the records of batch jobs; its holders form jobGroup.
+	// jobTopic is the topic with the records of batch jobs, jobGroup the consumer group of
+	// the nodes that may execute them.
 	jobTopic = "pathbend-jobs"
 	jobGroup = "pathbend-executors"
-	// jobPartition is the partition that holds all jobs. One executor sees all
-	// work on all samplers; docs/design/0012 tells when there are more.
+	// jobPartition is the partition of all jobs, so that a single executor sees the work on
+	// all samplers; see docs/design/0012 for when there are more.
 	jobPartition = 0
-	// submitPatience is how long a submission is tried before it is refused.
+	// submitPatience is how long a submission is retried before it is refused.
 	submitPatience = 2500 * time.Millisecond
-	// appendTimeout bounds one append at a log next door; appendHedge is when, at the latest
-	// there, a second one of the same records is sent beside it: repetitions are harmless. While the log is
-	// lost, which never answers what was sent before it is back, or answers others as
-	// usual, so that this answer is lost, a further one is sent each time, up to
-	// mostAppends; a log that is merely slow would get slower.
+	// appendTimeout bounds one append to a nearby log, not counting the distance to
+	// a remote one. After at most appendHedge without an answer, a second append of the same
+	// records is sent in parallel; readers drop duplicates. Further ones, up to mostAppends,
+	// are sent only if the log is unreachable, in which case it never answers calls made
+	// before it recovered, or if it answers other appends as usual, so that this answer must
+	// have been lost. A log that is merely slow gets no more than two, as additional load
+	// would slow it down further.
 	appendTimeout = 1500 * time.Millisecond
 	appendHedge   = 250 * time.Millisecond
 	mostAppends   = 6
-	// appendPause is the pause between appends that failed.
+	// appendPause is the pause after a failed append.
 	appendPause = 100 * time.Millisecond
-	// submitHint is when to come back after a refused submission.
+	// submitHint is the retry-after hint of a refused submission.
 	submitHint = 500 * time.Millisecond
-	// readHint is when to come back after a refused read.
+	// readHint is the retry-after hint of a refused read.
 	readHint = 200 * time.Millisecond
-	// expireInterval is how often old jobs are forgotten.
+	// expireInterval is how often expired jobs are removed from the ledger.
 	expireInterval = 5 * time.Second
-	// maxPageBytes bounds the texts of one page of results.
+	// maxPageBytes bounds the total size of the texts in one page of results. A page has at
+	// least one result, however large.
 	maxPageBytes = 700 << 10
 )
 
-// jobBook holds the ledger of all jobs and follows the log.
+// jobBook holds the ledger of all jobs, follows the log to keep it up to date, and appends
+// entries to the log.
 type jobBook struct {
 	node     *Node
 	follower *sharedlog.Follower
 	appender *sharedlog.Appender
 	contents *content.Store
-	// followed is set once the node follows the log; before, it reads it on demand.
+	// followed is set once the node follows the log continuously; before that it reads the
+	// log on demand.
 	followed atomic.Bool
 
 	mutex  sync.Mutex
 	ledger *ledger.Ledger
-	// changed is closed and replaced at every change.
+	// changed is closed and replaced whenever records are applied.
 	changed chan struct{}
 }
 
@@ -79,8 +85,8 @@
 	return book
 }
 
-// hedgeAfter is how long an append is waited for before another one goes out beside
-// it, and whether the log answers others as usual meanwhile.
+// hedgeAfter returns how long to wait for an append before sending it again in parallel,
+// and whether the log answers other appends as usual meanwhile.
 func (b *jobBook) hedgeAfter() (pause time.Duration, answers bool) {
 	return b.node.log.OverdueAppend(appendHedge)
 }
@@ -132,7 +138,7 @@
 	})
 }
 
-// await waits for a change of the ledger. It reports false if ctx ended first.
+// await waits for a change of the ledger. It returns false if ctx ended first.
 func (b *jobBook) await(ctx context.Context, changed <-chan struct{}) bool {
 	select {
 	case <-changed:
@@ -142,8 +148,8 @@
 	}
 }
 
-// view reads a job, nil if it is not known, and returns the channel that is
-// closed at the next change.
+// view calls read with a job, or nil if the job is unknown, under the ledger's lock. It
+// returns a channel that is closed at the next change.
 func (b *jobBook) view(id string, read func(job *ledger.Job)) <-chan struct{} {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -151,14 +157,14 @@
 	return b.changed
 }
 
-// withLedger runs a read of the entire ledger under its lock.
+// withLedger calls read with the entire ledger, under its lock.
 func (b *jobBook) withLedger(read func(known *ledger.Ledger)) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	read(b.ledger)
 }
 
-// open returns the jobs on which work is wanted, by arrival.
+// open returns the open jobs in order of arrival.
 func (b *jobBook) open() []*ledger.Job {
 	var open []*ledger.Job
 	b.withLedger(func(known *ledger.Ledger) {
@@ -171,9 +177,9 @@
 	return open
 }
 
-// current makes sure that the node knows every record that was acknowledged
-// before the settle time ago, and all positions before from. It returns an
-// error if it cannot tell.
+// current ensures that the ledger holds the first from results of a job and is no staler
+// than the configured freshness, reading the log if necessary. It returns an error if it
+// cannot ensure this.
 func (b *jobBook) current(ctx context.Context, id string, from int) error {
 	behind := false
 	look := func(job *ledger.Job) { behind = job == nil || len(job.Results) < from }
@@ -185,17 +191,17 @@
 		return err
 	}
 	if b.view(id, look); behind {
-		return result.New(result.LogUnavailable, "position %d is not known here", from).WithRetryAfter(readHint)
+		return result.New(result.LogUnavailable, "result position %d has not been read by this node yet", from).WithRetryAfter(readHint)
 	}
 	return nil
 }
 
-// inTouch reports whether the log was read of late.
+// inTouch reports whether the log was read within contactLimit.
 func (b *jobBook) inTouch() bool {
 	return b.follower.Health.Age() < contactLimit
 }
 
-// refresh reads the records that the log holds now.
+// refresh reads all records that the log currently holds.
 func (b *jobBook) refresh(ctx context.Context) error {
 	if err := b.follower.CatchUp(ctx); err != nil {
 		return result.Wrap(result.LogUnavailable, err, "read the log").WithRetryAfter(readHint)
@@ -203,10 +209,11 @@
 	return nil
 }
 
-// record appends entries and returns once they are kept. It repeats the append
-// until patience is over; repetitions are dropped by every reader. kept
-// reports, under the ledger's lock, whether the entries were read back already,
-// which proves that they are kept even if the answer to the append was lost.
+// record appends entries and returns once they are stored. It retries the append until the
+// timeout patience; every reader drops the duplicates. kept, if not nil, reports under the
+// ledger's lock whether the entries were read back, which proves that they are stored even
+// if the answer to the append was lost. If an append may have been stored, the error after
+// the timeout is not LogUnavailable.
 func (b *jobBook) record(ctx context.Context, patience time.Duration, kept func() bool, entries ...*pathbendv1.LedgerEntry) error {
 	calls, err := b.encode(entries)
 	if err != nil {
@@ -233,8 +240,8 @@
 	}
 }
 
-// awaitReadBack reads the log until kept reports, under the ledger's lock, that an
-// entry was read back, or patience is over.
+// awaitReadBack reads the log until kept reports, under the ledger's lock, that an entry
+// was read back. It returns false if the timeout patience or ctx ended first.
 func (b *jobBook) awaitReadBack(ctx context.Context, patience time.Duration, kept func() bool) bool {
 	ctx, cancel := context.WithTimeout(ctx, patience)
 	defer cancel()
@@ -251,10 +258,11 @@
 	return false
 }
 
-// readBackPause is the pause after a read that failed or did not show the entry.
+// readBackPause is the pause after a read that failed or did not contain the entry.
 const readBackPause = 30 * time.Millisecond
 
-// encode cuts entries into the records of one or more appends.
+// encode splits entries into records and groups these into appends of at most
+// MaxCallBytes each.
 func (b *jobBook) encode(entries []*pathbendv1.LedgerEntry) ([][][]byte, error) {
 	var records [][]byte
 	for _, entry := range entries {
@@ -286,8 +294,8 @@
 	return nil
 }
 
-// appendOne appends records. A second append goes out if the first has no
-// answer in time, further ones only to a log that is lost or loses answers.
+// appendOne appends records. It sends a second append if the first gets no answer in time,
+// and further ones only if the log is unreachable or loses answers.
 func (b *jobBook) appendOne(ctx context.Context, records [][]byte, kept func() bool) error {
 	ctx, cancel := context.WithTimeout(ctx, appendTimeout+b.node.log.Appends().Beyond())
 	defer cancel()
@@ -329,6 +337,8 @@
 	}
 }
 
+// seen returns the channel that is closed at the next change of the ledger, and the result
+// of kept, evaluated under the ledger's lock; false if kept is nil.
 func (b *jobBook) seen(kept func() bool) (<-chan struct{}, bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/internal/hosted/lister.go
+++ b/internal/hosted/lister.go
@@ -18,36 +18,38 @@
 )
 
 const (
-	// listLinger is how long a result waits for others to share an append.
+	// listLinger is how long a result waits for others to share its append.
 	listLinger = 20 * time.Millisecond
-	// listPatience bounds one round of appends; what is left is tried again.
+	// listPatience is the timeout of one attempt to store results, which is then repeated.
 	listPatience = 5 * time.Second
-	// listHold is how long a round is waited for before the next begins beside it: its
-	// answers may be lost. roundsTogether bounds the rounds under way.
+	// listHold is how long the next round waits for the previous one before it starts
+	// concurrently, as the answers of the previous one may be lost. roundsTogether bounds the
+	// concurrent rounds.
 	listHold       = 200 * time.Millisecond
 	roundsTogether = 4
-	// progressPatience bounds the appends of partial texts: newer ones follow soon.
+	// progressPatience is the timeout of appending partial texts. It is short because newer
+	// ones follow soon.
 	progressPatience = time.Second
 )
 
-// pendingResult is a result that waits for its place in the log.
+// pendingResult is a result that has not been read back from the log yet.
 type pendingResult struct {
 	listed *pathbendv1.BatchResult
-	// text is kept as a blob first, unless listed names one already.
+	// text is stored as a blob first, unless listed already refers to one.
 	text []byte
 }
 
-// resultsByJob are results that wait, by job id.
+// resultsByJob maps job ids to pending results.
 type resultsByJob map[string][]pendingResult
 
-// partsByJob are parts of texts that wait, by job id.
+// partsByJob maps job ids to unsaved parts of texts.
 type partsByJob map[string][]schedule.Part
 
-// lister appends results and progress of items to the log, many in one call.
+// lister appends results and progress of items to the log in batches.
 type lister struct {
 	node  *Node
 	woken chan struct{}
-	// rounds holds a token for each round of appends under way.
+	// rounds is a semaphore with one token per round of appends in progress.
 	rounds chan struct{}
 
 	mutex    sync.Mutex
@@ -89,7 +91,7 @@
 	}
 }
 
-// run makes rounds of appends until ctx ends.
+// run starts rounds of appends whenever results or progress are added, until ctx ends.
 func (l *lister) run(ctx context.Context) {
 	var rounds conc.WaitGroup
 	defer rounds.Wait()
@@ -118,8 +120,8 @@
 	}
 }
 
-// flush appends all that waits and waits for the rounds under way, until all is kept,
-// not wanted any more, or ctx ends.
+// flush appends everything pending and waits for the rounds in progress, until all results
+// are stored or no longer needed, or ctx ends.
 func (l *lister) flush(ctx context.Context) {
 	if l.enter(ctx) {
 		l.round(ctx)
@@ -149,8 +151,8 @@
 	}
 }
 
-// round appends what waits, until it is kept, not wanted any more, or ctx ends. A round
-// may last as long as the log is down.
+// round appends everything pending, until it is stored or no longer needed, or ctx ends. A
+// round may last as long as the log is down.
 func (l *lister) round(ctx context.Context) {
 	results, progress := l.take()
 	for ctx.Err() == nil {
@@ -164,8 +166,8 @@
 	}
 }
 
-// appendResults keeps the texts, then the entries that name them. That these were read
-// back proves that they are kept, whatever became of the answer.
+// appendResults stores the texts, then the entries that refer to them. Reading the entries
+// back proves that they are stored, even if the answer to the append was lost.
 func (l *lister) appendResults(ctx context.Context, results resultsByJob) error {
 	if err := l.keepTexts(ctx, results); err != nil {
 		return err
@@ -174,8 +176,8 @@
 	return l.node.jobs.record(ctx, listPatience, kept, resultEntries(results)...)
 }
 
-// appendProgress keeps parts of texts. What cannot be saved in time is not worth more
-// tries.
+// appendProgress stores parts of texts. It does not retry beyond its timeout: what is lost
+// is generated again.
 func (l *lister) appendProgress(ctx context.Context, progress partsByJob) {
 	err := l.keepParts(ctx, progress)
 	if err == nil {
@@ -210,8 +212,8 @@
 	return l.keep(ctx, content.Parts, texts, func(i int, blob *pathbendv1.Blob) { unnamed[i].Text = blob })
 }
 
-// keep keeps texts as blobs and hands over the name of each that was kept, also
-// if not all were.
+// keep stores texts as blobs and calls name with the reference of each that was stored,
+// even if it returns an error because others were not.
 func (l *lister) keep(ctx context.Context, kind content.Kind, texts [][]byte, name func(i int, blob *pathbendv1.Blob)) error {
 	named, err := l.node.jobs.contents.Put(ctx, kind, listPatience, texts)
 	for i, blob := range named {
@@ -220,6 +222,7 @@
 	return err
 }
 
+// take removes and returns everything pending.
 func (l *lister) take() (resultsByJob, partsByJob) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -229,7 +232,8 @@
 	return results, progress
 }
 
-// unlisted drops the results of jobs that are over and those that are listed.
+// unlisted returns the results without those that the ledger already lists and those of
+// jobs that are no longer open.
 func (l *lister) unlisted(results resultsByJob) resultsByJob {
 	left := make(resultsByJob, len(results))
 	for jobID, listed := range results {
@@ -247,8 +251,8 @@
 	return left
 }
 
-// allListed reports whether all results were read back. It is called under the
-// ledger's lock.
+// allListed reports whether all results were read back, ignoring those of unknown and
+// ended jobs. The caller holds the ledger's lock.
 func (l *lister) allListed(results resultsByJob) bool {
 	for jobID, listed := range results {
 		job := l.node.jobs.ledger.Job(jobID)
--- a/internal/hosted/pace.go
+++ b/internal/hosted/pace.go
@@ -3,22 +3,23 @@
 import "time"
 
 const (
-	// leastJobsPause lets several records of the jobs join one read.
+	// leastJobsPause is the minimum pause between two reads of the job log. It lets one read
+	// return several records.
 	leastJobsPause = 40 * time.Millisecond
-	// leastSamplersPause lets several entries of samplers join one read: there is
-	// one a heartbeat and sampler.
+	// leastSamplersPause is the minimum pause between two reads of the samplers' entries. It
+	// lets one read return several entries: every sampler writes one per heartbeat.
 	leastSamplersPause = 300 * time.Millisecond
-	// jobsReadShare and samplersReadShare are the parts of the reads that the log
-	// allows which all nodes together spend on following each.
+	// jobsReadShare and samplersReadShare are the fractions of the log's read limit that all
+	// nodes together use for following the jobs and the samplers.
 	jobsReadShare     = 0.3
 	samplersReadShare = 0.15
-	// longestPause bounds the pauses however many nodes there are: what a node
-	// holds to be true must not grow old.
+	// longestPause is the maximum pause for any number of nodes. It bounds the staleness of
+	// a node's data.
 	longestPause = time.Second
 )
 
-// jobsPause is how long this node rests between two reads of the jobs. The
-// executor rests least, since its work waits for what it reads.
+// jobsPause returns the pause between two reads of the job log by this node. It is shortest
+// on the executor, whose work depends on what it reads.
 func (n *Node) jobsPause() time.Duration {
 	if n.executor.executing() {
 		return leastJobsPause
@@ -27,19 +28,18 @@
 }
 
 const (
-	// leastSharedPause is leastSamplersPause where few nodes read the entries for the others:
-	// what they rest, all others wait.
+	// leastSharedPause replaces leastSamplersPause if a few nodes read the entries on behalf
+	// of the others, as their pause delays all other nodes.
 	leastSharedPause = 100 * time.Millisecond
-	// boundParts is the part of the time within which a sampler that leaves must get nothing
-	// new for which a node that hears of it from another lets its question be held, and rests
-	// after an answer: the age of a reader that lags, 1.2 s, and both stay within the time.
-	// While samplers come, each entry would be a call to each node otherwise, up to 9,000 a
-	// second by 954 nodes that rest for 0.1 s (worked out).
+	// boundParts divides DrainWithin, the time after which a leaving sampler must get no new
+	// work. A node that reads the entries from another node uses one such part for its long
+	// poll and one for the pause after it; together with the age of a lagging reader, 1.2 s,
+	// both stay within that time. Otherwise every entry would cause a call to each node while
+	// samplers join: up to 9,000 calls per second from 954 nodes that pause for 0.1 s.
 	boundParts = 4
 )
 
-// SamplersPause is how long this node rests between two reads of the samplers'
-// entries.
+// SamplersPause returns the pause between two reads of the samplers' entries by this node.
 func (n *Node) SamplersPause() time.Duration {
 	plan := n.readers.Plan()
 	switch {
@@ -51,8 +51,9 @@
 	return n.readPause(leastSamplersPause, samplersReadShare)
 }
 
-// SamplersPoll is how long this node lets a question for the samplers' entries be held, 0 for
-// as long as usual. Without one the log is asked as often as a node must know that it reaches it.
+// SamplersPoll returns the duration of this node's long polls for the samplers' entries, 0
+// for the default. The default polls the log often enough to detect that it is
+// unreachable.
 func (n *Node) SamplersPoll() time.Duration {
 	if len(n.readers.Plan().Parents) == 0 {
 		return 0
@@ -60,7 +61,9 @@
 	return n.settings.DrainWithin / boundParts
 }
 
-// readPause spreads a share of the reads that the log allows over all nodes.
+// readPause returns the pause with which all nodes together use the fraction share of the
+// log's read limit. It is between least and longestPause, and least if the number of nodes
+// or the read limit is unknown.
 func (n *Node) readPause(least time.Duration, share float64) time.Duration {
 	announced, ok := n.directory.Announced()
 	if !ok || n.settings.ReadsPerSecond <= 0 {
--- a/internal/hosted/regions.go
+++ b/internal/hosted/regions.go
@@ -10,13 +10,13 @@
 	"github.com/pathbend/pathbend/internal/routing"
 )
 
-// place is where the node stands.
+// place returns the location of the node for routing decisions.
 func (s *Settings) place() routing.Place {
 	return routing.Place{Node: s.Name, Zone: s.Zone, Topology: s.Topology}
 }
 
-// regionsOf returns the regions in which a tenant's work on a route may be served, by the
-// configuration in force; those of the tenant where there is no route.
+// regionsOf returns the regions in which a tenant's work on a route may be served according
+// to the configuration current. If route is nil these are the tenant's regions.
 func regionsOf(current *catalog.Catalog, route *catalog.Route, tenantName string) locality.Regions {
 	tenant, _ := current.Keys.Tenant(tenantName)
 	if route == nil {
@@ -25,8 +25,8 @@
 	return route.Regions.And(tenant.Regions)
 }
 
-// servable returns an error if no region of the deployment is among those allowed. Coming
-// back is of no use then before somebody changes the configuration.
+// servable returns an error if no region of the deployment is allowed. The error has no
+// retry-after hint, as retrying is useless until the configuration changes.
 func (n *Node) servable(regions locality.Regions) error {
 	if !regions.Bound() || slices.ContainsFunc(n.settings.Topology.Regions(), regions.Allow) {
 		return nil
@@ -34,8 +34,8 @@
 	return result.New(result.RegionUnavailable, "no region of this deployment is in %v", regions)
 }
 
-// servableJob returns an error if the items of a job, or their reward calls, could never
-// be served.
+// servableJob returns an error if the items of a job, or their reward calls, can never be
+// served under the current configuration.
 func (n *Node) servableJob(spec *pathbendv1.BatchJob, items []*pathbendv1.BatchItem) error {
 	current := n.Catalog()
 	if current == nil {
@@ -57,8 +57,8 @@
 	return nil
 }
 
-// remote reports whether this node may not hold the bodies and texts of work that is bound
-// to regions.
+// remote reports whether this node is outside the regions to which work is bound, so that
+// it must not hold the work's bodies and texts.
 func (n *Node) remote(regions locality.Regions) bool {
 	return regions.Bound() && !regions.Allow(n.settings.Topology.Region(n.settings.Zone))
 }
@@ -72,8 +72,8 @@
 	return regionsOf(current, current.Find(spec.Host, spec.Path), spec.Tenant)
 }
 
-// permitsBodies returns an error if, by the configuration in force here, this node may not
-// hold the bodies of a job.
+// permitsBodies returns an error if, according to this node's current configuration, it
+// must not hold the bodies of a job.
 func (n *Node) permitsBodies(spec *pathbendv1.BatchJob) error {
 	if regions := n.regionsOfJob(spec); n.remote(regions) {
 		return result.New(result.RegionUnavailable, "the job is bound to %v", regions)
@@ -81,8 +81,8 @@
 	return nil
 }
 
-// permitsRun returns an error if, by the configuration in force here, this node may not
-// carry a run of a job, or a sampler of the zone not serve it.
+// permitsRun returns an error if, according to this node's current configuration, it must
+// not execute a run of a job, or a sampler in the zone must not serve it.
 func (n *Node) permitsRun(spec *pathbendv1.BatchJob, zone string) error {
 	regions := n.regionsOfJob(spec)
 	if regions.Bound() && !regions.Allow(n.settings.Topology.Region(zone)) {
--- a/internal/hosted/rewards.go
+++ b/internal/hosted/rewards.go
@@ -15,27 +15,29 @@
 )
 
 const (
-	// rewardTimeout bounds the first reward call of an item; it doubles up to
-	// maxRewardTimeout.
+	// rewardTimeout is the timeout of the first reward call of an item. It doubles with each
+	// attempt, up to maxRewardTimeout.
 	rewardTimeout    = 500 * time.Millisecond
 	maxRewardTimeout = 2 * time.Second
-	// rewardPause is the pause before a reward call is repeated; it doubles up
-	// to maxRewardPause.
+	// rewardPause is the pause before the first retry of a reward call. It doubles with each
+	// attempt, up to maxRewardPause.
 	rewardPause    = 20 * time.Millisecond
 	maxRewardPause = 400 * time.Millisecond
-	// rewardShare is the part of a service's slots that reward calls may take,
-	// so that requests of clients find room.
+	// rewardShare divides a service's slots: reward calls may use one part of so many, which
+	// leaves room for client requests, but always at least minRewards.
 	rewardShare = 2
 	minRewards  = 2
 )
 
-// rewardSlots bounds the reward calls under way.
+// rewardSlots is a semaphore with a variable limit for concurrent reward calls.
 type rewardSlots struct {
 	mutex    sync.Mutex
 	taken    int
 	released chan struct{}
 }
 
+// acquire waits for a free slot, reading the limit again whenever one is released. It
+// returns false if ctx ended first.
 func (r *rewardSlots) acquire(ctx context.Context, limit func() int) bool {
 	for {
 		r.mutex.Lock()
@@ -71,8 +73,9 @@
 	slots rewardSlots
 }
 
-// score calls the reward of a complete text until it answers or nobody wants it. It
-// returns the proof of the answer, and false if the item is given up.
+// score repeats the reward call of a complete text until it is answered or the result is
+// no longer wanted. It returns the stamp that proves the answer; alive is false if the
+// call failed too often and the item must be given up.
 func (r *rewarder) score(ctx context.Context, completed schedule.Finished, wanted func() bool) (stamp string, alive bool) {
 	failures := 0
 	var avoid []string
@@ -101,15 +104,15 @@
 	return "", true
 }
 
-// rewardOutcome is how one reward call ended.
+// rewardOutcome is the outcome of one reward call.
 type rewardOutcome struct {
 	stamp string
-	// failed is set if the back end ran the call and failed.
+	// failed is set if the back end executed the call and reported a failure.
 	failed      bool
 	backEnd     string
 	detail      string
 	maxFailures int
-	// heldFor is how long the call is held back from back ends.
+	// heldFor is how long the call is quarantined, 0 if it is not.
 	heldFor time.Duration
 }
 
@@ -120,7 +123,7 @@
 	}
 	route := current.Find(completed.Reward.Host, completed.Reward.Path)
 	if route == nil {
-		return rewardOutcome{detail: "no route for the reward call"}
+		return rewardOutcome{detail: "no route matches the reward call"}
 	}
 	if !r.slots.acquire(ctx, func() int { return r.limit(route) }) {
 		return rewardOutcome{detail: "stopped"}
@@ -160,12 +163,12 @@
 		Pool: route.ServiceFor(reward.Id), Method: http.MethodPost, Path: reward.Path, Host: reward.Host,
 		Header: http.Header{}, Buffered: body, Length: int64(len(body)), MaxAttempts: 1,
 		Deadline: deadline, ID: reward.Id, Excluded: avoid,
-		// All reward calls come from one node; they must not fill its zone.
+		// All reward calls come from one node and must not overload the back ends of its zone.
 		AnyZone: true,
 	}
 }
 
-// rewardLimit is the number of reward calls that may be under way.
+// limit returns the maximum number of concurrent reward calls on a route.
 func (r *rewarder) limit(route *catalog.Route) int {
 	listed := r.node.samplers.Load()
 	if listed == nil {
--- a/internal/hosted/split_brain.go
+++ b/internal/hosted/split_brain.go
@@ -9,30 +9,30 @@
 )
 
 const (
-	// splitBrainInterval is how often a node that executes without its share asks
-	// samplers for their work.
+	// splitBrainInterval is how often an executor that cannot renew its lease on the
+	// partition asks a sampler for its load.
 	splitBrainInterval = 150 * time.Millisecond
-	// foreignRuns is how many runs of others a sampler must have to count as a
-	// sign of another executor: its report is some 100 ms old, and runs come and
-	// go meanwhile.
+	// foreignRuns is the minimum number of runs that a sampler must have beyond those of this
+	// node to indicate another executor. Smaller differences are normal: the report is some
+	// 100 ms old, and runs start and end meanwhile.
 	foreignRuns = 4
-	// reportsNeeded is the number of such reports in a row.
+	// reportsNeeded is the number of consecutive such reports that prove another executor.
 	reportsNeeded = 3
 )
 
-// splitBrainDetector finds out whether another node executes the same jobs. An executor that
-// cannot renew its share goes on, since the log service may be away for all, and
-// then nobody else can take the jobs over. If the service only turned this node
-// away, another one has them, and both fill the same samplers. The samplers tell:
-// they have more work than this node gave them.
+// splitBrainDetector detects whether another node executes the same jobs. An executor that
+// cannot renew its lease continues, since the log service may be down for all nodes, and
+// then no other node can take over. If the service refuses only this node, another one has
+// taken over, and both send work to the same samplers. The samplers' reports show it: they
+// have more work than this node gave them.
 type splitBrainDetector struct {
 	askedAt time.Time
 	next    int
 	seen    int
 }
 
-// due reports whether a sampler is to be asked now, and forgets what was seen once
-// the node holds its share again.
+// due reports whether to query a sampler now. It resets the count of suspicious reports
+// once the node can renew its lease again.
 func (w *splitBrainDetector) due(outOfTouch bool, now time.Time) bool {
 	if !outOfTouch {
 		w.seen = 0
@@ -45,7 +45,8 @@
 	return true
 }
 
-// choose returns the samplers in turn.
+// choose returns the next sampler in round-robin order, skipping those that are leaving,
+// evacuated or serve no model. It returns false if there is none.
 func (w *splitBrainDetector) choose(loads []schedule.Load) (schedule.Load, bool) {
 	for range loads {
 		w.next++
@@ -56,8 +57,8 @@
 	return schedule.Load{}, false
 }
 
-// heard records a sampler's work beside what this node gave it. It reports whether
-// another node is sure to execute.
+// heard compares the work that a sampler reports with the work that this node gave it. It
+// returns true once reportsNeeded consecutive reports show another executor.
 func (w *splitBrainDetector) heard(work, own int) bool {
 	if work-own < foreignRuns {
 		w.seen = 0
@@ -67,7 +68,7 @@
 	return w.seen >= reportsNeeded
 }
 
-// detectSplitBrain asks a sampler, if that is due. It is called under the lock.
+// detectSplitBrain queries a sampler if that is due. The caller holds e.mutex.
 func (e *executor) detectSplitBrain(now time.Time) {
 	if !e.splitBrain.due(e.node.ownership.OutOfTouch(now), now) {
 		return
@@ -93,7 +94,7 @@
 	}
 	e.node.logger.Log(event.ExecutorYielded, "sampler", sampler.ID, "work", report.Work, "own", own)
 	e.node.ownership.Yield()
-	// Their slots are wanted before the log can be told how far they came.
+	// The other executor needs the slots before the progress of these runs could be saved.
 	e.stopRuns()
 	e.wake()
 }
--- a/internal/hosted/suspects.go
+++ b/internal/hosted/suspects.go
@@ -11,23 +11,25 @@
 )
 
 const (
-	// tellPatience is how long a request waits until what its node knows of it is in the log
-	// and read back: some 10 ms at a log next door. With a log that is slow or lost the node
-	// goes on with what it knows (chosen: as long as the shortest objective).
+	// tellPatience is how long a request waits until its quarantine record is appended to the
+	// log and read back, which takes some 10 ms with a nearby log. If the log is
+	// slow or unreachable, the node continues with its local record after this time, which is
+	// as long as the shortest latency objective.
 	tellPatience = 150 * time.Millisecond
-	// tellFor is how long a node tries to write it down all the same.
+	// tellFor is how long the append is retried in the background.
 	tellFor = 30 * time.Second
-	// keepInterval is how often the node that executes writes down anew what is held: the log
-	// drops records after 300 s.
+	// keepInterval is how often the executing node appends the active records again, as the
+	// log drops records after 300 s.
 	keepInterval = 2 * time.Minute
-	// heldPause bounds the pause between reward calls that are held back.
+	// heldPause is the maximum pause between attempts of a quarantined reward call.
 	heldPause = 5 * time.Second
 )
 
-// suspects are the requests and items under which back ends ended, as far as the log tells.
+// suspects holds the requests and items during whose execution back ends ended, and shares
+// them with the other nodes through the log.
 type suspects struct {
 	node *Node
-	// requests guards requests of clients and reward calls, items the runs of items.
+	// requests covers client requests and reward calls, items the runs of batch items.
 	requests *quarantine.Guard
 	items    *quarantine.Guard
 	keptAt   time.Time
@@ -44,7 +46,7 @@
 	return s
 }
 
-// guard returns what guards requests, or items.
+// guard returns the guard of items, or that of requests.
 func (s *suspects) guard(item bool) *quarantine.Guard {
 	if item {
 		return s.items
@@ -52,7 +54,7 @@
 	return s.requests
 }
 
-// take takes in an entry of the ledger.
+// take merges an entry of the ledger. It returns an error if the entry is malformed.
 func (s *suspects) take(told *pathbendv1.SuspectRequest) error {
 	record, err := quarantine.Decode(told)
 	if err != nil {
@@ -62,14 +64,14 @@
 	return nil
 }
 
-// expire forgets what nothing was heard of for long.
+// expire removes records that have not been updated for long.
 func (s *suspects) expire() {
 	s.requests.Expire()
 	s.items.Expire()
 }
 
-// keep writes down anew what is held, so that nodes which start later read it too. The node
-// that executes calls it.
+// keep appends the active records again every keepInterval, so that nodes that start later
+// read them too. Only the executing node calls it.
 func (s *suspects) keep(now time.Time) {
 	if now.Sub(s.keptAt) < keepInterval {
 		return
@@ -83,10 +85,11 @@
 	}
 }
 
-// suspectTeller tells the other nodes through the ledger, which all of them read. Ways
-// weighed: a keyed topic of its own costs each node a read held open; calls from node to node
-// reach no node that starts later, and at 420 nodes each end would be told 419 times. An entry
-// is some 100 bytes, which each node reads beside the jobs.
+// suspectTeller shares records with the other nodes through the ledger, which all of them
+// read. An entry has some 100 bytes, which each node reads along with the jobs. The
+// alternatives cost more: a separate keyed topic would need another long poll on each node,
+// and calls between nodes would not reach nodes that start later and, with 420 nodes, would
+// take 419 calls for each ended back end.
 type suspectTeller struct {
 	node *Node
 	item bool
@@ -96,7 +99,7 @@
 func (t *suspectTeller) Tell(ctx context.Context, record quarantine.Record) {
 	patience := tellPatience + t.node.log.Beyond()
 	if t.node.jobs.follower.Health.Lost() {
-		// It will not be read back in time.
+		// The record would not be read back in time.
 		patience = 0
 	}
 	quarantine.TellWithin(ctx, patience, func() { t.write(record) })
@@ -114,7 +117,8 @@
 	}
 }
 
-// itemDigest names an item: it keeps its id in all its runs, also in later jobs.
+// itemDigest returns the digest that identifies an item. It is the same in all runs of the
+// item, including those of later jobs, as the item keeps its id.
 func itemDigest(itemID string) quarantine.Digest {
 	return quarantine.Content{Caller: []string{"item"}, Path: itemID}.Digest()
 }
@@ -127,13 +131,15 @@
 	return s.items.HeldUntil(itemDigest(itemID))
 }
 
-// Suspect implements schedule.Holds. One end makes no suspect: when many samplers are lost at
-// once, all that ran there would wait for a sampler each (87 items of a day, on 44 samplers).
+// Suspect implements schedule.Holds. A single ended sampler does not make an item suspect:
+// if many samplers are lost at once, every item that ran there would need a sampler of its
+// own, for example 87 items after the loss of 44 samplers.
 func (s *suspects) Suspect(itemID string) bool {
 	return !s.items.Empty() && s.items.Ends(itemDigest(itemID)) >= quarantine.Ends-1
 }
 
-// heldFor is how long a reward call waits after an error, if that says that it is held back.
+// heldFor returns how long a reward call must wait after an error, at most heldPause; 0 if
+// the error does not say that the call is quarantined.
 func heldFor(err error) time.Duration {
 	if !result.Is(err, result.RequestQuarantined) {
 		return 0
