--- a/internal/hosted/adopt.go
+++ b/internal/hosted/adopt.go
@@ -17,17 +17,17 @@
 	"github.com/pathbend/pathbend/internal/wait"
 )
 
-// adopt loads the items of a job and the text generated for them so far, then adds the job
+// loadJob loads the items of a job and the text generated for them so far, then adds the job
 // to the scheduler. The caller holds e.mutex; loading runs in a goroutine and is retried
 // until it succeeds or the job is no longer open.
-func (e *executor) adopt(job *ledger.Job) {
+func (e *executor) loadJob(job *ledger.Job) {
 	session, scheduler := e.session, e.scheduler
 	e.work.Go(func() {
 		e.awaitRoute(session, job)
-		for session.Err() == nil && e.open(job) {
-			found, err := e.read(session, job)
+		for session.Err() == nil && e.isOpen(job) {
+			loaded, err := e.readJob(session, job)
 			if err == nil {
-				e.add(scheduler, job, found)
+				e.addJob(scheduler, job, loaded)
 				return
 			}
 			e.node.logger.Log(event.JobUnread, "job_id", job.ID, "detail", err.Error())
@@ -39,8 +39,8 @@
 // awaitRoute waits until the configuration has a route for a job. Without one nothing can
 // serve the job, and the regions in which its bodies may be read are unknown.
 func (e *executor) awaitRoute(session context.Context, job *ledger.Job) {
-	for told := false; e.routeOf(job.Spec) == nil && e.open(job); told = true {
-		if !told {
+	for logged := false; e.findRoute(job.Spec) == nil && e.isOpen(job); logged = true {
+		if !logged {
 			e.node.logger.Log(event.JobUnread, "job_id", job.ID, "detail", "no route matches the job")
 		}
 		if !wait.For(session, adoptPause) {
@@ -52,15 +52,15 @@
 // adoptPause is the pause before loading a job is retried.
 const adoptPause = 60 * time.Millisecond
 
-func (e *executor) open(job *ledger.Job) bool {
+func (e *executor) isOpen(job *ledger.Job) bool {
 	open := false
 	e.node.jobs.withLedger(func(*ledger.Ledger) { open = job.Open() })
 	return open
 }
 
-// adopted is a loaded job: its items and the text generated for them so far. It implements
+// loadedJob is a loaded job: its items and the text generated for them so far. It implements
 // schedule.Kept.
-type adopted struct {
+type loadedJob struct {
 	// regions are the allowed regions of the job. remote is set if a worker in another region
 	// runs its items.
 	regions  locality.Regions
@@ -71,44 +71,44 @@
 }
 
 // Partial implements schedule.Kept.
-func (a adopted) Partial(itemID string) (schedule.Partial, bool) {
-	partial, ok := a.partial[itemID]
+func (j loadedJob) Partial(itemID string) (schedule.Partial, bool) {
+	partial, ok := j.partial[itemID]
 	return partial, ok
 }
 
 // Finished implements schedule.Kept.
-func (a adopted) Finished(itemID string) (ledger.Result, bool) {
-	listed, ok := a.finished[itemID]
+func (j loadedJob) Finished(itemID string) (ledger.Result, bool) {
+	listed, ok := j.finished[itemID]
 	return listed, ok
 }
 
-// read loads a job's items and their partial texts. Items whose partial text cannot be
+// readJob loads a job's items and their partial texts. Items whose partial text cannot be
 // read are generated from the start.
-func (e *executor) read(ctx context.Context, job *ledger.Job) (adopted, error) {
-	found := adopted{regions: e.node.regionsOfJob(job.Spec)}
-	found.remote = e.node.remote(found.regions)
+func (e *executor) readJob(ctx context.Context, job *ledger.Job) (loadedJob, error) {
+	loaded := loadedJob{regions: e.node.regionsOfJob(job.Spec)}
+	loaded.remote = e.node.isOutside(loaded.regions)
 	var err error
-	if found.remote {
-		found.items, err = e.outline(ctx, job, found.regions)
+	if loaded.remote {
+		loaded.items, err = e.outline(ctx, job, loaded.regions)
 	} else {
-		found.items, err = e.node.jobs.contents.GetItems(ctx, job.Spec)
+		loaded.items, err = e.node.jobs.contents.GetItems(ctx, job.Spec)
 	}
 	if err != nil {
-		return found, err
+		return loaded, err
 	}
 	var partial map[string]ledger.Progress
-	e.node.jobs.withLedger(func(known *ledger.Ledger) { found.finished, partial = textsOf(known, found.items) })
-	if found.remote {
-		found.partial = countsOf(partial)
-		return found, nil
+	e.node.jobs.withLedger(func(state *ledger.Ledger) { loaded.finished, partial = knownTexts(state, loaded.items) })
+	if loaded.remote {
+		loaded.partial = countsOnly(partial)
+		return loaded, nil
 	}
-	found.partial = e.readPartial(ctx, job, partial)
-	return found, nil
+	loaded.partial = e.readPartial(ctx, job, partial)
+	return loaded, nil
 }
 
-// countsOf returns the event counts and versions of partial texts without their bytes,
+// countsOnly returns the event counts and versions of partial texts without their bytes,
 // which the worker reads itself.
-func countsOf(partial map[string]ledger.Progress) map[string]schedule.Partial {
+func countsOnly(partial map[string]ledger.Progress) map[string]schedule.Partial {
 	counts := make(map[string]schedule.Partial, len(partial))
 	for itemID, progress := range partial {
 		counts[itemID] = schedule.Partial{Events: progress.Events, Versions: progress.Versions}
@@ -116,16 +116,16 @@
 	return counts
 }
 
-// readsTogether is how many partial texts are read concurrently: the long items of a
+// maxConcurrentReads is how many partial texts are read concurrently: the long items of a
 // training step cannot start before all of them have been read.
-const readsTogether = 8
+const maxConcurrentReads = 8
 
 // readPartial reads partial texts. Those that cannot be read are left out, so that they
 // are generated again.
 func (e *executor) readPartial(ctx context.Context, job *ledger.Job, partial map[string]ledger.Progress) map[string]schedule.Partial {
 	var mutex sync.Mutex
 	texts := make(map[string]schedule.Partial, len(partial))
-	readers := pool.New().WithMaxGoroutines(readsTogether)
+	readers := pool.New().WithMaxGoroutines(maxConcurrentReads)
 	for itemID, progress := range partial {
 		readers.Go(func() {
 			parts, err := e.node.jobs.contents.Get(ctx, progress.Parts)
@@ -148,52 +148,52 @@
 	e.node.logger.Log(event.JobUnread, "job_id", jobID, "item_id", itemID, "detail", err.Error())
 }
 
-// textsOf returns what the ledger knows of items: results listed by an earlier job, and
+// knownTexts returns what the ledger knows of items: results listed by an earlier job, and
 // partial texts. An item has both if its listed text was too old for a later job, which
 // started it again.
-func textsOf(known *ledger.Ledger, items []*pathbendv1.BatchItem) (finished map[string]ledger.Result, partial map[string]ledger.Progress) {
+func knownTexts(state *ledger.Ledger, items []*pathbendv1.BatchItem) (finished map[string]ledger.Result, partial map[string]ledger.Progress) {
 	finished, partial = make(map[string]ledger.Result), make(map[string]ledger.Progress)
 	for _, item := range items {
-		if listed, ok := known.Finished(item.Id); ok {
+		if listed, ok := state.Finished(item.Id); ok {
 			finished[item.Id] = listed
 		}
-		if progress, ok := known.Progress(item.Id); ok {
+		if progress, ok := state.Progress(item.Id); ok {
 			partial[item.Id] = progress
 		}
 	}
 	return finished, partial
 }
 
-// add adds a loaded job to the scheduler. If the job's regions changed since it was loaded
+// addJob adds a loaded job to the scheduler. If the job's regions changed since it was loaded
 // it is loaded again; if scheduler is that of a former session the job is dropped.
-func (e *executor) add(scheduler *schedule.Scheduler, job *ledger.Job, found adopted) {
+func (e *executor) addJob(scheduler *schedule.Scheduler, job *ledger.Job, loaded loadedJob) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if e.scheduler != scheduler {
 		return
 	}
-	if e.node.regionsOfJob(job.Spec).String() != found.regions.String() {
-		e.adopt(job)
+	if e.node.regionsOfJob(job.Spec).String() != loaded.regions.String() {
+		e.loadJob(job)
 		return
 	}
-	e.takeVersions()
-	e.roll.Allow(job.Spec.Model, job.Spec.Step, e.slackOf(job.Spec))
-	policy := e.policyOf(job)
-	policy.Regions, policy.Topology, policy.Remote = found.regions, e.node.settings.Topology, found.remote
-	if found.remote {
-		e.remote.jobs[job.ID] = &remoteJob{regions: found.regions, link: e.linkTo(found.regions)}
+	e.applyVersions()
+	e.roll.Allow(job.Spec.Model, job.Spec.Step, e.allowedLag(job.Spec))
+	policy := e.schedulePolicy(job)
+	policy.Regions, policy.Topology, policy.Remote = loaded.regions, e.node.settings.Topology, loaded.remote
+	if loaded.remote {
+		e.remote.jobs[job.ID] = &remoteJob{regions: loaded.regions, link: e.linkTo(loaded.regions)}
 	}
 	var finished []schedule.Finished
 	var stopped []schedule.Key
 	e.node.jobs.withLedger(func(*ledger.Ledger) {
 		if job.Open() {
-			finished, stopped = scheduler.AddJob(job, found.items, policy, found)
+			finished, stopped = scheduler.AddJob(job, loaded.items, policy, loaded)
 		}
 	})
 	for _, run := range stopped {
 		e.cancel(run)
 	}
-	if found.remote {
+	if loaded.remote {
 		e.scheduler.Hold(job.ID, e.remote.jobs[job.ID].link == nil)
 	}
 	for _, completed := range finished {
@@ -202,25 +202,25 @@
 	e.wake()
 }
 
-// slackOf returns how many versions behind the newest one a job allows.
-func (e *executor) slackOf(spec *pathbendv1.BatchJob) uint64 {
-	newest := max(e.node.targets()[spec.Model], firstVersion)
+// allowedLag returns how many versions behind the newest one a job allows.
+func (e *executor) allowedLag(spec *pathbendv1.BatchJob) uint64 {
+	newest := max(e.node.targets()[spec.Model], initialVersion)
 	if spec.MinVersion >= newest {
 		return 0
 	}
 	return newest - spec.MinVersion
 }
 
-// firstVersion is the version that samplers serve before any version is announced.
-const firstVersion = 1
+// initialVersion is the version that samplers serve before any version is announced.
+const initialVersion = 1
 
-func (e *executor) policyOf(job *ledger.Job) schedule.Policy {
-	route := e.routeOf(job.Spec)
+func (e *executor) schedulePolicy(job *ledger.Job) schedule.Policy {
+	route := e.findRoute(job.Spec)
 	policy := schedule.Policy{Due: job.ReceivedAt.Add(defaultDue), MaxFailures: 1}
 	if route == nil {
 		return policy
 	}
-	policy.Services = servicesOf(route)
+	policy.Services = activeServices(route)
 	policy.MaxFailures = route.MaxAttempts
 	policy.SingleVersion = route.SingleVersion
 	policy.Priority = e.node.rankOf(job.Spec.Tenant, route)
@@ -230,22 +230,22 @@
 	return policy
 }
 
-// routeRanks is the number of route priorities within one tenant priority: configurations
+// routePriorities is the number of route priorities within one tenant priority: configurations
 // use 0 to 2.
-const routeRanks = 3
+const routePriorities = 3
 
 // rankOf returns the scheduling rank of a tenant's work on a route, 0 first. The tenant's
 // priority takes precedence over the route's.
 func (n *Node) rankOf(tenantName string, route *catalog.Route) int {
-	rank := min(max(route.Priority, 0), routeRanks-1)
+	rank := min(max(route.Priority, 0), routePriorities-1)
 	if current := n.Catalog(); current != nil {
 		tenant, _ := current.Keys.Tenant(tenantName)
-		rank += tenant.Priority * routeRanks
+		rank += tenant.Priority * routePriorities
 	}
 	return rank
 }
 
-func (e *executor) routeOf(spec *pathbendv1.BatchJob) *catalog.Route {
+func (e *executor) findRoute(spec *pathbendv1.BatchJob) *catalog.Route {
 	current := e.node.Catalog()
 	if current == nil {
 		return nil
@@ -253,7 +253,7 @@
 	return current.Find(spec.Host, spec.Path)
 }
 
-func servicesOf(route *catalog.Route) []string {
+func activeServices(route *catalog.Route) []string {
 	var services []string
 	for _, share := range route.Shares {
 		if share.Weight > 0 {
--- a/internal/hosted/adopt_test.go
+++ b/internal/hosted/adopt_test.go
@@ -11,13 +11,13 @@
 )
 
 // apply writes an entry to a ledger as its readers see it.
-func apply(t *testing.T, known *ledger.Ledger, entry *pathbendv1.LedgerEntry) {
+func apply(t *testing.T, state *ledger.Ledger, entry *pathbendv1.LedgerEntry) {
 	t.Helper()
 	const large = 1 << 20
 	records, err := ledger.Encode(entry, 1, large)
 	require.NoError(t, err)
 	for _, record := range records {
-		_, err := known.Apply(record, time.Now())
+		_, err := state.Apply(record, time.Now())
 		require.NoError(t, err)
 	}
 }
@@ -38,7 +38,7 @@
 	apply(t, known, &pathbendv1.LedgerEntry{JobId: "new", Fact: &pathbendv1.LedgerEntry_Progress{Progress: &pathbendv1.BatchProgress{
 		Items: []*pathbendv1.ItemProgress{{ItemId: "item", Id: 7, Events: 100, Versions: []uint64{3}}},
 	}}})
-	finished, partial := textsOf(known, []*pathbendv1.BatchItem{{Id: "item"}})
+	finished, partial := knownTexts(known, []*pathbendv1.BatchItem{{Id: "item"}})
 	require.Equal(t, []uint64{1}, finished["item"].Versions)
 	require.Equal(t, uint64(100), partial["item"].Events)
 }
--- a/internal/hosted/announce.go
+++ b/internal/hosted/announce.go
@@ -13,34 +13,34 @@
 )
 
 const (
-	// unreadPause is the poll interval while waiting for data that is not read yet.
-	unreadPause = 20 * time.Millisecond
-	// leastRepeat is the minimum delay after a start before a node repeats an entry that the
-	// directory already holds, so that the initial reads of all nodes are over by then; with
-	// 295 nodes these took 4 s.
-	leastRepeat = 10 * time.Second
-	// announceAttempt is the timeout of one announcement, announceRetry the minimum pause
+	// readPollInterval is the poll interval while waiting for data that is not read yet.
+	readPollInterval = 20 * time.Millisecond
+	// minReannounceDelay is the minimum delay after a start before a node repeats an entry
+	// that the directory already holds, so that the initial reads of all nodes are over by
+	// then; with 295 nodes these took 4 s.
+	minReannounceDelay = 10 * time.Second
+	// announceTimeout is the timeout of one announcement, announceRetryPause the minimum pause
 	// after one that failed; a random part of up to the same length is added.
-	announceAttempt = 3 * time.Second
-	announceRetry   = time.Second
-	// emptyPatience is how long a node that announces itself waits for the first directory
+	announceTimeout    = 3 * time.Second
+	announceRetryPause = time.Second
+	// firstEntryTimeout is how long a node that announces itself waits for the first directory
 	// entry before it joins the group anyway: a failure to write entries must not stop the
 	// jobs.
-	emptyPatience = time.Second
+	firstEntryTimeout = time.Second
 )
 
-// awaitAnnouncements waits up to emptyPatience until the directory has an entry. In a new
+// awaitAnnouncements waits up to firstEntryTimeout until the directory has an entry. In a new
 // deployment the directory is empty, and every node would consider its own machine the
 // largest.
 func (n *Node) awaitAnnouncements(ctx context.Context) {
 	if n.settings.Millicores == 0 && n.settings.PeerAddress() == "" {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, emptyPatience)
+	ctx, cancel := context.WithTimeout(ctx, firstEntryTimeout)
 	defer cancel()
 	for {
 		announced, _ := n.directory.Announced()
-		if announced.Nodes > 0 || !wait.For(ctx, unreadPause) {
+		if announced.Nodes > 0 || !wait.For(ctx, readPollInterval) {
 			return
 		}
 	}
@@ -62,25 +62,25 @@
 	if n.settings.Millicores == 0 && n.settings.PeerAddress() == "" {
 		return
 	}
-	for !n.directoryRead() && wait.For(ctx, unreadPause) {
+	for !n.directoryRead() && wait.For(ctx, readPollInterval) {
 	}
-	for n.settings.takesCalls() && n.peerAddress.Load() == nil && wait.For(ctx, unreadPause) {
+	for n.settings.takesCalls() && n.peerAddress.Load() == nil && wait.For(ctx, readPollInterval) {
 	}
-	if n.directory.Says(n.settings.Name, n.entry()) {
-		wait.For(ctx, leastRepeat+rand.N(directory.AnnounceInterval-leastRepeat))
+	if n.directory.Says(n.settings.Name, n.directoryEntry()) {
+		wait.For(ctx, minReannounceDelay+rand.N(directory.AnnounceInterval-minReannounceDelay))
 	}
 	for ctx.Err() == nil {
 		pause := directory.AnnounceInterval + rand.N(directory.AnnounceSpread)
 		if err := n.announceOnce(ctx); err != nil {
 			n.logger.Log(event.LogAppendRetried, "topic", n.settings.NodesTopic, "detail", err.Error())
-			pause = announceRetry + rand.N(announceRetry)
+			pause = announceRetryPause + rand.N(announceRetryPause)
 		}
 		wait.For(ctx, pause)
 	}
 }
 
-// calledAt returns the address at which other nodes call this one, empty if they do not.
-func (n *Node) calledAt() string {
+// callAddress returns the address at which other nodes call this one, empty if they do not.
+func (n *Node) callAddress() string {
 	if address := n.peerAddress.Load(); address != nil {
 		return *address
 	}
@@ -92,15 +92,15 @@
 	return read
 }
 
-// entry returns the directory entry of this node.
-func (n *Node) entry() directory.Entry {
+// directoryEntry returns the directory entry of this node.
+func (n *Node) directoryEntry() directory.Entry {
 	return directory.Entry{
-		Millicores: n.settings.Millicores, Zone: n.settings.Zone, Address: n.settings.PeerAddress(), Worker: n.calledAt(),
+		Millicores: n.settings.Millicores, Zone: n.settings.Zone, Address: n.settings.PeerAddress(), Worker: n.callAddress(),
 	}
 }
 
 func (n *Node) announceOnce(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, announceAttempt)
+	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
-	return n.directory.Announce(ctx, n.entry())
+	return n.directory.Announce(ctx, n.directoryEntry())
 }
--- a/internal/hosted/append_test.go
+++ b/internal/hosted/append_test.go
@@ -64,9 +64,9 @@
 		followed := make(chan struct{})
 		go func() { defer close(followed); node.jobs.follower.Run(ctx) }()
 		for node.jobs.appendOne(ctx, nil, nil) != nil {
-			time.Sleep(appendPause)
+			time.Sleep(appendRetryPause)
 		}
-		require.Less(t, time.Since(log.backAt), appendHedge+appendPause)
+		require.Less(t, time.Since(log.backAt), maxAppendHedgeDelay+appendRetryPause)
 		cancel()
 		<-followed
 	})
@@ -75,7 +75,7 @@
 func TestSlowLogGetsNoMoreThanTwoAppends(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		// Between two looks at whether another append goes out.
-		const takes = 4*appendHedge + appendHedge/2
+		const takes = 4*maxAppendHedgeDelay + maxAppendHedgeDelay/2
 		log := &awayLog{takes: takes}
 		node := New(Settings{Name: "n"}, Ports{Network: network.TCP{}, Log: log}, event.Discard())
 		require.NoError(t, node.jobs.appendOne(t.Context(), nil, nil))
@@ -135,7 +135,7 @@
 		node.log.Appends().Answered(5*time.Millisecond, time.Now())
 		began := time.Now()
 		require.NoError(t, node.jobs.appendOne(t.Context(), nil, nil))
-		require.Less(t, time.Since(began), 2*appendHedge)
+		require.Less(t, time.Since(began), 2*maxAppendHedgeDelay)
 		require.Equal(t, 5, log.appends)
 		synctest.Wait()
 	})
--- a/internal/hosted/batch.go
+++ b/internal/hosted/batch.go
@@ -17,16 +17,16 @@
 	n.active.Add(1)
 	defer n.active.Add(-1)
 	began := time.Now()
-	foreign := false
+	otherTenant := false
 	known := func() bool {
 		job := n.jobs.ledger.Job(id)
-		foreign = job != nil && job.Spec.Tenant != spec.Tenant
+		otherTenant = job != nil && job.Spec.Tenant != spec.Tenant
 		return job != nil
 	}
-	if _, already := n.jobs.seen(known); already {
-		return taken(id, foreign)
+	if _, already := n.jobs.check(known); already {
+		return resubmissionError(id, otherTenant)
 	}
-	err := n.servableJob(spec, items)
+	err := n.checkJobServable(spec, items)
 	if err == nil {
 		err = n.jobs.submit(ctx, id, spec, items, known)
 	}
@@ -36,18 +36,18 @@
 		n.logger.Log(event.BatchRefused, "job_id", id, "step", spec.Step, "took_ms", took.Milliseconds(), "detail", err.Error())
 		return spread(err)
 	}
-	if _, already := n.jobs.seen(known); already && foreign {
-		return taken(id, foreign)
+	if _, already := n.jobs.check(known); already && otherTenant {
+		return resubmissionError(id, otherTenant)
 	}
 	n.logger.Log(event.BatchSubmitted, "job_id", id, "step", spec.Step, "model", spec.Model,
 		"min_version", spec.MinVersion, "items", len(items), "wanted_groups", spec.WantedGroups, "took_ms", took.Milliseconds())
 	return nil
 }
 
-// taken returns the result of submitting a job that is already known: an error if it
+// resubmissionError returns the result of submitting a job that is already known: an error if it
 // belongs to another tenant.
-func taken(id string, foreign bool) error {
-	if foreign {
+func resubmissionError(id string, otherTenant bool) error {
+	if otherTenant {
 		return result.New(result.JobConflict, "job id %q is already in use", id)
 	}
 	return nil
@@ -57,29 +57,29 @@
 // never run.
 func (b *jobBook) submit(ctx context.Context, id string, spec *pathbendv1.BatchJob, items []*pathbendv1.BatchItem, known func() bool) error {
 	began := time.Now()
-	patience := b.submitPatience()
-	named, err := b.contents.PutItems(ctx, patience, items)
+	timeout := b.submitTimeout()
+	blobs, err := b.contents.PutItems(ctx, timeout, items)
 	if err != nil {
-		return notTaken(err)
+		return notAccepted(err)
 	}
-	spec.ItemIds, spec.Items = itemIDs(items), named
+	spec.ItemIds, spec.Items = itemIDs(items), blobs
 	entry := &pathbendv1.LedgerEntry{JobId: id, Fact: &pathbendv1.LedgerEntry_Submitted{Submitted: spec}}
-	return b.record(ctx, patience-time.Since(began), known, entry)
+	return b.record(ctx, timeout-time.Since(began), known, entry)
 }
 
-// submitPatience returns how long a submission is retried before it is refused. A node
+// submitTimeout returns how long a submission is retried before it is refused. A node
 // that has not reached the log for a while refuses early, so that the caller can try
 // another node or come back. A node that has just started and does not follow the log yet
 // does not count as such.
-func (b *jobBook) submitPatience() time.Duration {
+func (b *jobBook) submitTimeout() time.Duration {
 	if b.inTouch() || !b.followed.Load() {
-		return submitPatience
+		return submitTimeout
 	}
-	return isolatedPatience
+	return isolatedSubmitTimeout
 }
 
-// isolatedPatience is the submission timeout of a node that cannot reach the log.
-const isolatedPatience = 400 * time.Millisecond
+// isolatedSubmitTimeout is the submission timeout of a node that cannot reach the log.
+const isolatedSubmitTimeout = 400 * time.Millisecond
 
 func itemIDs(items []*pathbendv1.BatchItem) []string {
 	ids := make([]string, 0, len(items))
@@ -89,12 +89,12 @@
 	return ids
 }
 
-// notTaken converts a log error from storing a job's items into LogUnavailable, which
+// notAccepted converts a log error from storing a job's items into LogUnavailable, which
 // guarantees that the job was not accepted: even if the items were stored, the job itself
 // was never appended.
-func notTaken(err error) error {
+func notAccepted(err error) error {
 	if result.Is(err, result.LogUnknown) || result.Is(err, result.LogUnavailable) {
-		return result.Wrap(result.LogUnavailable, err, "store the items").WithRetryAfter(submitHint)
+		return result.Wrap(result.LogUnavailable, err, "store the items").WithRetryAfter(submitRetryAfter)
 	}
 	return err
 }
@@ -110,11 +110,11 @@
 	if err := n.requireJob(ctx, id, key); err != nil {
 		return err
 	}
-	if _, already := n.jobs.seen(ended); already {
+	if _, already := n.jobs.check(ended); already {
 		return nil
 	}
 	entry := &pathbendv1.LedgerEntry{JobId: id, Fact: &pathbendv1.LedgerEntry_Ended{Ended: &pathbendv1.BatchEnd{}}}
-	return spread(n.jobs.record(ctx, submitPatience, ended, entry))
+	return spread(n.jobs.record(ctx, submitTimeout, ended, entry))
 }
 
 // requireJob returns an error unless the job is known and belongs to the tenant that
@@ -123,11 +123,11 @@
 func (n *Node) requireJob(ctx context.Context, id, key string) error {
 	tenant, denial := n.Caller(ctx, key)
 	known, usable := false, false
-	look := func(job *ledger.Job) {
+	inspect := func(job *ledger.Job) {
 		known = job != nil
 		usable = known && (job.Spec.Tenant == "" || denial == nil && n.mayUse(job, tenant))
 	}
-	n.jobs.view(id, look)
+	n.jobs.view(id, inspect)
 	switch {
 	case usable:
 		return nil
@@ -140,7 +140,7 @@
 		n.logger.Log(event.BatchReadRefused, "job_id", id, "detail", err.Error())
 		return err
 	}
-	n.jobs.view(id, look)
+	n.jobs.view(id, inspect)
 	if !usable {
 		return unknownJob(id)
 	}
@@ -162,22 +162,22 @@
 }
 
 // Results returns the results of a job of the tenant that holds the key, starting at
-// position from. If there are none yet it waits for up to hold.
-func (n *Node) Results(ctx context.Context, id, key string, from int, hold time.Duration) (Page, error) {
+// position from. If there are none yet it waits for up to maxWait.
+func (n *Node) Results(ctx context.Context, id, key string, from int, maxWait time.Duration) (Page, error) {
 	n.active.Add(1)
 	defer n.active.Add(-1)
 	if err := n.requireJob(ctx, id, key); err != nil {
 		return Page{}, err
 	}
 	began := time.Now()
-	holdCtx, cancel := context.WithTimeout(ctx, hold)
+	waitCtx, cancel := context.WithTimeout(ctx, maxWait)
 	defer cancel()
 	for {
 		page, changed, settled := n.jobs.page(id, from)
 		if len(page.Results) > 0 {
-			return n.withTexts(ctx, id, page, began)
+			return n.readTexts(ctx, id, page, began)
 		}
-		if settled || n.Draining() || !n.jobs.await(holdCtx, changed) {
+		if settled || n.Draining() || !n.jobs.await(waitCtx, changed) {
 			break
 		}
 	}
@@ -186,48 +186,48 @@
 		return Page{}, spread(err)
 	}
 	page, _, _ := n.jobs.page(id, from)
-	return n.withTexts(ctx, id, page, began)
+	return n.readTexts(ctx, id, page, began)
 }
 
-// textsPatience bounds the time for reading the texts of a page; after it the page is cut
+// textReadTimeout bounds the time for reading the texts of a page; after it the page is cut
 // before the first text that is missing. Callers wait 1.5 s beyond the long-poll time that
 // they ask for; half of that is left for the connection and the transfer of the answer.
-const textsPatience = 750 * time.Millisecond
+const textReadTimeout = 750 * time.Millisecond
 
-// withTexts reads the texts of a page that was requested at asked. If not all of them can
+// readTexts reads the texts of a page that was requested at requestedAt. If not all of them can
 // be read in time, the page is cut before the first missing one.
-func (n *Node) withTexts(ctx context.Context, id string, page Page, asked time.Time) (Page, error) {
-	found := time.Now()
+func (n *Node) readTexts(ctx context.Context, id string, page Page, requestedAt time.Time) (Page, error) {
+	pageReadAt := time.Now()
 	var wanted []*pathbendv1.Blob
 	for _, listed := range page.Results {
 		if listed.Text != nil {
 			wanted = append(wanted, listed.Text)
 		}
 	}
-	callCtx, cancel := context.WithTimeout(ctx, textsPatience)
+	callCtx, cancel := context.WithTimeout(ctx, textReadTimeout)
 	defer cancel()
 	texts, err := n.jobs.contents.GetFirst(callCtx, wanted)
-	whole := page.fill(texts)
+	total := page.fill(texts)
 	switch {
 	case err == nil:
 	case len(page.Results) == 0:
 		n.logger.Log(event.BatchReadRefused, "job_id", id, "texts", len(wanted), "detail", err.Error())
 		return Page{}, spread(err)
 	default:
-		n.logger.Log(event.PageCut, "job_id", id, "results", len(page.Results), "of", whole, "detail", err.Error())
+		n.logger.Log(event.PageCut, "job_id", id, "results", len(page.Results), "of", total, "detail", err.Error())
 	}
 	n.logger.Log(event.BatchRead, "job_id", id, "from", page.Next-len(page.Results), "next", page.Next, "total", page.Total,
-		"held_ms", found.Sub(asked).Milliseconds(), "texts_ms", time.Since(found).Milliseconds())
+		"held_ms", pageReadAt.Sub(requestedAt).Milliseconds(), "texts_ms", time.Since(pageReadAt).Milliseconds())
 	return page, nil
 }
 
 // fill sets the texts of the page's results. texts holds those of the first results that
 // have one; the page is cut before the first result whose text is missing. It returns the
 // number of results before the cut.
-func (p *Page) fill(texts [][]byte) (whole int) {
-	whole = len(p.Results)
-	p.Next -= whole
-	p.Texts = make([][]byte, 0, whole)
+func (p *Page) fill(texts [][]byte) (total int) {
+	total = len(p.Results)
+	p.Next -= total
+	p.Texts = make([][]byte, 0, total)
 	for _, listed := range p.Results {
 		var text []byte
 		if listed.Text != nil {
@@ -240,7 +240,7 @@
 	}
 	p.Results = p.Results[:len(p.Texts)]
 	p.Next += len(p.Results)
-	return whole
+	return total
 }
 
 // page returns the known results of a job starting at position from, up to maxPageBytes of
--- a/internal/hosted/batch_test.go
+++ b/internal/hosted/batch_test.go
@@ -13,11 +13,11 @@
 // A job whose items could not be kept never runs, so its refusal is a promise.
 func TestRefusalBeforeTheJobIsKeptPromisesThatItNeverRuns(t *testing.T) {
 	for _, code := range []result.Code{result.LogUnknown, result.LogUnavailable} {
-		err := notTaken(result.New(code, "x"))
+		err := notAccepted(result.New(code, "x"))
 		require.True(t, result.Is(err, result.LogUnavailable))
-		require.Equal(t, submitHint, result.From(err).RetryAfter)
+		require.Equal(t, submitRetryAfter, result.From(err).RetryAfter)
 	}
-	require.True(t, result.Is(notTaken(result.New(result.BodyTooLarge, "x")), result.BodyTooLarge))
+	require.True(t, result.Is(notAccepted(result.New(result.BodyTooLarge, "x")), result.BodyTooLarge))
 }
 
 // Two nodes without the log held a step for 2.5 s each before they refused it, and
@@ -25,13 +25,13 @@
 func TestNodeWithoutTheLogRefusesAJobSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		node := newTestNode()
-		require.Equal(t, submitPatience, node.jobs.submitPatience(), "it did not begin to follow the log")
+		require.Equal(t, submitTimeout, node.jobs.submitTimeout(), "it did not begin to follow the log")
 		node.jobs.followed.Store(true)
-		require.Equal(t, isolatedPatience, node.jobs.submitPatience(), "nothing was read yet")
+		require.Equal(t, isolatedSubmitTimeout, node.jobs.submitTimeout(), "nothing was read yet")
 		node.jobs.follower.Log = emptyLog{}
 		require.NoError(t, node.jobs.follower.CatchUp(t.Context()))
-		require.Equal(t, submitPatience, node.jobs.submitPatience())
-		time.Sleep(contactLimit + time.Millisecond)
-		require.Equal(t, isolatedPatience, node.jobs.submitPatience())
+		require.Equal(t, submitTimeout, node.jobs.submitTimeout())
+		time.Sleep(maxLogReadAge + time.Millisecond)
+		require.Equal(t, isolatedSubmitTimeout, node.jobs.submitTimeout())
 	})
 }
--- a/internal/hosted/claims.go
+++ b/internal/hosted/claims.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	// claimPatience is the timeout of each log operation of a claim.
-	claimPatience = 700 * time.Millisecond
-	// claimLimit is the maximum age of a claim when the call that it permits is made.
-	claimLimit = time.Second
+	// claimTimeout is the timeout of each log operation of a claim.
+	claimTimeout = 700 * time.Millisecond
+	// maxClaimAge is the maximum age of a claim when the call that it permits is made.
+	maxClaimAge = time.Second
 )
 
 // claims ensures that only the holder of the job partition makes calls that a single node
@@ -49,14 +49,14 @@
 		Subject: subject, Holder: holder, Fence: fence, Serial: serial,
 	}}}
 	readBack := func() bool {
-		last, known := c.node.jobs.ledger.LastClaim(subject, holder)
-		return known && last.Serial == serial
+		last, ok := c.node.jobs.ledger.LastClaim(subject, holder)
+		return ok && last.Serial == serial
 	}
-	patience := claimPatience + c.node.log.Beyond()
-	if err := c.node.jobs.record(ctx, patience, readBack, entry); err != nil {
+	timeout := claimTimeout + c.node.log.Beyond()
+	if err := c.node.jobs.record(ctx, timeout, readBack, entry); err != nil {
 		return duty.Right{}, false
 	}
-	if !c.node.jobs.awaitReadBack(ctx, patience, readBack) || began.Age() > claimLimit {
+	if !c.node.jobs.awaitReadBack(ctx, timeout, readBack) || began.Age() > maxClaimAge {
 		return duty.Right{}, false
 	}
 	if c.superseded(fence) || c.recent(subject, time.Now()) {
@@ -70,8 +70,8 @@
 // superseded reports whether another node made a claim with a higher fencing token.
 func (c *claims) superseded(fence uint64) bool {
 	superseded := false
-	c.node.jobs.withLedger(func(known *ledger.Ledger) {
-		newest := known.NewestClaim()
+	c.node.jobs.withLedger(func(state *ledger.Ledger) {
+		newest := state.NewestClaim()
 		superseded = newest.Fence > fence && newest.Holder != c.node.settings.Name
 	})
 	return superseded
@@ -80,10 +80,10 @@
 // recent reports whether another node claimed a subject within the grace period. Calls of
 // two nodes for the same subject must be at least that far apart.
 func (c *claims) recent(subject string, now time.Time) bool {
-	waits := false
-	c.node.jobs.withLedger(func(known *ledger.Ledger) {
-		last := known.LastClaimByOthers(subject, c.node.settings.Name)
-		waits = !last.IsZero() && now.Sub(last) < c.node.settings.OrderGrace+ownership.OrderMargin
+	recent := false
+	c.node.jobs.withLedger(func(state *ledger.Ledger) {
+		last := state.LastClaimByOthers(subject, c.node.settings.Name)
+		recent = !last.IsZero() && now.Sub(last) < c.node.settings.OrderGrace+ownership.OrderMargin
 	})
-	return waits
+	return recent
 }
--- a/internal/hosted/contact_test.go
+++ b/internal/hosted/contact_test.go
@@ -40,10 +40,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		node := informedNode(t, silentGroup{})
 		require.True(t, node.Ready(t.Context()), "the log answered just now")
-		time.Sleep(quietLimit)
+		time.Sleep(maxLogSilence)
 		began := time.Now()
 		require.False(t, node.Ready(t.Context()))
-		require.Equal(t, questionTimeout, time.Since(began))
+		require.Equal(t, logProbeTimeout, time.Since(began))
 	})
 }
 
@@ -51,7 +51,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		group := &ownershiptest.Group{}
 		node := informedNode(t, group)
-		time.Sleep(contactLimit - time.Millisecond)
+		time.Sleep(maxLogReadAge - time.Millisecond)
 		require.True(t, node.Ready(t.Context()))
 		group.Set(func() { group.Down = true })
 		require.True(t, node.Ready(t.Context()), "it answered just now")
--- a/internal/hosted/early.go
+++ b/internal/hosted/early.go
@@ -18,10 +18,10 @@
 	// notReadyHint is the retry-after hint of a node that has no configuration, or knows no
 	// sampler for the request yet.
 	notReadyHint = 300 * time.Millisecond
-	// earlyLimit is how long requests may use a partly read first list of samplers. Changes
+	// maxPartialListAge is how long requests may use a partly read first list of samplers. Changes
 	// to entries that were read early become known only once the whole list is read, and a
 	// leaving sampler must get no new work after 3 s.
-	earlyLimit = 2 * time.Second
+	maxPartialListAge = 2 * time.Second
 )
 
 // earlyList is the part of the first sampler list that was read so far. It is used only
@@ -42,7 +42,7 @@
 	return l.samplers
 }
 
-func (l *earlyList) take(listed []schedule.Sampler) {
+func (l *earlyList) update(listed []schedule.Sampler) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.samplers == nil {
@@ -55,15 +55,15 @@
 	}
 }
 
-// look reports whether the list is recent enough to be used and has a usable sampler. It
+// find reports whether the list is recent enough to be used and has a usable sampler. It
 // returns a channel that is closed when more samplers are read.
-func (l *earlyList) look(usable func(schedule.Sampler) bool) (found bool, changed <-chan struct{}) {
+func (l *earlyList) find(usable func(schedule.Sampler) bool) (found bool, changed <-chan struct{}) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.changed == nil {
 		l.changed = make(chan struct{})
 	}
-	fresh := l.samplers != nil && time.Since(l.began) < earlyLimit
+	fresh := l.samplers != nil && time.Since(l.began) < maxPartialListAge
 	return fresh && slices.ContainsFunc(*l.samplers, usable), l.changed
 }
 
@@ -73,7 +73,7 @@
 	if n.samplers.Load() != nil {
 		return
 	}
-	n.early.take(listed)
+	n.early.update(listed)
 	n.updateFleet()
 }
 
@@ -93,8 +93,8 @@
 }
 
 // awaitSampler waits, on a node that has just started, until it knows a sampler for the
-// request or the complete list; before, it cannot tell whether there is one. It waits at
-// most startPatience and half of the time to the request's deadline, and then returns
+// request or the complete list; before, it cannot tell whether there is one. It waits for the
+// shorter of startPatience and half of the time to the deadline, and then returns
 // NotReady.
 func (n *Node) awaitSampler(ctx context.Context, request *dispatch.Request) error {
 	if n.samplers.Load() != nil {
@@ -107,7 +107,7 @@
 	ctx, cancel := context.WithTimeout(ctx, min(startPatience, time.Until(request.Deadline)/2))
 	defer cancel()
 	for {
-		found, changed := n.early.look(usable)
+		found, changed := n.early.find(usable)
 		if found {
 			return nil
 		}
--- a/internal/hosted/early_test.go
+++ b/internal/hosted/early_test.go
@@ -50,7 +50,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		node := newTestNode()
 		node.TakeEarlySamplers([]schedule.Sampler{{ID: "2", Service: "s", Address: "a"}})
-		time.Sleep(earlyLimit)
+		time.Sleep(maxPartialListAge)
 		node.TakeEarlySamplers([]schedule.Sampler{{ID: "2", Service: "s", Address: "a"}, {ID: "3", Service: "s", Address: "b"}})
 		require.True(t, result.Is(node.awaitSampler(t.Context(), startingRequest()), result.NotReady), "one may have begun to leave since")
 	})
--- a/internal/hosted/executor.go
+++ b/internal/hosted/executor.go
@@ -20,18 +20,18 @@
 )
 
 const (
-	// executorTick is how often an executing node checks for changes that no event announces.
-	// idleTick is the same interval for a node that does not execute. It is long because such
-	// a node is notified at once when it gains the partition, and polling every 50 ms caused
-	// 20 of the about 85 wake-ups per second of an idle node.
-	executorTick = 50 * time.Millisecond
-	idleTick     = 2 * time.Second
-	// relistInterval is how often an unchanged sampler list is passed to the scheduler again,
-	// so that it forgets removed samplers whose last run has ended since.
-	relistInterval = time.Second
-	// executorRest is the delay after a wake-up that lets simultaneous events be handled in
+	// executorPollInterval is how often an executing node checks for changes that no event
+	// announces. idlePollInterval is the same interval for a node that does not execute. It
+	// is long because such a node is notified at once when it gains the partition, and
+	// polling every 50 ms caused 20 of the about 85 wake-ups per second of an idle node.
+	executorPollInterval = 50 * time.Millisecond
+	idlePollInterval     = 2 * time.Second
+	// samplerRefreshInterval is how often an unchanged sampler list is passed to the
+	// scheduler again, so that it forgets removed samplers whose last run has ended since.
+	samplerRefreshInterval = time.Second
+	// executorBatchDelay is the delay after a wake-up that lets simultaneous events be handled in
 	// one step.
-	executorRest = 4 * time.Millisecond
+	executorBatchDelay = 4 * time.Millisecond
 	// progressInterval is how often the partial text of running items is saved.
 	progressInterval = 300 * time.Millisecond
 	// progressEvents is the minimum number of new events for which an item's text is saved:
@@ -60,26 +60,26 @@
 	remote remoteWork
 	// session is canceled when the node stops executing; sessionID distinguishes it from
 	// other sessions.
-	session      context.Context
-	sessionID    uint64
-	beganAt      clock.Moment
-	endSession   context.CancelFunc
-	progressedAt time.Time
-	reviewedAt   time.Time
-	// listed is the sampler list passed to the scheduler most recently, at listedAt.
-	listed   *[]schedule.Sampler
-	listedAt time.Time
+	session         context.Context
+	sessionID       uint64
+	beganAt         clock.Moment
+	endSession      context.CancelFunc
+	progressSavedAt time.Time
+	reviewedAt      time.Time
+	// appliedSamplers is the sampler list passed to the scheduler most recently, at samplersAppliedAt.
+	appliedSamplers   *[]schedule.Sampler
+	samplersAppliedAt time.Time
 	// coldBefore is the number of cold samplers logged last, coldToldAt when work that waits
 	// for them was last logged.
 	coldBefore int
 	coldToldAt time.Time
 	// evacuated is the set of evacuated zones passed to the scheduler most recently.
 	evacuated *evacuation.Zones
-	// configured is the configuration under which the open jobs were loaded.
-	configured *catalog.Catalog
-	rewards    *rewarder
-	splitBrain splitBrainDetector
-	work       conc.WaitGroup
+	// appliedCatalog is the configuration under which the open jobs were loaded.
+	appliedCatalog *catalog.Catalog
+	rewards        *rewarder
+	splitBrain     splitBrainDetector
+	work           conc.WaitGroup
 }
 
 func newExecutor(n *Node) *executor {
@@ -88,7 +88,7 @@
 		runs: make(map[schedule.Key]context.CancelFunc),
 	}
 	e.rewards = &rewarder{node: n, slots: rewardSlots{released: make(chan struct{}, 1)}}
-	e.lister = newLister(n)
+	e.lister = newResultWriter(n)
 	return e
 }
 
@@ -121,19 +121,19 @@
 
 func (e *executor) run(ctx context.Context) {
 	e.work.Go(func() { e.lister.run(ctx) })
-	ticker := time.NewTicker(idleTick)
+	ticker := time.NewTicker(idlePollInterval)
 	defer ticker.Stop()
 	executes := false
 	for ctx.Err() == nil {
 		e.step(ctx)
 		if executes != e.node.ownership.Executes(jobPartition, time.Now()) {
 			executes = !executes
-			ticker.Reset(tickOf(executes))
+			ticker.Reset(pollInterval(executes))
 		}
 		select {
 		case <-ticker.C:
 		case <-e.woken:
-			wait.For(ctx, executorRest)
+			wait.For(ctx, executorBatchDelay)
 		case <-ctx.Done():
 		}
 	}
@@ -141,11 +141,11 @@
 	e.work.Wait()
 }
 
-func tickOf(executes bool) time.Duration {
+func pollInterval(executes bool) time.Duration {
 	if executes {
-		return executorTick
+		return executorPollInterval
 	}
-	return idleTick
+	return idlePollInterval
 }
 
 func (e *executor) step(ctx context.Context) {
@@ -167,12 +167,12 @@
 		e.applyChange(change)
 	}
 	e.takeEvacuations()
-	review := now.Sub(e.reviewedAt) >= executorTick
+	review := now.Sub(e.reviewedAt) >= executorPollInterval
 	if review {
 		e.reviewedAt = now
-		e.takeVersions()
-		e.takeSamplers(now)
-		e.stopMoved(now)
+		e.applyVersions()
+		e.applySamplers(now)
+		e.cancelMoved(now)
 		e.takeConfiguration()
 		e.reviewRemote()
 	}
@@ -186,12 +186,12 @@
 
 // review runs the checks that scan the whole fleet and are not needed on every event.
 func (e *executor) review(now time.Time) {
-	if now.Sub(e.progressedAt) >= progressInterval {
-		e.progressedAt = now
+	if now.Sub(e.progressSavedAt) >= progressInterval {
+		e.progressSavedAt = now
 		e.saveProgress(progressEvents, now)
 	}
 	e.noteCold(now)
-	e.node.suspects.keep(now)
+	e.node.suspects.republish(now)
 	e.orderWeights(now)
 	e.detectSplitBrain(now)
 }
@@ -226,27 +226,27 @@
 	e.scheduler.SetHolds(e.node.suspects)
 	e.session, e.endSession = context.WithCancel(ctx)
 	e.sessionID, e.beganAt, e.remote = rand.Uint64(), clock.Mark(), newRemoteWork()
-	e.configured = e.node.Catalog()
+	e.appliedCatalog = e.node.Catalog()
 	e.roll.Forget()
-	e.takeVersions()
-	e.listed, e.evacuated = nil, nil
+	e.applyVersions()
+	e.appliedSamplers, e.evacuated = nil, nil
 	e.takeEvacuations()
-	e.takeSamplers(time.Now())
-	e.noteDemand(time.Now())
+	e.applySamplers(time.Now())
+	e.recordDemand(time.Now())
 	open := 0
 	for _, job := range e.node.jobs.open() {
-		e.adopt(job)
+		e.loadJob(job)
 		open++
 	}
 	e.node.logger.Log(event.ExecutorStarted, "generation", e.node.ownership.Current(), "open_jobs", open)
 	e.node.metrics.executing.Set(1)
 }
 
-// noteDemand reports the number of items of every known job to the scheduler, including
+// recordDemand reports the number of items of every known job to the scheduler, including
 // jobs that have ended. The caller holds e.mutex.
-func (e *executor) noteDemand(now time.Time) {
-	e.node.jobs.withLedger(func(known *ledger.Ledger) {
-		for _, job := range known.Jobs() {
+func (e *executor) recordDemand(now time.Time) {
+	e.node.jobs.withLedger(func(state *ledger.Ledger) {
+		for _, job := range state.Jobs() {
 			e.scheduler.Wanted(job.Spec.Model, len(job.Spec.ItemIds), now)
 		}
 	})
@@ -270,7 +270,7 @@
 
 func (e *executor) saveProgress(minEvents uint64, now time.Time) {
 	var unsaved partsByJob
-	e.node.jobs.withLedger(func(known *ledger.Ledger) { unsaved = e.scheduler.Unsaved(minEvents, known, now) })
+	e.node.jobs.withLedger(func(state *ledger.Ledger) { unsaved = e.scheduler.Unsaved(minEvents, state, now) })
 	e.lister.addProgress(unsaved)
 }
 
@@ -296,7 +296,7 @@
 	}
 }
 
-func (e *executor) takeVersions() {
+func (e *executor) applyVersions() {
 	for model, version := range e.node.targets() {
 		if e.scheduler.Named(model, version) {
 			e.node.logger.Log(event.VersionAnnounced, "model", model, "version", version)
@@ -304,12 +304,12 @@
 	}
 }
 
-func (e *executor) takeSamplers(now time.Time) {
+func (e *executor) applySamplers(now time.Time) {
 	listed := e.node.samplers.Load()
-	if listed == nil || listed == e.listed && now.Sub(e.listedAt) < relistInterval {
+	if listed == nil || listed == e.appliedSamplers && now.Sub(e.samplersAppliedAt) < samplerRefreshInterval {
 		return
 	}
-	e.listed, e.listedAt = listed, now
+	e.appliedSamplers, e.samplersAppliedAt = listed, now
 	e.scheduler.SetLimits(e.node.coldLimits())
 	e.scheduler.Samplers(*listed, now)
 }
@@ -318,13 +318,13 @@
 // configuration. The caller holds e.mutex.
 func (e *executor) takeConfiguration() {
 	current := e.node.Catalog()
-	if current == e.configured {
+	if current == e.appliedCatalog {
 		return
 	}
-	e.configured = current
+	e.appliedCatalog = current
 	for _, job := range e.node.jobs.open() {
-		was, known := e.scheduler.Regions(job.ID)
-		if !known || was.String() == e.node.regionsOfJob(job.Spec).String() {
+		previous, loaded := e.scheduler.Regions(job.ID)
+		if !loaded || previous.String() == e.node.regionsOfJob(job.Spec).String() {
 			continue
 		}
 		e.scheduler.WorkerLost(job.ID)
@@ -335,14 +335,14 @@
 			}
 		}
 		delete(e.remote.jobs, job.ID)
-		e.adopt(job)
+		e.loadJob(job)
 	}
 }
 
 func (e *executor) applyChange(change ledger.Change) {
 	switch change.Kind {
 	case ledger.Submitted:
-		e.adopt(change.Job)
+		e.loadJob(change.Job)
 	case ledger.Ended:
 		stopped := e.scheduler.DropJob(change.Job.ID, time.Now())
 		for _, key := range stopped {
@@ -353,11 +353,11 @@
 	case ledger.Listed:
 		for _, listed := range change.Listed {
 			key := schedule.Key{Job: change.Job.ID, Item: listed.ItemID}
-			passed, stopped := e.scheduler.Settled(key)
+			milestones, stopped := e.scheduler.Settled(key)
 			for _, run := range stopped {
 				e.cancel(run)
 			}
-			e.logListed(key, listed.Dead, passed)
+			e.logListed(key, listed.Dead, milestones)
 		}
 		if change.Complete {
 			e.scheduler.DropJob(change.Job.ID, time.Now())
@@ -367,15 +367,15 @@
 
 // logListed logs how long ago an item passed each milestone on its way to the result that
 // was just read back from the log.
-func (e *executor) logListed(key schedule.Key, dead bool, passed schedule.Milestones) {
+func (e *executor) logListed(key schedule.Key, dead bool, milestones schedule.Milestones) {
 	now := time.Now()
 	e.node.logger.Log(event.ItemListed, "job_id", key.Job, "item_id", key.Item, "dead", dead,
-		"sampler", passed.Sampler, "events", passed.Events, "runs", passed.Runs,
-		"started_ms_ago", millisecondsSince(passed.Started, now), "completed_ms_ago", millisecondsSince(passed.Completed, now),
-		"scored_ms_ago", millisecondsSince(passed.Scored, now),
-		"prompt_ms", passed.Spent.Prompt.Milliseconds(), "paused_ms", passed.Spent.Paused.Milliseconds(),
-		"stalled_ms", passed.Spent.Stalled.Milliseconds(), "expected_tokens", passed.ExpectedTokens,
-		"group", passed.Group, "group_open", passed.GroupOpen, "carried", passed.Carried)
+		"sampler", milestones.Sampler, "events", milestones.Events, "runs", milestones.Runs,
+		"started_ms_ago", millisecondsSince(milestones.Started, now), "completed_ms_ago", millisecondsSince(milestones.Completed, now),
+		"scored_ms_ago", millisecondsSince(milestones.Scored, now),
+		"prompt_ms", milestones.Spent.Prompt.Milliseconds(), "paused_ms", milestones.Spent.Paused.Milliseconds(),
+		"stalled_ms", milestones.Spent.Stalled.Milliseconds(), "expected_tokens", milestones.ExpectedTokens,
+		"group", milestones.Group, "group_open", milestones.GroupOpen, "carried", milestones.Carried)
 }
 
 // millisecondsSince returns the milliseconds from moment to now, or -1 if moment is zero.
@@ -393,7 +393,7 @@
 	}
 }
 
-func (e *executor) stopMoved(now time.Time) {
+func (e *executor) cancelMoved(now time.Time) {
 	for _, move := range e.scheduler.Moves(now) {
 		e.cancel(move.Key)
 		e.node.metrics.moved.Inc()
@@ -421,10 +421,10 @@
 		run := Run{
 			Sampler: start.Sampler, Host: start.Job.Host, Item: start.Item, Tenant: start.Job.Tenant, AfterEvent: start.AfterEvent,
 		}
-		end := e.node.generate(ctx, run, func(made schedule.Event) bool {
+		end := e.node.generate(ctx, run, func(generated schedule.Event) bool {
 			e.mutex.Lock()
 			defer e.mutex.Unlock()
-			return scheduler.Progress(start.Key, start.Run, made, time.Now())
+			return scheduler.Progress(start.Key, start.Run, generated, time.Now())
 		})
 		if ctx.Err() != nil {
 			end.Ending = schedule.Stopped
@@ -455,12 +455,12 @@
 		e.finish(*verdict.Finished)
 	}
 	if verdict.Dead {
-		e.dead(start.Key, verdict.Failures, end.Detail)
+		e.recordDead(start.Key, verdict.Failures, end.Detail)
 	}
 	e.wake()
 }
 
-func (e *executor) dead(key schedule.Key, failures int, detail string) {
+func (e *executor) recordDead(key schedule.Key, failures int, detail string) {
 	e.node.logger.Log(event.ItemDead, "job_id", key.Job, "item_id", key.Item, "failures", failures, "detail", detail)
 	e.lister.addResult(key.Job, &pathbendv1.BatchResult{ItemId: key.Item, Dead: true}, nil)
 }
@@ -477,7 +477,7 @@
 	e.work.Go(func() {
 		stamp, alive := completed.Score, true
 		if stamp == "" && completed.Reward != nil {
-			stamp, alive = e.rewards.score(session, completed, func() bool { return e.wants(completed.Key) })
+			stamp, alive = e.rewards.score(session, completed, func() bool { return e.needsResult(completed.Key) })
 		}
 		if session.Err() != nil || completed.Unscored(stamp, alive) {
 			return
@@ -496,11 +496,11 @@
 // is too large for the log, it queues the item as dead.
 func (e *executor) list(completed schedule.Finished, stamp string, alive bool) {
 	if !alive {
-		e.dead(completed.Key, 0, "its reward call failed too often")
+		e.recordDead(completed.Key, 0, "its reward call failed too often")
 		return
 	}
 	if completed.Kept == nil && !e.node.jobs.contents.Fits(completed.Text) {
-		e.dead(completed.Key, 0, "its text is too large for the log")
+		e.recordDead(completed.Key, 0, "its text is too large for the log")
 		return
 	}
 	e.lister.addResult(completed.Key.Job, &pathbendv1.BatchResult{
@@ -508,9 +508,9 @@
 	}, completed.Text)
 }
 
-// wants reports whether the job of an item is still being executed here, so that its
+// needsResult reports whether the job of an item is still being executed here, so that its
 // result is needed.
-func (e *executor) wants(key schedule.Key) bool {
+func (e *executor) needsResult(key schedule.Key) bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.scheduler != nil && e.scheduler.HasJob(key.Job)
--- a/internal/hosted/executor_test.go
+++ b/internal/hosted/executor_test.go
@@ -23,12 +23,12 @@
 	records, err := ledger.Encode(entry, 1, large)
 	require.NoError(t, err)
 	var job *ledger.Job
-	e.node.jobs.withLedger(func(known *ledger.Ledger) {
-		_, err = known.Apply(records[0], time.Now())
-		job = known.Job("j")
+	e.node.jobs.withLedger(func(state *ledger.Ledger) {
+		_, err = state.Apply(records[0], time.Now())
+		job = state.Job("j")
 	})
 	require.NoError(t, err)
-	e.add(e.scheduler, job, adopted{items: items})
+	e.addJob(e.scheduler, job, loadedJob{items: items})
 	require.True(t, e.scheduler.HasJob("j"))
 	return e, job
 }
@@ -54,7 +54,7 @@
 	e, job := executorWith(t)
 	former := e.scheduler
 	e.scheduler = schedule.New(func() uint64 { return 1 })
-	e.add(former, job, adopted{})
+	e.addJob(former, job, loadedJob{})
 	require.False(t, e.scheduler.HasJob("j"))
 }
 
@@ -62,12 +62,12 @@
 	e, _ := executorWith(t)
 	ended, err := ledger.Encode(&pathbendv1.LedgerEntry{JobId: "j", Fact: &pathbendv1.LedgerEntry_Ended{Ended: &pathbendv1.BatchEnd{}}}, 2, 1<<10)
 	require.NoError(t, err)
-	e.node.jobs.withLedger(func(known *ledger.Ledger) {
-		_, err = known.Apply(ended[0], time.Now())
+	e.node.jobs.withLedger(func(state *ledger.Ledger) {
+		_, err = state.Apply(ended[0], time.Now())
 	})
 	require.NoError(t, err)
 	e.scheduler = schedule.New(func() uint64 { return 1 })
 	require.Empty(t, e.scheduler.Demand(time.Now()))
-	e.noteDemand(time.Now())
+	e.recordDemand(time.Now())
 	require.Equal(t, map[string]int{"m": 2}, e.scheduler.Demand(time.Now()))
 }
--- a/internal/hosted/jobs.go
+++ b/internal/hosted/jobs.go
@@ -25,24 +25,24 @@
 	// jobPartition is the partition of all jobs, so that a single executor sees the work on
 	// all samplers; see docs/design/0012 for when there are more.
 	jobPartition = 0
-	// submitPatience is how long a submission is retried before it is refused.
-	submitPatience = 2500 * time.Millisecond
-	// appendTimeout bounds one append to a nearby log, not counting the distance to
-	// a remote one. After at most appendHedge without an answer, a second append of the same
-	// records is sent in parallel; readers drop duplicates. Further ones, up to mostAppends,
+	// submitTimeout is how long a submission is retried before it is refused.
+	submitTimeout = 2500 * time.Millisecond
+	// appendTimeout bounds one append to a nearby log, not counting the distance to a remote
+	// one. After at most maxAppendHedgeDelay without an answer, a second append of the same
+	// records is sent in parallel; readers drop duplicates. Further ones, up to maxAppends,
 	// are sent only if the log is unreachable, in which case it never answers calls made
 	// before it recovered, or if it answers other appends as usual, so that this answer must
 	// have been lost. A log that is merely slow gets no more than two, as additional load
 	// would slow it down further.
-	appendTimeout = 1500 * time.Millisecond
-	appendHedge   = 250 * time.Millisecond
-	mostAppends   = 6
-	// appendPause is the pause after a failed append.
-	appendPause = 100 * time.Millisecond
-	// submitHint is the retry-after hint of a refused submission.
-	submitHint = 500 * time.Millisecond
-	// readHint is the retry-after hint of a refused read.
-	readHint = 200 * time.Millisecond
+	appendTimeout       = 1500 * time.Millisecond
+	maxAppendHedgeDelay = 250 * time.Millisecond
+	maxAppends          = 6
+	// appendRetryPause is the pause after a failed append.
+	appendRetryPause = 100 * time.Millisecond
+	// submitRetryAfter is the retry-after hint of a refused submission.
+	submitRetryAfter = 500 * time.Millisecond
+	// readRetryAfter is the retry-after hint of a refused read.
+	readRetryAfter = 200 * time.Millisecond
 	// expireInterval is how often expired jobs are removed from the ledger.
 	expireInterval = 5 * time.Second
 	// maxPageBytes bounds the total size of the texts in one page of results. A page has at
@@ -85,10 +85,10 @@
 	return book
 }
 
-// hedgeAfter returns how long to wait for an append before sending it again in parallel,
+// appendHedgeDelay returns how long to wait for an append before sending it again in parallel,
 // and whether the log answers other appends as usual meanwhile.
-func (b *jobBook) hedgeAfter() (pause time.Duration, answers bool) {
-	return b.node.log.OverdueAppend(appendHedge)
+func (b *jobBook) appendHedgeDelay() (pause time.Duration, answers bool) {
+	return b.node.log.OverdueAppend(maxAppendHedgeDelay)
 }
 
 // ReadFailed implements sharedlog.Observer.
@@ -112,7 +112,7 @@
 			continue
 		}
 		if change.Kind == ledger.Suspected {
-			b.takeSuspect(offset+uint64(i), change.Suspect)
+			b.applySuspect(offset+uint64(i), change.Suspect)
 			continue
 		}
 		b.node.executor.jobChanged(change)
@@ -122,8 +122,8 @@
 	b.changed = make(chan struct{})
 }
 
-func (b *jobBook) takeSuspect(offset uint64, told *pathbendv1.SuspectRequest) {
-	if err := b.node.suspects.take(told); err != nil {
+func (b *jobBook) applySuspect(offset uint64, suspect *pathbendv1.SuspectRequest) {
+	if err := b.node.suspects.merge(suspect); err != nil {
 		b.node.logger.Log(event.RecordSkipped, "topic", jobTopic, "offset", offset, "detail", err.Error())
 	}
 	b.node.executor.wake()
@@ -158,7 +158,7 @@
 }
 
 // withLedger calls read with the entire ledger, under its lock.
-func (b *jobBook) withLedger(read func(known *ledger.Ledger)) {
+func (b *jobBook) withLedger(read func(state *ledger.Ledger)) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	read(b.ledger)
@@ -167,8 +167,8 @@
 // open returns the open jobs in order of arrival.
 func (b *jobBook) open() []*ledger.Job {
 	var open []*ledger.Job
-	b.withLedger(func(known *ledger.Ledger) {
-		for _, job := range known.Jobs() {
+	b.withLedger(func(state *ledger.Ledger) {
+		for _, job := range state.Jobs() {
 			if job.Open() {
 				open = append(open, job)
 			}
@@ -177,53 +177,53 @@
 	return open
 }
 
-// current ensures that the ledger holds the first from results of a job and is no staler
-// than the configured freshness, reading the log if necessary. It returns an error if it
-// cannot ensure this.
+// current ensures that the ledger holds the first from results of a job and was read within
+// the freshness limit, so that it has every record acknowledged at least the settle time
+// ago. It reads the log if necessary, and returns an error if it cannot ensure this.
 func (b *jobBook) current(ctx context.Context, id string, from int) error {
 	behind := false
-	look := func(job *ledger.Job) { behind = job == nil || len(job.Results) < from }
-	b.view(id, look)
+	inspect := func(job *ledger.Job) { behind = job == nil || len(job.Results) < from }
+	b.view(id, inspect)
 	if !behind && b.follower.Health.Age() < b.node.settings.freshness() {
 		return nil
 	}
 	if err := b.refresh(ctx); err != nil {
 		return err
 	}
-	if b.view(id, look); behind {
-		return result.New(result.LogUnavailable, "result position %d has not been read by this node yet", from).WithRetryAfter(readHint)
+	if b.view(id, inspect); behind {
+		return result.New(result.LogUnavailable, "result position %d has not been read by this node yet", from).WithRetryAfter(readRetryAfter)
 	}
 	return nil
 }
 
-// inTouch reports whether the log was read within contactLimit.
+// inTouch reports whether the log was read within maxLogReadAge.
 func (b *jobBook) inTouch() bool {
-	return b.follower.Health.Age() < contactLimit
+	return b.follower.Health.Age() < maxLogReadAge
 }
 
 // refresh reads all records that the log currently holds.
 func (b *jobBook) refresh(ctx context.Context) error {
 	if err := b.follower.CatchUp(ctx); err != nil {
-		return result.Wrap(result.LogUnavailable, err, "read the log").WithRetryAfter(readHint)
+		return result.Wrap(result.LogUnavailable, err, "read the log").WithRetryAfter(readRetryAfter)
 	}
 	return nil
 }
 
 // record appends entries and returns once they are stored. It retries the append until the
-// timeout patience; every reader drops the duplicates. kept, if not nil, reports under the
+// timeout; every reader drops the duplicates. stored, if not nil, reports under the
 // ledger's lock whether the entries were read back, which proves that they are stored even
 // if the answer to the append was lost. If an append may have been stored, the error after
 // the timeout is not LogUnavailable.
-func (b *jobBook) record(ctx context.Context, patience time.Duration, kept func() bool, entries ...*pathbendv1.LedgerEntry) error {
+func (b *jobBook) record(ctx context.Context, timeout time.Duration, stored func() bool, entries ...*pathbendv1.LedgerEntry) error {
 	calls, err := b.encode(entries)
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	var unknown error
 	for {
-		err := b.appendAll(ctx, calls, kept)
+		err := b.appendAll(ctx, calls, stored)
 		if err == nil {
 			return nil
 		}
@@ -231,26 +231,26 @@
 			unknown = err
 		}
 		b.node.logger.Log(event.LogAppendRetried, "job_id", entries[0].JobId, "entries", len(entries), "detail", err.Error())
-		if !wait.For(ctx, appendPause) {
+		if !wait.For(ctx, appendRetryPause) {
 			if unknown != nil {
 				return unknown
 			}
-			return result.From(err).WithRetryAfter(submitHint)
+			return result.From(err).WithRetryAfter(submitRetryAfter)
 		}
 	}
 }
 
-// awaitReadBack reads the log until kept reports, under the ledger's lock, that an entry
-// was read back. It returns false if the timeout patience or ctx ended first.
-func (b *jobBook) awaitReadBack(ctx context.Context, patience time.Duration, kept func() bool) bool {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+// awaitReadBack reads the log until stored reports, under the ledger's lock, that an entry
+// was read back. It returns false if the timeout or ctx ended first.
+func (b *jobBook) awaitReadBack(ctx context.Context, timeout time.Duration, stored func() bool) bool {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	if _, seen := b.seen(kept); seen {
+	if _, ok := b.check(stored); ok {
 		return true
 	}
 	for ctx.Err() == nil {
 		err := b.refresh(ctx)
-		if _, seen := b.seen(kept); err == nil && seen {
+		if _, ok := b.check(stored); err == nil && ok {
 			return true
 		}
 		wait.For(ctx, readBackPause)
@@ -285,9 +285,9 @@
 	return calls, nil
 }
 
-func (b *jobBook) appendAll(ctx context.Context, calls [][][]byte, kept func() bool) error {
+func (b *jobBook) appendAll(ctx context.Context, calls [][][]byte, stored func() bool) error {
 	for _, records := range calls {
-		if err := b.appendOne(ctx, records, kept); err != nil {
+		if err := b.appendOne(ctx, records, stored); err != nil {
 			return err
 		}
 	}
@@ -296,20 +296,20 @@
 
 // appendOne appends records. It sends a second append if the first gets no answer in time,
 // and further ones only if the log is unreachable or loses answers.
-func (b *jobBook) appendOne(ctx context.Context, records [][]byte, kept func() bool) error {
+func (b *jobBook) appendOne(ctx context.Context, records [][]byte, stored func() bool) error {
 	ctx, cancel := context.WithTimeout(ctx, appendTimeout+b.node.log.Appends().Beyond())
 	defer cancel()
-	answers := make(chan error, mostAppends)
+	answers := make(chan error, maxAppends)
 	send := func() { answers <- b.appender.Append(ctx, records) }
 	go send()
 	sent, failed := 1, 0
 	var unknown error
-	pause, _ := b.hedgeAfter()
+	pause, _ := b.appendHedgeDelay()
 	hedge := time.NewTimer(pause)
 	defer hedge.Stop()
 	for {
-		changed, seen := b.seen(kept)
-		if seen {
+		changed, ok := b.check(stored)
+		if ok {
 			return nil
 		}
 		select {
@@ -324,12 +324,12 @@
 				return cmp.Or(unknown, err)
 			}
 		case <-hedge.C:
-			pause, answers := b.hedgeAfter()
+			pause, answers := b.appendHedgeDelay()
 			if sent == 1 || answers || b.follower.Health.Lost() {
 				go send()
 				sent++
 			}
-			if sent < mostAppends {
+			if sent < maxAppends {
 				hedge.Reset(pause)
 			}
 		case <-changed:
@@ -337,10 +337,10 @@
 	}
 }
 
-// seen returns the channel that is closed at the next change of the ledger, and the result
-// of kept, evaluated under the ledger's lock; false if kept is nil.
-func (b *jobBook) seen(kept func() bool) (<-chan struct{}, bool) {
+// check returns the channel that is closed at the next change of the ledger, and the result
+// of stored, evaluated under the ledger's lock; false if stored is nil.
+func (b *jobBook) check(stored func() bool) (<-chan struct{}, bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.changed, kept != nil && kept()
+	return b.changed, stored != nil && stored()
 }
--- a/internal/hosted/lister.go
+++ b/internal/hosted/lister.go
@@ -18,18 +18,18 @@
 )
 
 const (
-	// listLinger is how long a result waits for others to share its append.
-	listLinger = 20 * time.Millisecond
-	// listPatience is the timeout of one attempt to store results, which is then repeated.
-	listPatience = 5 * time.Second
-	// listHold is how long the next round waits for the previous one before it starts
-	// concurrently, as the answers of the previous one may be lost. roundsTogether bounds the
+	// resultLinger is how long a result waits for others to share its append.
+	resultLinger = 20 * time.Millisecond
+	// storeTimeout is the timeout of one attempt to store results, which is then repeated.
+	storeTimeout = 5 * time.Second
+	// roundOverlapDelay is how long the next round waits for the previous one before it starts
+	// concurrently, as the answers of the previous one may be lost. maxConcurrentRounds bounds the
 	// concurrent rounds.
-	listHold       = 200 * time.Millisecond
-	roundsTogether = 4
-	// progressPatience is the timeout of appending partial texts. It is short because newer
+	roundOverlapDelay   = 200 * time.Millisecond
+	maxConcurrentRounds = 4
+	// progressTimeout is the timeout of appending partial texts. It is short because newer
 	// ones follow soon.
-	progressPatience = time.Second
+	progressTimeout = time.Second
 )
 
 // pendingResult is a result that has not been read back from the log yet.
@@ -57,9 +57,9 @@
 	progress partsByJob
 }
 
-func newLister(n *Node) *lister {
+func newResultWriter(n *Node) *lister {
 	return &lister{
-		node: n, woken: make(chan struct{}, 1), rounds: make(chan struct{}, roundsTogether),
+		node: n, woken: make(chan struct{}, 1), rounds: make(chan struct{}, maxConcurrentRounds),
 		results:  make(resultsByJob),
 		progress: make(partsByJob),
 	}
@@ -101,42 +101,42 @@
 		case <-ctx.Done():
 			return
 		}
-		wait.For(ctx, listLinger)
-		if !l.enter(ctx) {
+		wait.For(ctx, resultLinger)
+		if !l.acquireRound(ctx) {
 			return
 		}
 		ended := make(chan struct{})
 		rounds.Go(func() {
 			defer close(ended)
-			defer l.leave(1)
+			defer l.releaseRounds(1)
 			l.round(ctx)
 		})
-		hold := time.NewTimer(listHold + l.node.log.Appends().Beyond())
+		overlap := time.NewTimer(roundOverlapDelay + l.node.log.Appends().Beyond())
 		select {
 		case <-ended:
-		case <-hold.C:
+		case <-overlap.C:
 		}
-		hold.Stop()
+		overlap.Stop()
 	}
 }
 
 // flush appends everything pending and waits for the rounds in progress, until all results
 // are stored or no longer needed, or ctx ends.
 func (l *lister) flush(ctx context.Context) {
-	if l.enter(ctx) {
+	if l.acquireRound(ctx) {
 		l.round(ctx)
-		l.leave(1)
+		l.releaseRounds(1)
 	}
-	for taken := range roundsTogether {
-		if !l.enter(ctx) {
-			l.leave(taken)
+	for acquired := range maxConcurrentRounds {
+		if !l.acquireRound(ctx) {
+			l.releaseRounds(acquired)
 			return
 		}
 	}
-	l.leave(roundsTogether)
+	l.releaseRounds(maxConcurrentRounds)
 }
 
-func (l *lister) enter(ctx context.Context) bool {
+func (l *lister) acquireRound(ctx context.Context) bool {
 	select {
 	case l.rounds <- struct{}{}:
 		return true
@@ -145,7 +145,7 @@
 	}
 }
 
-func (l *lister) leave(count int) {
+func (l *lister) releaseRounds(count int) {
 	for range count {
 		<-l.rounds
 	}
@@ -154,9 +154,9 @@
 // round appends everything pending, until it is stored or no longer needed, or ctx ends. A
 // round may last as long as the log is down.
 func (l *lister) round(ctx context.Context) {
-	results, progress := l.take()
+	results, progress := l.takePending()
 	for ctx.Err() == nil {
-		results = l.unlisted(results)
+		results = l.withoutListed(results)
 		if len(results) == 0 || l.appendResults(ctx, results) == nil {
 			break
 		}
@@ -169,61 +169,61 @@
 // appendResults stores the texts, then the entries that refer to them. Reading the entries
 // back proves that they are stored, even if the answer to the append was lost.
 func (l *lister) appendResults(ctx context.Context, results resultsByJob) error {
-	if err := l.keepTexts(ctx, results); err != nil {
+	if err := l.storeResultTexts(ctx, results); err != nil {
 		return err
 	}
-	kept := func() bool { return l.allListed(results) }
-	return l.node.jobs.record(ctx, listPatience, kept, resultEntries(results)...)
+	stored := func() bool { return l.allListed(results) }
+	return l.node.jobs.record(ctx, storeTimeout, stored, resultEntries(results)...)
 }
 
 // appendProgress stores parts of texts. It does not retry beyond its timeout: what is lost
 // is generated again.
 func (l *lister) appendProgress(ctx context.Context, progress partsByJob) {
-	err := l.keepParts(ctx, progress)
+	err := l.storeProgressTexts(ctx, progress)
 	if err == nil {
-		err = l.node.jobs.record(ctx, progressPatience, nil, progressEntries(progress)...)
+		err = l.node.jobs.record(ctx, progressTimeout, nil, progressEntries(progress)...)
 	}
 	if err != nil {
 		l.node.logger.Log(event.LogAppendRetried, "jobs", len(progress), "detail", err.Error())
 	}
 }
 
-func (l *lister) keepTexts(ctx context.Context, results resultsByJob) error {
-	var unnamed []*pathbendv1.BatchResult
+func (l *lister) storeResultTexts(ctx context.Context, results resultsByJob) error {
+	var unstored []*pathbendv1.BatchResult
 	var texts [][]byte
 	for _, jobID := range slices.Sorted(maps.Keys(results)) {
-		for _, one := range results[jobID] {
-			if one.listed.Text == nil && !one.listed.Dead {
-				unnamed, texts = append(unnamed, one.listed), append(texts, one.text)
+		for _, result := range results[jobID] {
+			if result.listed.Text == nil && !result.listed.Dead {
+				unstored, texts = append(unstored, result.listed), append(texts, result.text)
 			}
 		}
 	}
-	return l.keep(ctx, content.Texts, texts, func(i int, blob *pathbendv1.Blob) { unnamed[i].Text = blob })
+	return l.storeTexts(ctx, content.Texts, texts, func(i int, blob *pathbendv1.Blob) { unstored[i].Text = blob })
 }
 
-func (l *lister) keepParts(ctx context.Context, progress partsByJob) error {
-	var unnamed []*pathbendv1.ItemProgress
+func (l *lister) storeProgressTexts(ctx context.Context, progress partsByJob) error {
+	var unstored []*pathbendv1.ItemProgress
 	var texts [][]byte
 	for _, jobID := range slices.Sorted(maps.Keys(progress)) {
 		for _, part := range progress[jobID] {
-			unnamed, texts = append(unnamed, part.Progress), append(texts, part.Text)
+			unstored, texts = append(unstored, part.Progress), append(texts, part.Text)
 		}
 	}
-	return l.keep(ctx, content.Parts, texts, func(i int, blob *pathbendv1.Blob) { unnamed[i].Text = blob })
+	return l.storeTexts(ctx, content.Parts, texts, func(i int, blob *pathbendv1.Blob) { unstored[i].Text = blob })
 }
 
-// keep stores texts as blobs and calls name with the reference of each that was stored,
+// storeTexts stores texts as blobs and calls name with the reference of each that was stored,
 // even if it returns an error because others were not.
-func (l *lister) keep(ctx context.Context, kind content.Kind, texts [][]byte, name func(i int, blob *pathbendv1.Blob)) error {
-	named, err := l.node.jobs.contents.Put(ctx, kind, listPatience, texts)
-	for i, blob := range named {
+func (l *lister) storeTexts(ctx context.Context, kind content.Kind, texts [][]byte, name func(i int, blob *pathbendv1.Blob)) error {
+	blobs, err := l.node.jobs.contents.Put(ctx, kind, storeTimeout, texts)
+	for i, blob := range blobs {
 		name(i, blob)
 	}
 	return err
 }
 
-// take removes and returns everything pending.
-func (l *lister) take() (resultsByJob, partsByJob) {
+// takePending removes and returns everything pending.
+func (l *lister) takePending() (resultsByJob, partsByJob) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	results, progress := l.results, l.progress
@@ -232,23 +232,23 @@
 	return results, progress
 }
 
-// unlisted returns the results without those that the ledger already lists and those of
+// withoutListed returns the results without those that the ledger already lists and those of
 // jobs that are no longer open.
-func (l *lister) unlisted(results resultsByJob) resultsByJob {
-	left := make(resultsByJob, len(results))
+func (l *lister) withoutListed(results resultsByJob) resultsByJob {
+	remaining := make(resultsByJob, len(results))
 	for jobID, listed := range results {
 		l.node.jobs.view(jobID, func(job *ledger.Job) {
 			if job == nil || !job.Open() {
 				return
 			}
-			for _, one := range listed {
-				if !job.Listed(one.listed.ItemId) {
-					left[jobID] = append(left[jobID], one)
+			for _, result := range listed {
+				if !job.Listed(result.listed.ItemId) {
+					remaining[jobID] = append(remaining[jobID], result)
 				}
 			}
 		})
 	}
-	return left
+	return remaining
 }
 
 // allListed reports whether all results were read back, ignoring those of unknown and
@@ -259,7 +259,7 @@
 		if job == nil || job.Ended {
 			continue
 		}
-		if !slices.ContainsFunc(listed, func(one pendingResult) bool { return !job.Listed(one.listed.ItemId) }) {
+		if !slices.ContainsFunc(listed, func(result pendingResult) bool { return !job.Listed(result.listed.ItemId) }) {
 			continue
 		}
 		return false
@@ -271,8 +271,8 @@
 	var entries []*pathbendv1.LedgerEntry
 	for _, jobID := range slices.Sorted(maps.Keys(results)) {
 		listed := &pathbendv1.BatchResults{}
-		for _, one := range results[jobID] {
-			listed.Results = append(listed.Results, one.listed)
+		for _, result := range results[jobID] {
+			listed.Results = append(listed.Results, result.listed)
 		}
 		entries = append(entries, &pathbendv1.LedgerEntry{JobId: jobID, Fact: &pathbendv1.LedgerEntry_Listed{Listed: listed}})
 	}
@@ -282,11 +282,11 @@
 func progressEntries(progress partsByJob) []*pathbendv1.LedgerEntry {
 	var entries []*pathbendv1.LedgerEntry
 	for _, jobID := range slices.Sorted(maps.Keys(progress)) {
-		made := &pathbendv1.BatchProgress{}
+		batch := &pathbendv1.BatchProgress{}
 		for _, part := range progress[jobID] {
-			made.Items = append(made.Items, part.Progress)
+			batch.Items = append(batch.Items, part.Progress)
 		}
-		entries = append(entries, &pathbendv1.LedgerEntry{JobId: jobID, Fact: &pathbendv1.LedgerEntry_Progress{Progress: made}})
+		entries = append(entries, &pathbendv1.LedgerEntry{JobId: jobID, Fact: &pathbendv1.LedgerEntry_Progress{Progress: batch}})
 	}
 	return entries
 }
--- a/internal/hosted/pace_test.go
+++ b/internal/hosted/pace_test.go
@@ -31,11 +31,11 @@
 		reads          float64
 		jobs, samplers time.Duration
 	}{
-		{12, 2000, leastJobsPause, leastSamplersPause},
-		{80, 6000, 80 * time.Second / 1800, leastSamplersPause},
+		{12, 2000, minJobsPause, minSamplersPause},
+		{80, 6000, 80 * time.Second / 1800, minSamplersPause},
 		{300, 2000, 500 * time.Millisecond, time.Second},
-		{5000, 2000, longestPause, longestPause},
-		{300, 0, leastJobsPause, leastSamplersPause},
+		{5000, 2000, maxReadPause, maxReadPause},
+		{300, 0, minJobsPause, minSamplersPause},
 	} {
 		node := nodeAmong(t, fleet.nodes, fleet.reads)
 		require.Equal(t, fleet.jobs, node.jobsPause(), "%d nodes", fleet.nodes)
--- a/internal/hosted/regions.go
+++ b/internal/hosted/regions.go
@@ -34,9 +34,9 @@
 	return result.New(result.RegionUnavailable, "no region of this deployment is in %v", regions)
 }
 
-// servableJob returns an error if the items of a job, or their reward calls, can never be
+// checkJobServable returns an error if the items of a job, or their reward calls, can never be
 // served under the current configuration.
-func (n *Node) servableJob(spec *pathbendv1.BatchJob, items []*pathbendv1.BatchItem) error {
+func (n *Node) checkJobServable(spec *pathbendv1.BatchJob, items []*pathbendv1.BatchItem) error {
 	current := n.Catalog()
 	if current == nil {
 		return nil
@@ -57,9 +57,9 @@
 	return nil
 }
 
-// remote reports whether this node is outside the regions to which work is bound, so that
+// isOutside reports whether this node is outside the regions to which work is bound, so that
 // it must not hold the work's bodies and texts.
-func (n *Node) remote(regions locality.Regions) bool {
+func (n *Node) isOutside(regions locality.Regions) bool {
 	return regions.Bound() && !regions.Allow(n.settings.Topology.Region(n.settings.Zone))
 }
 
@@ -75,7 +75,7 @@
 // permitsBodies returns an error if, according to this node's current configuration, it
 // must not hold the bodies of a job.
 func (n *Node) permitsBodies(spec *pathbendv1.BatchJob) error {
-	if regions := n.regionsOfJob(spec); n.remote(regions) {
+	if regions := n.regionsOfJob(spec); n.isOutside(regions) {
 		return result.New(result.RegionUnavailable, "the job is bound to %v", regions)
 	}
 	return nil
--- a/internal/hosted/regions_test.go
+++ b/internal/hosted/regions_test.go
@@ -83,5 +83,5 @@
 		require.Zero(t, result.From(err).RetryAfter)
 	}
 	served := boundNode(t, south, south, south)
-	require.NoError(t, served.servableJob(&pathbendv1.BatchJob{Host: "h", Path: "/", Tenant: "T"}, items))
+	require.NoError(t, served.checkJobServable(&pathbendv1.BatchJob{Host: "h", Path: "/", Tenant: "T"}, items))
 }
--- a/internal/hosted/rewards.go
+++ b/internal/hosted/rewards.go
@@ -19,20 +19,20 @@
 	// attempt, up to maxRewardTimeout.
 	rewardTimeout    = 500 * time.Millisecond
 	maxRewardTimeout = 2 * time.Second
-	// rewardPause is the pause before the first retry of a reward call. It doubles with each
-	// attempt, up to maxRewardPause.
-	rewardPause    = 20 * time.Millisecond
-	maxRewardPause = 400 * time.Millisecond
-	// rewardShare divides a service's slots: reward calls may use one part of so many, which
-	// leaves room for client requests, but always at least minRewards.
-	rewardShare = 2
-	minRewards  = 2
+	// rewardRetryPause is the pause before the first retry of a reward call. It doubles with each
+	// attempt, up to maxRewardRetryPause.
+	rewardRetryPause    = 20 * time.Millisecond
+	maxRewardRetryPause = 400 * time.Millisecond
+	// rewardSlotsDivisor divides a service's slots: reward calls may use one part of so
+	// many, which leaves room for client requests, but always at least minRewardSlots.
+	rewardSlotsDivisor = 2
+	minRewardSlots     = 2
 )
 
 // rewardSlots is a semaphore with a variable limit for concurrent reward calls.
 type rewardSlots struct {
 	mutex    sync.Mutex
-	taken    int
+	inUse    int
 	released chan struct{}
 }
 
@@ -41,9 +41,9 @@
 func (r *rewardSlots) acquire(ctx context.Context, limit func() int) bool {
 	for {
 		r.mutex.Lock()
-		free := r.taken < limit()
+		free := r.inUse < limit()
 		if free {
-			r.taken++
+			r.inUse++
 		}
 		r.mutex.Unlock()
 		if free {
@@ -59,7 +59,7 @@
 
 func (r *rewardSlots) release() {
 	r.mutex.Lock()
-	r.taken--
+	r.inUse--
 	r.mutex.Unlock()
 	select {
 	case r.released <- struct{}{}:
@@ -78,9 +78,9 @@
 // call failed too often and the item must be given up.
 func (r *rewarder) score(ctx context.Context, completed schedule.Finished, wanted func() bool) (stamp string, alive bool) {
 	failures := 0
-	var avoid []string
+	var excluded []string
 	for attempt := 0; wanted() && ctx.Err() == nil; attempt++ {
-		outcome := r.call(ctx, completed, avoid, attempt)
+		outcome := r.call(ctx, completed, excluded, attempt)
 		if outcome.stamp != "" {
 			return outcome.stamp, true
 		}
@@ -95,11 +95,11 @@
 		if outcome.maxFailures > 0 && failures >= outcome.maxFailures {
 			return "", false
 		}
-		avoid = nil
+		excluded = nil
 		if outcome.backEnd != "" {
-			avoid = []string{outcome.backEnd}
+			excluded = []string{outcome.backEnd}
 		}
-		wait.For(ctx, max(min(rewardPause<<min(attempt, 5), maxRewardPause), outcome.heldFor))
+		wait.For(ctx, max(min(rewardRetryPause<<min(attempt, 5), maxRewardRetryPause), outcome.quarantineDelay))
 	}
 	return "", true
 }
@@ -112,11 +112,11 @@
 	backEnd     string
 	detail      string
 	maxFailures int
-	// heldFor is how long the call is quarantined, 0 if it is not.
-	heldFor time.Duration
+	// quarantineDelay is how long the call is quarantined, 0 if it is not.
+	quarantineDelay time.Duration
 }
 
-func (r *rewarder) call(ctx context.Context, completed schedule.Finished, avoid []string, attempt int) rewardOutcome {
+func (r *rewarder) call(ctx context.Context, completed schedule.Finished, excluded []string, attempt int) rewardOutcome {
 	current := r.node.Catalog()
 	if current == nil {
 		return rewardOutcome{detail: "no configuration"}
@@ -133,12 +133,12 @@
 	deadline := received.Time().Add(min(rewardTimeout<<min(attempt, 5), maxRewardTimeout))
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
-	request := rewardRequest(route, completed, avoid, deadline)
+	request := rewardRequest(route, completed, excluded, deadline)
 	request.Regions, request.Received = regionsOf(current, route, completed.Tenant), received
 	answer, err := r.node.dispatcher.Do(ctx, request)
 	outcome := rewardOutcome{maxFailures: route.MaxAttempts}
 	if err != nil {
-		outcome.detail, outcome.heldFor = err.Error(), heldFor(err)
+		outcome.detail, outcome.quarantineDelay = err.Error(), quarantineDelay(err)
 		return outcome
 	}
 	answer.Body.Close()
@@ -153,7 +153,7 @@
 	return outcome
 }
 
-func rewardRequest(route *catalog.Route, completed schedule.Finished, avoid []string, deadline time.Time) *dispatch.Request {
+func rewardRequest(route *catalog.Route, completed schedule.Finished, excluded []string, deadline time.Time) *dispatch.Request {
 	reward := completed.Reward
 	body := reward.Body
 	if body == nil {
@@ -162,7 +162,7 @@
 	return &dispatch.Request{
 		Pool: route.ServiceFor(reward.Id), Method: http.MethodPost, Path: reward.Path, Host: reward.Host,
 		Header: http.Header{}, Buffered: body, Length: int64(len(body)), MaxAttempts: 1,
-		Deadline: deadline, ID: reward.Id, Excluded: avoid,
+		Deadline: deadline, ID: reward.Id, Excluded: excluded,
 		// All reward calls come from one node and must not overload the back ends of its zone.
 		AnyZone: true,
 	}
@@ -172,7 +172,7 @@
 func (r *rewarder) limit(route *catalog.Route) int {
 	listed := r.node.samplers.Load()
 	if listed == nil {
-		return minRewards
+		return minRewardSlots
 	}
 	slots, evacuated := 0, r.node.evacuated.Load()
 	for _, sampler := range *listed {
@@ -180,5 +180,5 @@
 			slots += sampler.Slots
 		}
 	}
-	return max(slots/rewardShare, minRewards)
+	return max(slots/rewardSlotsDivisor, minRewardSlots)
 }
--- a/internal/hosted/suspects.go
+++ b/internal/hosted/suspects.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	// tellPatience is how long a request waits until its quarantine record is appended to the
+	// suspectSyncWait is how long a request waits until its quarantine record is appended to the
 	// log and read back, which takes some 10 ms with a nearby log. If the log is
 	// slow or unreachable, the node continues with its local record after this time, which is
 	// as long as the shortest latency objective.
-	tellPatience = 150 * time.Millisecond
-	// tellFor is how long the append is retried in the background.
-	tellFor = 30 * time.Second
-	// keepInterval is how often the executing node appends the active records again, as the
+	suspectSyncWait = 150 * time.Millisecond
+	// suspectAppendTimeout is how long the append is retried in the background.
+	suspectAppendTimeout = 30 * time.Second
+	// republishInterval is how often the executing node appends the active records again, as the
 	// log drops records after 300 s.
-	keepInterval = 2 * time.Minute
-	// heldPause is the maximum pause between attempts of a quarantined reward call.
-	heldPause = 5 * time.Second
+	republishInterval = 2 * time.Minute
+	// maxQuarantineDelay is the maximum pause between attempts of a quarantined reward call.
+	maxQuarantineDelay = 5 * time.Second
 )
 
 // suspects holds the requests and items during whose execution back ends ended, and shares
@@ -30,9 +30,9 @@
 type suspects struct {
 	node *Node
 	// requests covers client requests and reward calls, items the runs of batch items.
-	requests *quarantine.Guard
-	items    *quarantine.Guard
-	keptAt   time.Time
+	requests      *quarantine.Guard
+	items         *quarantine.Guard
+	republishedAt time.Time
 }
 
 func newSuspects(n *Node) *suspects {
@@ -41,8 +41,8 @@
 		requests: quarantine.NewGuard(quarantine.Requests(), n.logger),
 		items:    quarantine.NewGuard(quarantine.Items(), n.logger),
 	}
-	s.requests.SetTeller(&suspectTeller{node: n})
-	s.items.SetTeller(&suspectTeller{node: n, item: true})
+	s.requests.SetTeller(&suspectPublisher{node: n})
+	s.items.SetTeller(&suspectPublisher{node: n, item: true})
 	return s
 }
 
@@ -54,13 +54,13 @@
 	return s.requests
 }
 
-// take merges an entry of the ledger. It returns an error if the entry is malformed.
-func (s *suspects) take(told *pathbendv1.SuspectRequest) error {
-	record, err := quarantine.Decode(told)
+// merge adds an entry of the ledger. It returns an error if the entry is malformed.
+func (s *suspects) merge(entry *pathbendv1.SuspectRequest) error {
+	record, err := quarantine.Decode(entry)
 	if err != nil {
 		return err
 	}
-	s.guard(told.Item).Merge(record)
+	s.guard(entry.Item).Merge(record)
 	return nil
 }
 
@@ -70,45 +70,45 @@
 	s.items.Expire()
 }
 
-// keep appends the active records again every keepInterval, so that nodes that start later
-// read them too. Only the executing node calls it.
-func (s *suspects) keep(now time.Time) {
-	if now.Sub(s.keptAt) < keepInterval {
+// republish appends the active records again every republishInterval, so that nodes that
+// start later read them too. Only the executing node calls it.
+func (s *suspects) republish(now time.Time) {
+	if now.Sub(s.republishedAt) < republishInterval {
 		return
 	}
-	s.keptAt = now
+	s.republishedAt = now
 	for _, item := range []bool{false, true} {
 		for _, record := range s.guard(item).Held() {
-			teller := &suspectTeller{node: s.node, item: item}
-			go teller.write(record)
+			publisher := &suspectPublisher{node: s.node, item: item}
+			go publisher.write(record)
 		}
 	}
 }
 
-// suspectTeller shares records with the other nodes through the ledger, which all of them
+// suspectPublisher shares records with the other nodes through the ledger, which all of them
 // read. An entry has some 100 bytes, which each node reads along with the jobs. The
 // alternatives cost more: a separate keyed topic would need another long poll on each node,
 // and calls between nodes would not reach nodes that start later and, with 420 nodes, would
 // take 419 calls for each ended back end.
-type suspectTeller struct {
+type suspectPublisher struct {
 	node *Node
 	item bool
 }
 
 // Tell implements quarantine.Teller.
-func (t *suspectTeller) Tell(ctx context.Context, record quarantine.Record) {
-	patience := tellPatience + t.node.log.Beyond()
+func (t *suspectPublisher) Tell(ctx context.Context, record quarantine.Record) {
+	timeout := suspectSyncWait + t.node.log.Beyond()
 	if t.node.jobs.follower.Health.Lost() {
 		// The record would not be read back in time.
-		patience = 0
+		timeout = 0
 	}
-	quarantine.TellWithin(ctx, patience, func() { t.write(record) })
+	quarantine.TellWithin(ctx, timeout, func() { t.write(record) })
 }
 
 // write appends a record to the ledger and reads it back.
-func (t *suspectTeller) write(record quarantine.Record) {
+func (t *suspectPublisher) write(record quarantine.Record) {
 	entry := &pathbendv1.LedgerEntry{Fact: &pathbendv1.LedgerEntry_Suspect{Suspect: quarantine.Encode(record, t.item)}}
-	err := t.node.jobs.record(t.node.lifetime, tellFor, nil, entry)
+	err := t.node.jobs.record(t.node.lifetime, suspectAppendTimeout, nil, entry)
 	if err == nil {
 		err = t.node.jobs.refresh(t.node.lifetime)
 	}
@@ -138,11 +138,11 @@
 	return !s.items.Empty() && s.items.Ends(itemDigest(itemID)) >= quarantine.Ends-1
 }
 
-// heldFor returns how long a reward call must wait after an error, at most heldPause; 0 if
-// the error does not say that the call is quarantined.
-func heldFor(err error) time.Duration {
+// quarantineDelay returns how long a reward call must wait after an error, at most
+// maxQuarantineDelay; 0 if the error does not say that the call is quarantined.
+func quarantineDelay(err error) time.Duration {
 	if !result.Is(err, result.RequestQuarantined) {
 		return 0
 	}
-	return min(result.From(err).RetryAfter, heldPause)
+	return min(result.From(err).RetryAfter, maxQuarantineDelay)
 }
--- a/internal/hosted/suspended_test.go
+++ b/internal/hosted/suspended_test.go
@@ -29,7 +29,7 @@
 		node := informedNode(t, silentGroup{})
 		require.True(t, node.Ready(t.Context()))
 		require.True(t, node.jobs.inTouch())
-		suspended.slept = contactLimit
+		suspended.slept = maxLogReadAge
 		require.False(t, node.jobs.inTouch())
 		require.False(t, node.Ready(t.Context()))
 	})
--- a/internal/platformsim/mutants_test.go
+++ b/internal/platformsim/mutants_test.go
@@ -29,7 +29,7 @@
 		mutation.Replace("internal/hosted/executor.go", "stopped := e.scheduler.DropJob(change.Job.ID, time.Now())", "var stopped []schedule.Key"),
 	}},
 	{Promise: "ONE: orders of two nodes lie apart", Edits: []mutation.Edit{
-		mutation.Replace("internal/hosted/claims.go", "waits = !last.IsZero() &&", "waits = false &&"),
+		mutation.Replace("internal/hosted/claims.go", "recent = !last.IsZero() &&", "recent = false &&"),
 	}},
 	{Promise: "ONE: a former holder finds the new one in the log", Test: "TestFormerHolderFindsTheNewOneInTheLog", Package: "./internal/hosted", Edits: []mutation.Edit{
 		mutation.Replace("internal/hosted/claims.go", "superseded = newest.Fence > fence &&", "superseded = false &&"),
@@ -117,7 +117,7 @@
 		mutation.Replace("internal/schedule/placement.go", " && !s.held(entry, now)", ""),
 	}},
 	{Promise: "BUDGET: nodes hear of the ends that others saw", Test: "TestRequestThatCrashesItsSamplersIsHeldBack", Edits: []mutation.Edit{
-		mutation.Replace("internal/hosted/suspects.go", "\ts.guard(told.Item).Merge(record)\n", "\t_ = record\n"),
+		mutation.Replace("internal/hosted/suspects.go", "\ts.guard(entry.Item).Merge(record)\n", "\t_ = record\n"),
 	}},
 	{Promise: "BUDGET: one node makes a trial", Test: "TestOfClaimsAtOnceTheFirstInTheLogWins", Package: "./internal/quarantine", Edits: []mutation.Edit{
 		mutation.Replace("internal/quarantine/guard.go", "won := g.book.Claims(digest, claimant)", "won := true"),
