--- a/internal/hosted/adopt_test.go
+++ b/internal/hosted/adopt_test.go
@@ -10,7 +10,7 @@
 	"github.com/pathbend/pathbend/internal/ledger"
 )
 
-// apply writes an entry to a ledger as its readers see it.
+// apply encodes an entry and applies its records to a ledger.
 func apply(t *testing.T, state *ledger.Ledger, entry *pathbendv1.LedgerEntry) {
 	t.Helper()
 	const large = 1 << 20
@@ -22,10 +22,11 @@
 	}
 }
 
-// An item was listed in a job whose group stayed incomplete. A later job wanted
-// newer weights and began it anew; when the executor was lost, the five longest
-// items of the step began from nothing, although the log held most of their texts.
-func TestTextBegunAnewIsFoundBesideTheListedOne(t *testing.T) {
+// Guards against lost partial texts. An item was listed in a job whose group stayed
+// incomplete, and a later job that required newer weights started it again. When the
+// executor was lost, the five longest items of the step started from scratch, although the
+// log held most of their texts.
+func TestPartialTextOfARestartedItemIsFoundBesideItsListedOne(t *testing.T) {
 	known := ledger.New()
 	for _, job := range []string{"old", "new"} {
 		apply(t, known, &pathbendv1.LedgerEntry{JobId: job, Fact: &pathbendv1.LedgerEntry_Submitted{
--- a/internal/hosted/append_test.go
+++ b/internal/hosted/append_test.go
@@ -15,49 +15,48 @@
 	"github.com/pathbend/pathbend/internal/sharedlog"
 )
 
-// awayLog never answers what it gets before it is back. What it gets later is
-// answered after some time.
-type awayLog struct {
+// unavailableLog never answers calls made before backAt, and answers later ones after latency.
+type unavailableLog struct {
 	sharedlog.Log
 
-	backAt time.Time
-	takes  time.Duration
+	backAt  time.Time
+	latency time.Duration
 
 	mutex   sync.Mutex
 	appends int
 }
 
-func (l *awayLog) answer(ctx context.Context) error {
+func (l *unavailableLog) answer(ctx context.Context) error {
 	if time.Now().Before(l.backAt) {
 		<-ctx.Done()
 		return result.New(result.LogUnknown, "silent")
 	}
-	time.Sleep(l.takes)
+	time.Sleep(l.latency)
 	return nil
 }
 
-func (l *awayLog) Append(ctx context.Context, _ sharedlog.Partition, _ [][]byte) (uint64, error) {
+func (l *unavailableLog) Append(ctx context.Context, _ sharedlog.Partition, _ [][]byte) (uint64, error) {
 	l.mutex.Lock()
 	l.appends++
 	l.mutex.Unlock()
 	return 0, l.answer(ctx)
 }
 
-func (l *awayLog) sent() int {
+func (l *unavailableLog) sent() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.appends
 }
 
-func (l *awayLog) Read(ctx context.Context, _ sharedlog.Partition, _ uint64, _ time.Duration) (sharedlog.Batch, error) {
+func (l *unavailableLog) Read(ctx context.Context, _ sharedlog.Partition, _ uint64, _ time.Duration) (sharedlog.Batch, error) {
 	return sharedlog.Batch{}, l.answer(ctx)
 }
 
-// Results of an outage were listed 0.8 s after the store was back: the appends that
-// hung were waited for, and meanwhile another executor made the texts again.
-func TestAppendIsKeptSoonAfterASilentLogIsBack(t *testing.T) {
+// Guards against waiting for hanging appends after an outage of the log: results were listed
+// 0.8 s after its recovery, while another executor generated the texts again.
+func TestAppendIsStoredSoonAfterASilentLogRecovers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		log := &awayLog{backAt: time.Now().Add(5200 * time.Millisecond)}
+		log := &unavailableLog{backAt: time.Now().Add(5200 * time.Millisecond)}
 		node := New(Settings{Name: "n"}, Ports{Network: network.TCP{}, Log: log}, event.Discard())
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -74,38 +73,38 @@
 
 func TestSlowLogGetsNoMoreThanTwoAppends(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		// Between two looks at whether another append goes out.
-		const takes = 4*maxAppendHedgeDelay + maxAppendHedgeDelay/2
-		log := &awayLog{takes: takes}
+		// Ends between two checks whether to send another append.
+		const latency = 4*maxAppendHedgeDelay + maxAppendHedgeDelay/2
+		log := &unavailableLog{latency: latency}
 		node := New(Settings{Name: "n"}, Ports{Network: network.TCP{}, Log: log}, event.Discard())
 		require.NoError(t, node.jobs.appendOne(t.Context(), nil, nil))
 		require.Equal(t, 2, log.sent())
 		synctest.Wait()
-		time.Sleep(takes)
+		time.Sleep(latency)
 	})
 }
 
-// A log that is merely slow, sixty times as slow as it was, would get slower by appends that
-// are sent again: only those that were under way as it slowed down are.
-func TestLogThatSlowsDownGetsFewAppendsAgain(t *testing.T) {
+// Repeated appends would slow down an already slow log further. When the log becomes sixty
+// times slower, only the appends in progress at that time may be repeated.
+func TestLogThatSlowsDownGetsFewRepeatedAppends(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const usual, calls = 4 * time.Millisecond, 20
-		log := &awayLog{takes: usual}
+		log := &unavailableLog{latency: usual}
 		node := New(Settings{Name: "n"}, Ports{Network: network.TCP{}, Log: log}, event.Discard())
 		for range calls {
 			require.NoError(t, node.jobs.appendOne(t.Context(), nil, nil))
 		}
-		log.takes = 60 * usual
+		log.latency = 60 * usual
 		before := log.sent()
 		for range calls {
 			require.NoError(t, node.jobs.appendOne(t.Context(), nil, nil))
 		}
 		require.LessOrEqual(t, log.sent()-before, calls+2)
-		time.Sleep(log.takes)
+		time.Sleep(log.latency)
 	})
 }
 
-// losingLog answers all but the first of its appends.
+// losingLog does not answer its first lost appends, and answers all others.
 type losingLog struct {
 	sharedlog.Log
 
@@ -126,9 +125,10 @@
 	return 0, result.New(result.LogUnknown, "no answer")
 }
 
-// The store lost half of its answers for 5.4 s, and no result was listed for 6 s: two
-// appends without an answer were waited for, 1.5 s each time (scale-1).
-func TestAppendWhoseAnswersAreLostGoesOutAgainSoon(t *testing.T) {
+// Guards against waiting for lost answers: while the log lost half of its answers for 5.4 s,
+// no result was listed for 6 s, because each pair of unanswered appends was waited for
+// until its timeout of 1.5 s.
+func TestAppendIsRepeatedSoonWhenItsAnswersAreLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := &losingLog{lost: 4}
 		node := New(Settings{Name: "n"}, Ports{Network: network.TCP{}, Log: log}, event.Discard())
--- a/internal/hosted/batch_test.go
+++ b/internal/hosted/batch_test.go
@@ -10,8 +10,9 @@
 	"github.com/pathbend/pathbend/internal/result"
 )
 
-// A job whose items could not be kept never runs, so its refusal is a promise.
-func TestRefusalBeforeTheJobIsKeptPromisesThatItNeverRuns(t *testing.T) {
+// A job whose items could not be stored never runs, so its refusal must be the error that
+// guarantees this, even if the outcome of storing the items is unknown.
+func TestRefusalBeforeTheJobIsStoredGuaranteesThatItNeverRuns(t *testing.T) {
 	for _, code := range []result.Code{result.LogUnknown, result.LogUnavailable} {
 		err := notAccepted(result.New(code, "x"))
 		require.True(t, result.Is(err, result.LogUnavailable))
@@ -20,14 +21,15 @@
 	require.True(t, result.Is(notAccepted(result.New(result.BodyTooLarge, "x")), result.BodyTooLarge))
 }
 
-// Two nodes without the log held a step for 2.5 s each before they refused it, and
-// its trainer came 5 s late to a node that had it.
-func TestNodeWithoutTheLogRefusesAJobSoon(t *testing.T) {
+// Guards against a late submission: two nodes without access to the log each retried a
+// training step for 2.5 s before they refused it, so that its trainer reached a working
+// node 5 s late.
+func TestNodeWithoutTheLogRefusesAJobEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		node := newTestNode()
-		require.Equal(t, submitTimeout, node.jobs.submitTimeout(), "it did not begin to follow the log")
+		require.Equal(t, submitTimeout, node.jobs.submitTimeout(), "the node does not follow the log yet")
 		node.jobs.followed.Store(true)
-		require.Equal(t, isolatedSubmitTimeout, node.jobs.submitTimeout(), "nothing was read yet")
+		require.Equal(t, isolatedSubmitTimeout, node.jobs.submitTimeout(), "the log has not been read yet")
 		node.jobs.follower.Log = emptyLog{}
 		require.NoError(t, node.jobs.follower.CatchUp(t.Context()))
 		require.Equal(t, submitTimeout, node.jobs.submitTimeout())
--- a/internal/hosted/contact_test.go
+++ b/internal/hosted/contact_test.go
@@ -15,7 +15,7 @@
 	"github.com/pathbend/pathbend/internal/sharedlog"
 )
 
-// silentGroup answers nobody.
+// silentGroup never answers.
 type silentGroup struct{ sharedlog.Group }
 
 func (silentGroup) Owners(ctx context.Context, _ string) ([]sharedlog.Owner, error) {
@@ -23,8 +23,8 @@
 	return nil, ctx.Err()
 }
 
-// informedNode knows routes, samplers and the ledger as of now.
-func informedNode(t *testing.T, group sharedlog.Group) *Node {
+// readyNode returns a node with a configuration, a sampler list and an up-to-date ledger.
+func readyNode(t *testing.T, group sharedlog.Group) *Node {
 	t.Helper()
 	node := New(Settings{Name: "n"}, Ports{Network: network.TCP{}, Log: emptyLog{}, Group: group}, event.Discard())
 	node.TakeCatalog(catalogOf(t, 1))
@@ -34,12 +34,12 @@
 	return node
 }
 
-// A zone was cut off, and the entry sent clients to its nodes for some three seconds: each
-// called itself ready for 1.3 s.
-func TestNodeThatTheLogDoesNotAnswerIsNotReadyWhenItIsAskedNext(t *testing.T) {
+// Guards against nodes that stay ready without the log: when a zone was cut off, its nodes
+// stayed ready for 1.3 s, and the load balancer sent clients to them for some three seconds.
+func TestNodeIsNotReadyAtTheNextCheckAfterTheLogStopsAnswering(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		node := informedNode(t, silentGroup{})
-		require.True(t, node.Ready(t.Context()), "the log answered just now")
+		node := readyNode(t, silentGroup{})
+		require.True(t, node.Ready(t.Context()), "the log has just answered")
 		time.Sleep(maxLogSilence)
 		began := time.Now()
 		require.False(t, node.Ready(t.Context()))
@@ -47,15 +47,15 @@
 	})
 }
 
-func TestQuietLogThatAnswersLeavesANodeReady(t *testing.T) {
+func TestNodeStaysReadyWithAQuietLogThatAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		group := &ownershiptest.Group{}
-		node := informedNode(t, group)
+		node := readyNode(t, group)
 		time.Sleep(maxLogReadAge - time.Millisecond)
 		require.True(t, node.Ready(t.Context()))
 		group.Set(func() { group.Down = true })
-		require.True(t, node.Ready(t.Context()), "it answered just now")
+		require.True(t, node.Ready(t.Context()), "the log has just answered")
 		time.Sleep(time.Millisecond)
-		require.False(t, node.Ready(t.Context()), "the ledger was not read of late")
+		require.False(t, node.Ready(t.Context()), "the ledger was not read within the limit")
 	})
 }
--- a/internal/hosted/directory_test.go
+++ b/internal/hosted/directory_test.go
@@ -22,7 +22,7 @@
 	"github.com/pathbend/pathbend/internal/sharedlog/sharedlogtest"
 )
 
-// readDirectory lets a directory read its topic once.
+// readDirectory runs a directory until it has read its topic once.
 func readDirectory(t *testing.T, d *directory.Directory) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -50,9 +50,9 @@
 	d.Apply([]sharedlog.KeyedRecord{entryOf(t, node, millicores)}, 1)
 }
 
-// When 295 nodes began with the entire ledger at once, none had its configuration for
-// 1.2 s and the executor had the ledger after 3.3 s.
-func TestOnlyNodesThatMayExecuteReadTheLedgerAtOnce(t *testing.T) {
+// Guards against an overloaded log at startup: when 295 nodes read the entire ledger at once,
+// none had its configuration for 1.2 s, and the executor had the ledger only after 3.3 s.
+func TestOnlyNodesThatMayExecuteReadTheLedgerImmediately(t *testing.T) {
 	node := func(millicores uint64, known ...uint64) *Node {
 		made := New(Settings{Name: "n", Millicores: millicores}, Ports{Network: network.TCP{}, Log: emptyLog{}}, event.Discard())
 		readDirectory(t, made.directory)
@@ -61,9 +61,9 @@
 		}
 		return made
 	}
-	require.Zero(t, node(192).ledgerDelay(), "nothing is known of others")
+	require.Zero(t, node(192).ledgerDelay(), "no other node is known")
 	require.Zero(t, node(800, 800, 192).ledgerDelay())
-	require.Zero(t, node(0, 800, 192).ledgerDelay(), "nothing is known of its machine")
+	require.Zero(t, node(0, 800, 192).ledgerDelay(), "its own capacity is unknown")
 	small := node(192, append(make([]uint64, 299), 800)...)
 	longest := time.Duration(0)
 	for range 200 {
@@ -71,12 +71,12 @@
 		require.Less(t, delay, 300*ledgerShare)
 		longest = max(longest, delay)
 	}
-	require.Greater(t, longest, 100*ledgerShare, "they are spread")
+	require.Greater(t, longest, 100*ledgerShare, "the delays are spread")
 	crowd := node(192, append(make([]uint64, 5000), 800)...)
 	require.LessOrEqual(t, crowd.ledgerDelay(), longestLedgerDelay)
 }
 
-// startLog tells in which order topics are read first.
+// startLog counts reads of the ledger and writes to keyed topics.
 type startLog struct {
 	emptyLog
 	entries []sharedlog.KeyedRecord
@@ -120,24 +120,25 @@
 		time.Sleep(time.Second)
 		reads, writes := log.counts()
 		require.Zero(t, reads)
-		require.Zero(t, writes, "its entry stands there already")
+		require.Zero(t, writes, "the directory already holds its entry")
 		require.False(t, node.Ready(t.Context()))
 		node.TakeCatalog(catalogOf(t, 1))
 		node.TakeSamplers([]schedule.Sampler{})
-		require.True(t, node.Ready(t.Context()), "it needs the ledger for requests about jobs only")
+		require.True(t, node.Ready(t.Context()), "the ledger is needed only for requests about jobs")
 		synctest.Wait()
 		reads, _ = log.counts()
 		require.Positive(t, reads)
 		time.Sleep(directory.AnnounceInterval + directory.AnnounceSpread)
 		_, writes = log.counts()
-		require.Positive(t, writes, "entries are repeated before they are old")
+		require.Positive(t, writes, "entries are repeated before they expire")
 		cancel()
 		node.Stop()
 	})
 }
 
-// A new deployment: 18 nodes read an empty directory, each took its machine for the
-// largest, and one with a quarter of the others' executed for 4.5 s (quiet-1).
+// Guards against a small executor in a new deployment: 18 nodes read an empty directory, each
+// considered its own machine the largest, and one with a quarter of the others' capacity
+// executed for 4.5 s.
 func TestSmallNodeOfANewDeploymentLeavesTheJobsToALargeOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := &sharedlogtest.Kept{}
@@ -162,7 +163,7 @@
 	})
 }
 
-func TestNodeThatCannotAnnounceItselfTakesPartAllTheSame(t *testing.T) {
+func TestNodeThatCannotAnnounceItselfJoinsTheGroupAnyway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		group := &ownershiptest.Group{Share: ownershiptest.Holding(4, 0)}
 		settings := Settings{Name: "n", Millicores: 800, ShortestTTL: time.Second, OrderGrace: time.Second, KeepJobs: time.Minute}
@@ -181,9 +182,9 @@
 	})
 }
 
-// What is bound to a region must not pass through a node of another one on its way to the
-// log service.
-func TestCallsToTheLogGoThroughPeersOfTheOwnRegion(t *testing.T) {
+// Data bound to a region must not be relayed to the log service through a node in another
+// region.
+func TestLogCallsAreRelayedOnlyWithinTheRegion(t *testing.T) {
 	node := New(Settings{Name: "n", Zone: "a", Topology: twoRegions}, Ports{Network: network.TCP{}, Log: emptyLog{}}, event.Discard())
 	for name, zone := range map[string]string{"near": "a", "far": "b"} {
 		value, err := proto.Marshal(&pathbendv1.NodeCapacity{Node: name, Zone: zone, Address: name + ":1"})
--- a/internal/hosted/early_test.go
+++ b/internal/hosted/early_test.go
@@ -12,12 +12,12 @@
 	"github.com/pathbend/pathbend/internal/schedule"
 )
 
-func startingRequest() *dispatch.Request {
+func newRequest() *dispatch.Request {
 	return &dispatch.Request{Pool: "s", Deadline: time.Now().Add(time.Second)}
 }
 
-// Nodes of a zone that came back refused requests for two seconds, each until the last of
-// 3,000 entries was read, though the entry sent clients to all of them.
+// Guards against nodes of a recovered zone that refuse requests for two seconds, until they
+// have read the last of 3,000 sampler entries, while the load balancer sends clients to them.
 func TestRequestIsServedOnceOneSamplerOfItsServiceIsKnown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		node := newTestNode()
@@ -27,36 +27,36 @@
 		time.AfterFunc(200*time.Millisecond, func() {
 			node.TakeEarlySamplers([]schedule.Sampler{{ID: "1", Service: "other"}, {ID: "2", Service: "s", Address: "a"}})
 		})
-		require.NoError(t, node.awaitSampler(t.Context(), startingRequest()))
+		require.NoError(t, node.awaitSampler(t.Context(), newRequest()))
 		require.Equal(t, 200*time.Millisecond, time.Since(began))
 		require.Len(t, node.fleet.Status(), 2)
-		require.False(t, node.Ready(t.Context()), "others know more")
+		require.False(t, node.Ready(t.Context()), "only a complete list makes a node ready")
 	})
 }
 
-func TestNodeThatKnowsNoSamplerYetDoesNotSayThatThereIsNone(t *testing.T) {
+func TestNodeWithoutASamplerListIsNotReadyInsteadOfHavingNoBackEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		node := newTestNode()
 		began := time.Now()
-		err := node.awaitSampler(t.Context(), startingRequest())
+		err := node.awaitSampler(t.Context(), newRequest())
 		require.True(t, result.Is(err, result.NotReady))
 		require.Equal(t, startPatience, time.Since(began))
 		node.TakeSamplers([]schedule.Sampler{})
-		require.NoError(t, node.awaitSampler(t.Context(), startingRequest()), "the entire list has none: the dispatcher says so")
+		require.NoError(t, node.awaitSampler(t.Context(), newRequest()), "the complete list has none: the dispatcher reports it")
 	})
 }
 
-func TestRequestsDoNotGoByAnOldPartOfAList(t *testing.T) {
+func TestExpiredPartialListIsNotUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		node := newTestNode()
 		node.TakeEarlySamplers([]schedule.Sampler{{ID: "2", Service: "s", Address: "a"}})
 		time.Sleep(maxPartialListAge)
 		node.TakeEarlySamplers([]schedule.Sampler{{ID: "2", Service: "s", Address: "a"}, {ID: "3", Service: "s", Address: "b"}})
-		require.True(t, result.Is(node.awaitSampler(t.Context(), startingRequest()), result.NotReady), "one may have begun to leave since")
+		require.True(t, result.Is(node.awaitSampler(t.Context(), newRequest()), result.NotReady), "a sampler may be leaving by now")
 	})
 }
 
-func TestPartOfAListNeverReplacesAnEntireOne(t *testing.T) {
+func TestPartialListNeverReplacesACompleteOne(t *testing.T) {
 	node := newTestNode()
 	node.TakeSamplers([]schedule.Sampler{{ID: "1", Service: "s"}, {ID: "2", Service: "s"}})
 	node.TakeEarlySamplers([]schedule.Sampler{{ID: "1", Service: "s"}})
--- a/internal/hosted/executor_test.go
+++ b/internal/hosted/executor_test.go
@@ -11,8 +11,8 @@
 	"github.com/pathbend/pathbend/internal/schedule"
 )
 
-// executorWith returns an executor that has taken in one job of two items.
-func executorWith(t *testing.T) (*executor, *ledger.Job) {
+// executorWithJob returns an executor whose scheduler has one job, j, with two items.
+func executorWithJob(t *testing.T) (*executor, *ledger.Job) {
 	t.Helper()
 	e := newTestNode().executor
 	e.scheduler = schedule.New(func() uint64 { return 1 })
@@ -33,33 +33,33 @@
 	return e, job
 }
 
-// The simulation did not notice an executor that went on with an ended job: all
-// its items had begun within the time that may pass after an end.
-func TestEndedJobIsNotGoneOnWith(t *testing.T) {
-	e, job := executorWith(t)
+// Guards against an executor that continues an ended job. The simulation does not detect
+// this: all items of its jobs start within the time that may pass after a job's end.
+func TestEndedJobIsStopped(t *testing.T) {
+	e, job := executorWithJob(t)
 	e.applyChange(ledger.Change{Kind: ledger.Ended, Job: job})
 	require.False(t, e.scheduler.HasJob("j"))
 }
 
-func TestCompleteJobIsForgotten(t *testing.T) {
-	e, job := executorWith(t)
+func TestCompleteJobIsRemoved(t *testing.T) {
+	e, job := executorWithJob(t)
 	e.applyChange(ledger.Change{Kind: ledger.Listed, Job: job, Listed: []ledger.Result{{ItemID: "a"}}})
 	require.True(t, e.scheduler.HasJob("j"))
 	e.applyChange(ledger.Change{Kind: ledger.Listed, Job: job, Listed: []ledger.Result{{ItemID: "b"}}, Complete: true})
 	require.False(t, e.scheduler.HasJob("j"))
 }
 
-// A job of another executor's time must not reach the one of now.
-func TestJobThatWasReadForAFormerSessionIsDropped(t *testing.T) {
-	e, job := executorWith(t)
+// A job that was loaded for an earlier session must not reach the current scheduler.
+func TestJobLoadedForAFormerSessionIsDropped(t *testing.T) {
+	e, job := executorWithJob(t)
 	former := e.scheduler
 	e.scheduler = schedule.New(func() uint64 { return 1 })
 	e.addJob(former, job, loadedJob{})
 	require.False(t, e.scheduler.HasJob("j"))
 }
 
-func TestNewExecutorKnowsTheWorkOfJobsThatAreOver(t *testing.T) {
-	e, _ := executorWith(t)
+func TestNewExecutorCountsTheDemandOfEndedJobs(t *testing.T) {
+	e, _ := executorWithJob(t)
 	ended, err := ledger.Encode(&pathbendv1.LedgerEntry{JobId: "j", Fact: &pathbendv1.LedgerEntry_Ended{Ended: &pathbendv1.BatchEnd{}}}, 2, 1<<10)
 	require.NoError(t, err)
 	e.node.jobs.withLedger(func(state *ledger.Ledger) {
--- a/internal/hosted/lister_test.go
+++ b/internal/hosted/lister_test.go
@@ -17,7 +17,7 @@
 	"github.com/pathbend/pathbend/internal/sharedlog"
 )
 
-// stuckLog never answers the appends of one content and keeps all others.
+// stuckLog does not answer appends while it is stuck, and stores all others.
 type stuckLog struct {
 	jobsLog
 	mutex sync.Mutex
@@ -41,8 +41,8 @@
 	l.stuck = stuck
 }
 
-// Results that came while others had no answer waited for them.
-func TestResultsDoNotWaitForThoseWithoutAnAnswer(t *testing.T) {
+// Guards against results that are delayed until earlier appends without an answer time out.
+func TestResultsDoNotWaitForUnansweredAppends(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := &stuckLog{stuck: true}
 		settings := Settings{Name: "n", MaxRecordBytes: 1 << 10, MaxCallBytes: 1 << 12, Partitions: 2}
--- a/internal/hosted/pace_test.go
+++ b/internal/hosted/pace_test.go
@@ -11,7 +11,7 @@
 	"github.com/pathbend/pathbend/internal/network"
 )
 
-// nodeAmong returns a node that knows of count nodes and has read the log.
+// nodeAmong returns a node whose directory has entries of count nodes.
 func nodeAmong(t *testing.T, count int, readsPerSecond float64) *Node {
 	t.Helper()
 	settings := Settings{Name: "n", ReadsPerSecond: readsPerSecond}
@@ -23,9 +23,9 @@
 	return node
 }
 
-// 300 nodes asked a store that allows 2,000 reads a second 4,200 times; a job
-// could not be read at the end of the day.
-func TestNodesShareTheReadsThatTheLogAllows(t *testing.T) {
+// Guards against exceeding the read limit of the log: 300 nodes made 4,200 reads per second
+// of a log that allows 2,000, and a job could not be read in the end.
+func TestNodesShareTheReadLimitOfTheLog(t *testing.T) {
 	for _, fleet := range []struct {
 		nodes          int
 		reads          float64
--- a/internal/hosted/page_test.go
+++ b/internal/hosted/page_test.go
@@ -10,9 +10,9 @@
 	"github.com/pathbend/pathbend/internal/ledger"
 )
 
-// However many texts were read, the page holds the first results up to the first whose
-// text is missing, each with its own text, and names the position after them.
-func TestPageEndsBeforeTheFirstTextThatIsMissing(t *testing.T) {
+// For any number of texts read, the page holds the results before the first one whose text
+// is missing, each with its own text, and Next is the position after them.
+func TestPageEndsBeforeTheFirstMissingText(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const from = 7
 		dead := rapid.SliceOfN(rapid.Bool(), 1, 30).Draw(t, "dead")
--- a/internal/hosted/regions_test.go
+++ b/internal/hosted/regions_test.go
@@ -19,8 +19,8 @@
 
 var twoRegions = locality.NewTopology(map[string]string{"a": "north", "b": "south"})
 
-// boundNode is a node in the north. Its route "r" at host "h" allows the regions named,
-// "w" at host "w" is that of reward calls, and its one tenant T holds the key "of-t".
+// boundNode returns a node in region north with the allowed regions of route "r" at host "h",
+// of its only tenant T, which holds the key "of-t", and of the reward route "w" at host "w".
 func boundNode(t *testing.T, route, tenant, rewards locality.Regions) *Node {
 	t.Helper()
 	node := New(Settings{Name: "n", Zone: "a", Topology: twoRegions}, Ports{Network: network.TCP{}, Protocol: dispatch.OwnProtocol{}}, event.Discard())
@@ -47,7 +47,7 @@
 	return result.From(err)
 }
 
-func TestRequestWithoutARegionIsRefusedForGood(t *testing.T) {
+func TestRequestWithoutAPossibleRegionIsRefusedWithoutARetryHint(t *testing.T) {
 	for name, node := range map[string]*Node{
 		"both bind":      boundNode(t, locality.Only("north"), locality.Only("south"), locality.Regions{}),
 		"unknown region": boundNode(t, locality.Only("west"), locality.Regions{}, locality.Regions{}),
@@ -58,14 +58,14 @@
 	}
 }
 
-func TestRequestComesBackWhileNothingServesInItsRegion(t *testing.T) {
+func TestRequestIsRetriedWhileItsRegionHasNoSampler(t *testing.T) {
 	for name, node := range map[string]*Node{
 		"route":  boundNode(t, locality.Only("south"), locality.Regions{}, locality.Regions{}),
 		"tenant": boundNode(t, locality.Regions{}, locality.Only("south"), locality.Regions{}),
 	} {
 		refusal := forward(t, node)
 		require.Equal(t, result.RegionUnavailable, refusal.Code, name)
-		require.Positive(t, refusal.RetryAfter, "samplers may come there")
+		require.Positive(t, refusal.RetryAfter, "a sampler may be added there")
 	}
 	unbound := boundNode(t, locality.Regions{}, locality.Regions{}, locality.Regions{})
 	require.Equal(t, result.NoBackEnd, forward(t, unbound).Code)
--- a/internal/hosted/split_brain_test.go
+++ b/internal/hosted/split_brain_test.go
@@ -9,10 +9,10 @@
 	"github.com/pathbend/pathbend/internal/schedule"
 )
 
-// The store turned the executor away for seven seconds and served the others. Both
-// executors filled the same samplers until the first one's eight seconds were over,
-// and two steps came five seconds late (tipline-dub trouble-1).
-func TestWorkOfOthersAtSamplersShowsAnotherExecutor(t *testing.T) {
+// Guards against two executors: the log service refused the executor for seven seconds and
+// served the other nodes. Both executors sent work to the same samplers until the first one
+// reached its limit of eight seconds, and two training steps were five seconds late.
+func TestForeignWorkAtSamplersShowsAnotherExecutor(t *testing.T) {
 	var d splitBrainDetector
 	require.False(t, d.observe(12, 2))
 	require.False(t, d.observe(12, 2))
@@ -24,11 +24,11 @@
 	for range 10 {
 		require.False(t, d.observe(12, 2))
 		require.False(t, d.observe(12, 2))
-		require.False(t, d.observe(5, 2), "reports are late")
+		require.False(t, d.observe(5, 2), "reports are delayed")
 	}
 }
 
-func TestOnlyAHolderOutOfTouchAsks(t *testing.T) {
+func TestOnlyAnIsolatedHolderQueriesSamplers(t *testing.T) {
 	var d splitBrainDetector
 	now := time.Now()
 	require.False(t, d.due(false, now))
@@ -38,10 +38,10 @@
 	d.observe(12, 0)
 	d.observe(12, 0)
 	d.due(false, now)
-	require.False(t, d.observe(12, 0), "what was seen before it was in touch again is over")
+	require.False(t, d.observe(12, 0), "renewing the assignment resets the count")
 }
 
-func TestWitnessesAreModelSamplersInTurn(t *testing.T) {
+func TestQueriedSamplersAreModelSamplersInRoundRobinOrder(t *testing.T) {
 	versions := map[string]uint64{"m": 1}
 	loads := []schedule.Load{{ID: "a", Versions: versions}, {ID: "application"}, {ID: "leaving", Leaving: true, Versions: versions}, {ID: "b", Versions: versions}}
 	var d splitBrainDetector
--- a/internal/hosted/suspects.go
+++ b/internal/hosted/suspects.go
@@ -133,7 +133,7 @@
 
 // Suspect implements schedule.Holds. A single ended sampler does not make an item suspect:
 // if many samplers are lost at once, every item that ran there would need a sampler of its
-// own, for example 87 items after the loss of 44 samplers.
+// own, for example 87 items that had run on 44 samplers within a day.
 func (s *suspects) Suspect(itemID string) bool {
 	return !s.items.Empty() && s.items.Ends(itemDigest(itemID)) >= quarantine.Ends-1
 }
--- a/internal/hosted/suspended_test.go
+++ b/internal/hosted/suspended_test.go
@@ -13,20 +13,20 @@
 	"github.com/pathbend/pathbend/internal/schedule"
 )
 
-// suspension lets a test suspend the machine: the steady clock stands for that time.
+// suspension simulates a suspended machine: the monotonic clock stands still for slept.
 type suspension struct{ slept time.Duration }
 
-func suspendable(t *testing.T) *suspension {
+func simulateSuspension(t *testing.T) *suspension {
 	t.Helper()
 	s := &suspension{}
 	t.Cleanup(clock.Simulate(func() time.Duration { return s.slept }))
 	return s
 }
 
-func TestSuspendedNodeIsOutOfTouch(t *testing.T) {
-	suspended := suspendable(t)
+func TestSuspendedNodeHasNoCurrentLog(t *testing.T) {
+	suspended := simulateSuspension(t)
 	synctest.Test(t, func(t *testing.T) {
-		node := informedNode(t, silentGroup{})
+		node := readyNode(t, silentGroup{})
 		require.True(t, node.Ready(t.Context()))
 		require.True(t, node.jobs.inTouch())
 		suspended.slept = maxLogReadAge
@@ -35,10 +35,10 @@
 	})
 }
 
-// A node that was suspended cannot tell a route that was added meanwhile from none.
-func TestSuspendedNodeDeniesNothing(t *testing.T) {
-	suspended := suspendable(t)
-	node := informedNode(t, silentGroup{})
+// A node that was suspended cannot know whether an unknown route was added meanwhile.
+func TestSuspendedNodeDoesNotDenyUnknownRoutes(t *testing.T) {
+	suspended := simulateSuspension(t)
+	node := readyNode(t, silentGroup{})
 	read := clock.Mark()
 	node.WatchConfiguration(read.Age)
 	_, err := node.Admit(t.Context(), "no-such-host", "/", "")
@@ -48,11 +48,11 @@
 	require.True(t, result.Is(err, result.NotReady), "%v", err)
 }
 
-// Runs that a worker carries end with the silence of the node that decides, also if the
-// worker was suspended in it.
-func TestSuspendedWorkerDropsItsRuns(t *testing.T) {
-	suspended := suspendable(t)
-	node := informedNode(t, silentGroup{})
+// A worker cancels its runs when it has not heard from the executor for workerLease,
+// including the time for which the worker was suspended.
+func TestSuspendedWorkerCancelsItsRuns(t *testing.T) {
+	suspended := simulateSuspension(t)
+	node := readyNode(t, silentGroup{})
 	stopped := false
 	node.worker.heardAt = clock.Mark()
 	node.worker.runs[1] = &carriedRun{number: 1, key: schedule.Key{Job: "j", Item: "i"}, stop: func() { stopped = true }}
@@ -63,9 +63,10 @@
 	require.True(t, stopped)
 }
 
-// A sampler was told of all the time that the caller had before the machine was suspended.
-func TestSuspensionShortensTheTimeThatIsLeft(t *testing.T) {
-	suspended := suspendable(t)
+// Guards against passing a sampler the time that the caller had before the machine was
+// suspended.
+func TestSuspensionReducesTheRemainingTime(t *testing.T) {
+	suspended := simulateSuspension(t)
 	route := &catalog.Route{Timeout: 10 * time.Second, Shares: []catalog.Share{{Service: "api", Weight: 1}}}
 	received := clock.Mark()
 	request := requestOf(route, &Inbound{Wait: 3 * time.Second}, received.Time().Add(3*time.Second))
--- a/internal/platformsim/mutants_test.go
+++ b/internal/platformsim/mutants_test.go
@@ -25,7 +25,7 @@
 	{Promise: "TWICE: the first result counts", Edits: []mutation.Edit{
 		mutation.Replace("internal/ledger/ledger.go", "if !job.Has(listed.ItemId) || job.Listed(listed.ItemId) {\n\t\treturn\n\t}\n\tadded", "if !job.Has(listed.ItemId) {\n\t\treturn\n\t}\n\tadded"),
 	}},
-	{Promise: "UNASKED: an ended job stops", Test: "TestEndedJobIsNotGoneOnWith", Package: "./internal/hosted", Edits: []mutation.Edit{
+	{Promise: "UNASKED: an ended job stops", Test: "TestEndedJobIsStopped", Package: "./internal/hosted", Edits: []mutation.Edit{
 		mutation.Replace("internal/hosted/executor.go", "stopped := e.scheduler.DropJob(change.Job.ID, time.Now())", "var stopped []schedule.Key"),
 	}},
 	{Promise: "ONE: orders of two nodes lie apart", Edits: []mutation.Edit{
@@ -34,7 +34,7 @@
 	{Promise: "ONE: a former holder finds the new one in the log", Test: "TestFormerHolderFindsTheNewOneInTheLog", Package: "./internal/hosted", Edits: []mutation.Edit{
 		mutation.Replace("internal/hosted/claims.go", "superseded = newest.Fence > fence &&", "superseded = false &&"),
 	}},
-	{Promise: "REFUSED: items without their job never run", Test: "TestRefusalBeforeTheJobIsKeptPromisesThatItNeverRuns", Package: "./internal/hosted", Edits: []mutation.Edit{
+	{Promise: "REFUSED: items without their job never run", Test: "TestRefusalBeforeTheJobIsStoredGuaranteesThatItNeverRuns", Package: "./internal/hosted", Edits: []mutation.Edit{
 		mutation.Replace("internal/hosted/batch.go", "if result.Is(err, result.LogUnknown) || result.Is(err, result.LogUnavailable) {", "if false {"),
 	}},
 	{Promise: "LOST: a 404 needs a look at the log", Edits: []mutation.Edit{
@@ -125,7 +125,7 @@
 	{Promise: "BUDGET: what stood beside is not held", Test: "TestWhatRanBesideTheCauseIsNotHeld", Package: "./internal/quarantine", Edits: []mutation.Edit{
 		mutation.Replace("internal/quarantine/book.go", "if len(other.Ended) > ends && other.held(policy)", "if false && other.held(policy)"),
 	}},
-	{Promise: "In touch: suspension counts", Test: "TestSuspendedNodeIsOutOfTouch", Package: "./internal/hosted", Edits: []mutation.Edit{
+	{Promise: "In touch: suspension counts", Test: "TestSuspendedNodeHasNoCurrentLog", Package: "./internal/hosted", Edits: []mutation.Edit{
 		mutation.Replace("internal/clock/clock.go", "return reading.Sub(m.at) + m.Slept()", "return reading.Sub(m.at)"),
 	}},
 	{Promise: "MIXED: a cut event is no event", Edits: []mutation.Edit{
