--- a/internal/hosted/executor.go
+++ b/internal/hosted/executor.go
@@ -66,7 +66,8 @@
 	endSession      context.CancelFunc
 	progressSavedAt time.Time
 	reviewedAt      time.Time
-	// appliedSamplers is the sampler list passed to the scheduler most recently, at samplersAppliedAt.
+	// appliedSamplers is the sampler list passed to the scheduler most recently, at
+	// samplersAppliedAt.
 	appliedSamplers   *[]schedule.Sampler
 	samplersAppliedAt time.Time
 	// coldBefore is the number of cold samplers logged last, coldToldAt when work that waits
@@ -465,8 +466,8 @@
 	e.lister.addResult(key.Job, &pathbendv1.BatchResult{ItemId: key.Item, Dead: true}, nil)
 }
 
-// finish scores a complete text in a goroutine and then appends its result. The caller
-// holds e.mutex.
+// finish scores a complete text in a goroutine and then queues its result. An item that
+// runs remotely and is not scored yet is left to its worker. The caller holds e.mutex.
 func (e *executor) finish(completed schedule.Finished) {
 	scored := completed.Kept != nil && (completed.Score != "" || completed.Reward == nil)
 	if completed.Remote && !scored {
--- a/internal/hosted/rewards.go
+++ b/internal/hosted/rewards.go
@@ -23,8 +23,8 @@
 	// attempt, up to maxRewardRetryPause.
 	rewardRetryPause    = 20 * time.Millisecond
 	maxRewardRetryPause = 400 * time.Millisecond
-	// rewardSlotsDivisor divides a service's slots: reward calls may use one part of so
-	// many, which leaves room for client requests, but always at least minRewardSlots.
+	// rewardSlotsDivisor limits concurrent reward calls to a service's slots divided by it, but
+	// to no less than minRewardSlots. This leaves room for client requests.
 	rewardSlotsDivisor = 2
 	minRewardSlots     = 2
 )
--- a/internal/hosted/suspects.go
+++ b/internal/hosted/suspects.go
@@ -96,24 +96,24 @@
 }
 
 // Tell implements quarantine.Teller.
-func (t *suspectPublisher) Tell(ctx context.Context, record quarantine.Record) {
-	timeout := suspectSyncWait + t.node.log.Beyond()
-	if t.node.jobs.follower.Health.Lost() {
+func (p *suspectPublisher) Tell(ctx context.Context, record quarantine.Record) {
+	timeout := suspectSyncWait + p.node.log.Beyond()
+	if p.node.jobs.follower.Health.Lost() {
 		// The record would not be read back in time.
 		timeout = 0
 	}
-	quarantine.TellWithin(ctx, timeout, func() { t.write(record) })
+	quarantine.TellWithin(ctx, timeout, func() { p.write(record) })
 }
 
 // write appends a record to the ledger and reads it back.
-func (t *suspectPublisher) write(record quarantine.Record) {
-	entry := &pathbendv1.LedgerEntry{Fact: &pathbendv1.LedgerEntry_Suspect{Suspect: quarantine.Encode(record, t.item)}}
-	err := t.node.jobs.record(t.node.lifetime, suspectAppendTimeout, nil, entry)
+func (p *suspectPublisher) write(record quarantine.Record) {
+	entry := &pathbendv1.LedgerEntry{Fact: &pathbendv1.LedgerEntry_Suspect{Suspect: quarantine.Encode(record, p.item)}}
+	err := p.node.jobs.record(p.node.lifetime, suspectAppendTimeout, nil, entry)
 	if err == nil {
-		err = t.node.jobs.refresh(t.node.lifetime)
+		err = p.node.jobs.refresh(p.node.lifetime)
 	}
-	if err != nil && t.node.lifetime.Err() == nil {
-		t.node.logger.Log(event.SuspectUntold, "digest", record.Digest.String(), "ends", len(record.Ended), "detail", err.Error())
+	if err != nil && p.node.lifetime.Err() == nil {
+		p.node.logger.Log(event.SuspectUntold, "digest", record.Digest.String(), "ends", len(record.Ended), "detail", err.Error())
 	}
 }
 
