--- a/internal/hosted/adopt_test.go
+++ b/internal/hosted/adopt_test.go
@@ -10,22 +10,23 @@
 	"github.com/pathbend/pathbend/internal/ledger"
 )
 
-// apply writes an entry to a ledger as its readers see it.
-func apply(t *testing.T, known *ledger.Ledger, entry *pathbendv1.LedgerEntry) {
+// apply encodes an entry and applies its records to a ledger.
+func apply(t *testing.T, state *ledger.Ledger, entry *pathbendv1.LedgerEntry) {
 	t.Helper()
 	const large = 1 << 20
 	records, err := ledger.Encode(entry, 1, large)
 	require.NoError(t, err)
 	for _, record := range records {
-		_, err := known.Apply(record, time.Now())
+		_, err := state.Apply(record, time.Now())
 		require.NoError(t, err)
 	}
 }
 
-// An item was listed in a job whose group stayed incomplete. A later job wanted
-// newer weights and began it anew; when the executor was lost, the five longest
-// items of the step began from nothing, although the log held most of their texts.
-func TestTextBegunAnewIsFoundBesideTheListedOne(t *testing.T) {
+// Guards against lost partial texts. An item was listed in a job whose group stayed
+// incomplete, and a later job that required newer weights started it again. When the
+// executor was lost, the five longest items of the step started from scratch, although the
+// log held most of their texts.
+func TestPartialTextOfARestartedItemIsFoundBesideItsListedOne(t *testing.T) {
 	known := ledger.New()
 	for _, job := range []string{"old", "new"} {
 		apply(t, known, &pathbendv1.LedgerEntry{JobId: job, Fact: &pathbendv1.LedgerEntry_Submitted{
@@ -38,7 +39,7 @@
 	apply(t, known, &pathbendv1.LedgerEntry{JobId: "new", Fact: &pathbendv1.LedgerEntry_Progress{Progress: &pathbendv1.BatchProgress{
 		Items: []*pathbendv1.ItemProgress{{ItemId: "item", Id: 7, Events: 100, Versions: []uint64{3}}},
 	}}})
-	finished, partial := textsOf(known, []*pathbendv1.BatchItem{{Id: "item"}})
+	finished, partial := knownTexts(known, []*pathbendv1.BatchItem{{Id: "item"}})
 	require.Equal(t, []uint64{1}, finished["item"].Versions)
 	require.Equal(t, uint64(100), partial["item"].Events)
 }
--- a/internal/hosted/announce.go
+++ b/internal/hosted/announce.go
@@ -13,39 +13,41 @@
 )
 
 const (
-	// unreadPause is the pause of a node that waits for what it has not read yet.
-	unreadPause = 20 * time.Millisecond
-	// leastRepeat is the least time from a start until an entry that stands there already is
-	// repeated: what all nodes read at a start is read by then (295 nodes took 4 s).
-	leastRepeat = 10 * time.Second
-	// announceAttempt bounds one attempt to announce, announceRetry is the pause
-	// after one that failed.
-	announceAttempt = 3 * time.Second
-	announceRetry   = time.Second
-	// emptyPatience is how long a node that announces itself waits for the first entry
-	// before it takes part in the group: what cannot be written must not stop the jobs
-	// (chosen).
-	emptyPatience = time.Second
+	// readPollInterval is the poll interval while waiting for data that is not read yet.
+	readPollInterval = 20 * time.Millisecond
+	// minReannounceDelay is the minimum delay after a start before a node repeats an entry
+	// that the directory already holds, so that the initial reads of all nodes are over by
+	// then; with 295 nodes these took 4 s.
+	minReannounceDelay = 10 * time.Second
+	// announceTimeout is the timeout of one announcement, announceRetryPause the minimum pause
+	// after one that failed; a random part of up to the same length is added.
+	announceTimeout    = 3 * time.Second
+	announceRetryPause = time.Second
+	// firstEntryTimeout is how long a node that announces itself waits for the first directory
+	// entry before it joins the group anyway: a failure to write entries must not stop the
+	// jobs.
+	firstEntryTimeout = time.Second
 )
 
-// awaitAnnouncements waits until any node's machine is known. The nodes of a new deployment
-// read an empty directory, and by that each of them would be as large as any.
+// awaitAnnouncements waits up to firstEntryTimeout until the directory has an entry. In a new
+// deployment the directory is empty, and every node would consider its own machine the
+// largest.
 func (n *Node) awaitAnnouncements(ctx context.Context) {
 	if n.settings.Millicores == 0 && n.settings.PeerAddress() == "" {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, emptyPatience)
+	ctx, cancel := context.WithTimeout(ctx, firstEntryTimeout)
 	defer cancel()
 	for {
 		announced, _ := n.directory.Announced()
-		if announced.Nodes > 0 || !wait.For(ctx, unreadPause) {
+		if announced.Nodes > 0 || !wait.For(ctx, readPollInterval) {
 			return
 		}
 	}
 }
 
-// Peers lists the nodes that make calls to the log service for this one: those of its own
-// region, as what passes through them may be bound to it.
+// Peers returns the nodes that may relay this node's calls to the log service: only those
+// of its own region, as the relayed data may be bound to it.
 func (n *Node) Peers() []relay.Peer {
 	region := n.settings.Topology.Region(n.settings.Zone)
 	return slices.DeleteFunc(n.directory.Peers(), func(peer relay.Peer) bool {
@@ -53,32 +55,32 @@
 	})
 }
 
-// announce tells the other nodes this node's capacity, again and again. A process
-// that starts again on its machine leaves the entry that it finds: when all start at
-// once, their entries would only be in the way of their reads.
+// announce writes this node's capacity to the directory periodically until ctx ends. If a
+// restarted process finds its entry unchanged it does not repeat it at first: when all
+// nodes start at once, the writes would only slow down their initial reads.
 func (n *Node) announce(ctx context.Context) {
 	if n.settings.Millicores == 0 && n.settings.PeerAddress() == "" {
 		return
 	}
-	for !n.directoryRead() && wait.For(ctx, unreadPause) {
+	for !n.directoryRead() && wait.For(ctx, readPollInterval) {
 	}
-	for n.settings.takesCalls() && n.peerAddress.Load() == nil && wait.For(ctx, unreadPause) {
+	for n.settings.takesCalls() && n.peerAddress.Load() == nil && wait.For(ctx, readPollInterval) {
 	}
-	if n.directory.Says(n.settings.Name, n.entry()) {
-		wait.For(ctx, leastRepeat+rand.N(directory.AnnounceInterval-leastRepeat))
+	if n.directory.Says(n.settings.Name, n.directoryEntry()) {
+		wait.For(ctx, minReannounceDelay+rand.N(directory.AnnounceInterval-minReannounceDelay))
 	}
 	for ctx.Err() == nil {
 		pause := directory.AnnounceInterval + rand.N(directory.AnnounceSpread)
 		if err := n.announceOnce(ctx); err != nil {
 			n.logger.Log(event.LogAppendRetried, "topic", n.settings.NodesTopic, "detail", err.Error())
-			pause = announceRetry + rand.N(announceRetry)
+			pause = announceRetryPause + rand.N(announceRetryPause)
 		}
 		wait.For(ctx, pause)
 	}
 }
 
-// calledAt is where other nodes call this one, empty if they do not.
-func (n *Node) calledAt() string {
+// callAddress returns the address at which other nodes call this one, empty if they do not.
+func (n *Node) callAddress() string {
 	if address := n.peerAddress.Load(); address != nil {
 		return *address
 	}
@@ -90,15 +92,15 @@
 	return read
 }
 
-// entry is what this node announces.
-func (n *Node) entry() directory.Entry {
+// directoryEntry returns the directory entry of this node.
+func (n *Node) directoryEntry() directory.Entry {
 	return directory.Entry{
-		Millicores: n.settings.Millicores, Zone: n.settings.Zone, Address: n.settings.PeerAddress(), Worker: n.calledAt(),
+		Millicores: n.settings.Millicores, Zone: n.settings.Zone, Address: n.settings.PeerAddress(), Worker: n.callAddress(),
 	}
 }
 
 func (n *Node) announceOnce(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, announceAttempt)
+	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
-	return n.directory.Announce(ctx, n.entry())
+	return n.directory.Announce(ctx, n.directoryEntry())
 }
--- a/internal/hosted/batch.go
+++ b/internal/hosted/batch.go
@@ -10,22 +10,23 @@
 	"github.com/pathbend/pathbend/internal/result"
 )
 
-// Submit keeps a batch job of the tenant that its specification names. An error of
-// LogUnavailable promises that it was not taken; LogUnknown promises nothing.
+// Submit stores a batch job of the tenant that its specification names. Submitting a known
+// job again succeeds, unless it belongs to another tenant. The error LogUnavailable
+// guarantees that the job was not accepted; with LogUnknown it may have been.
 func (n *Node) Submit(ctx context.Context, id string, spec *pathbendv1.BatchJob, items []*pathbendv1.BatchItem) error {
 	n.active.Add(1)
 	defer n.active.Add(-1)
 	began := time.Now()
-	foreign := false
+	otherTenant := false
 	known := func() bool {
 		job := n.jobs.ledger.Job(id)
-		foreign = job != nil && job.Spec.Tenant != spec.Tenant
+		otherTenant = job != nil && job.Spec.Tenant != spec.Tenant
 		return job != nil
 	}
-	if _, already := n.jobs.seen(known); already {
-		return taken(id, foreign)
+	if _, already := n.jobs.check(known); already {
+		return resubmissionError(id, otherTenant)
 	}
-	err := n.servableJob(spec, items)
+	err := n.checkJobServable(spec, items)
 	if err == nil {
 		err = n.jobs.submit(ctx, id, spec, items, known)
 	}
@@ -35,49 +36,50 @@
 		n.logger.Log(event.BatchRefused, "job_id", id, "step", spec.Step, "took_ms", took.Milliseconds(), "detail", err.Error())
 		return spread(err)
 	}
-	if _, already := n.jobs.seen(known); already && foreign {
-		return taken(id, foreign)
+	if _, already := n.jobs.check(known); already && otherTenant {
+		return resubmissionError(id, otherTenant)
 	}
 	n.logger.Log(event.BatchSubmitted, "job_id", id, "step", spec.Step, "model", spec.Model,
 		"min_version", spec.MinVersion, "items", len(items), "wanted_groups", spec.WantedGroups, "took_ms", took.Milliseconds())
 	return nil
 }
 
-// taken is the answer to the submission of a job that is known already.
-func taken(id string, foreign bool) error {
-	if foreign {
-		return result.New(result.JobConflict, "the id %q is taken", id)
+// resubmissionError returns the result of submitting a job that is already known: an error if it
+// belongs to another tenant.
+func resubmissionError(id string, otherTenant bool) error {
+	if otherTenant {
+		return result.New(result.JobConflict, "job id %q is already in use", id)
 	}
 	return nil
 }
 
-// submit keeps the items of a job and then the job itself. Items without their
-// job never run.
+// submit stores the items of a job and then the job itself. Items whose job is not stored
+// never run.
 func (b *jobBook) submit(ctx context.Context, id string, spec *pathbendv1.BatchJob, items []*pathbendv1.BatchItem, known func() bool) error {
 	began := time.Now()
-	patience := b.submitPatience()
-	named, err := b.contents.PutItems(ctx, patience, items)
+	timeout := b.submitTimeout()
+	blobs, err := b.contents.PutItems(ctx, timeout, items)
 	if err != nil {
-		return notTaken(err)
+		return notAccepted(err)
 	}
-	spec.ItemIds, spec.Items = itemIDs(items), named
+	spec.ItemIds, spec.Items = itemIDs(items), blobs
 	entry := &pathbendv1.LedgerEntry{JobId: id, Fact: &pathbendv1.LedgerEntry_Submitted{Submitted: spec}}
-	return b.record(ctx, patience-time.Since(began), known, entry)
+	return b.record(ctx, timeout-time.Since(began), known, entry)
 }
 
-// submitPatience is how long a submission is tried before it is refused. A node
-// that has been without the log for a while refuses soon: the caller finds one
-// that has it, or comes back. One that has just started and does not follow the log
-// yet is not without it.
-func (b *jobBook) submitPatience() time.Duration {
+// submitTimeout returns how long a submission is retried before it is refused. A node
+// that has not reached the log for a while refuses early, so that the caller can try
+// another node or come back. A node that has just started and does not follow the log yet
+// does not count as such.
+func (b *jobBook) submitTimeout() time.Duration {
 	if b.inTouch() || !b.followed.Load() {
-		return submitPatience
+		return submitTimeout
 	}
-	return isolatedPatience
+	return isolatedSubmitTimeout
 }
 
-// isolatedPatience is that of a node that is not ready for want of the log.
-const isolatedPatience = 400 * time.Millisecond
+// isolatedSubmitTimeout is the submission timeout of a node that cannot reach the log.
+const isolatedSubmitTimeout = 400 * time.Millisecond
 
 func itemIDs(items []*pathbendv1.BatchItem) []string {
 	ids := make([]string, 0, len(items))
@@ -87,11 +89,12 @@
 	return ids
 }
 
-// notTaken turns a failure to keep a job's items into a promise that the job was
-// not taken, whatever became of the append.
-func notTaken(err error) error {
+// notAccepted converts a log error from storing a job's items into LogUnavailable, which
+// guarantees that the job was not accepted: even if the items were stored, the job itself
+// was never appended.
+func notAccepted(err error) error {
 	if result.Is(err, result.LogUnknown) || result.Is(err, result.LogUnavailable) {
-		return result.Wrap(result.LogUnavailable, err, "keep the items").WithRetryAfter(submitHint)
+		return result.Wrap(result.LogUnavailable, err, "store the items").WithRetryAfter(submitRetryAfter)
 	}
 	return err
 }
@@ -107,24 +110,24 @@
 	if err := n.requireJob(ctx, id, key); err != nil {
 		return err
 	}
-	if _, already := n.jobs.seen(ended); already {
+	if _, already := n.jobs.check(ended); already {
 		return nil
 	}
 	entry := &pathbendv1.LedgerEntry{JobId: id, Fact: &pathbendv1.LedgerEntry_Ended{Ended: &pathbendv1.BatchEnd{}}}
-	return spread(n.jobs.record(ctx, submitPatience, ended, entry))
+	return spread(n.jobs.record(ctx, submitTimeout, ended, entry))
 }
 
 // requireJob returns an error unless the job is known and belongs to the tenant that
-// holds the key, after asking the log if it is not known. A key that nobody holds is
-// denied, but for a job of a route that asks for none.
+// holds the key. It reads the log if the job is unknown. An invalid key is denied, except
+// for a job of a route that requires none.
 func (n *Node) requireJob(ctx context.Context, id, key string) error {
 	tenant, denial := n.Caller(ctx, key)
 	known, usable := false, false
-	look := func(job *ledger.Job) {
+	inspect := func(job *ledger.Job) {
 		known = job != nil
 		usable = known && (job.Spec.Tenant == "" || denial == nil && n.mayUse(job, tenant))
 	}
-	n.jobs.view(id, look)
+	n.jobs.view(id, inspect)
 	switch {
 	case usable:
 		return nil
@@ -137,43 +140,44 @@
 		n.logger.Log(event.BatchReadRefused, "job_id", id, "detail", err.Error())
 		return err
 	}
-	n.jobs.view(id, look)
+	n.jobs.view(id, inspect)
 	if !usable {
 		return unknownJob(id)
 	}
 	return nil
 }
 
-// unknownJob is the same for a job that there is not and for one of another tenant.
+// unknownJob is the error for a job that does not exist. A job of another tenant gets the
+// same one, so that the answer does not reveal its existence.
 func unknownJob(id string) error { return result.New(result.JobUnknown, "no batch job %q", id) }
 
-// Page is a part of a job's results.
+// Page is a range of consecutive results of a job.
 type Page struct {
 	Total   int
 	Results []ledger.Result
-	// Texts are those of the results, in order, nil for dead items.
+	// Texts holds the text of each result, in the same order; nil for dead items.
 	Texts [][]byte
 	// Next is the position after the last result of the page.
 	Next int
 }
 
-// Results returns the results of a job of the tenant that holds the key, from a
-// position on. It waits up to hold for one.
-func (n *Node) Results(ctx context.Context, id, key string, from int, hold time.Duration) (Page, error) {
+// Results returns the results of a job of the tenant that holds the key, starting at
+// position from. If there are none yet it waits for up to maxWait.
+func (n *Node) Results(ctx context.Context, id, key string, from int, maxWait time.Duration) (Page, error) {
 	n.active.Add(1)
 	defer n.active.Add(-1)
 	if err := n.requireJob(ctx, id, key); err != nil {
 		return Page{}, err
 	}
 	began := time.Now()
-	holdCtx, cancel := context.WithTimeout(ctx, hold)
+	waitCtx, cancel := context.WithTimeout(ctx, maxWait)
 	defer cancel()
 	for {
 		page, changed, settled := n.jobs.page(id, from)
 		if len(page.Results) > 0 {
-			return n.withTexts(ctx, id, page, began)
+			return n.readTexts(ctx, id, page, began)
 		}
-		if settled || n.Draining() || !n.jobs.await(holdCtx, changed) {
+		if settled || n.Draining() || !n.jobs.await(waitCtx, changed) {
 			break
 		}
 	}
@@ -182,47 +186,48 @@
 		return Page{}, spread(err)
 	}
 	page, _, _ := n.jobs.page(id, from)
-	return n.withTexts(ctx, id, page, began)
+	return n.readTexts(ctx, id, page, began)
 }
 
-// textsPatience is how long the texts of a page are read before the page ends with those
-// that were: callers wait 1.5 s beyond the time for which they let an answer be held, and
-// of that the connection and the answer take their way too (the users' bound; chosen half).
-const textsPatience = 750 * time.Millisecond
+// textReadTimeout bounds the time for reading the texts of a page; after it the page is cut
+// before the first text that is missing. Callers wait 1.5 s beyond the long-poll time that
+// they ask for; half of that is left for the connection and the transfer of the answer.
+const textReadTimeout = 750 * time.Millisecond
 
-// withTexts reads the texts of a page that was asked for at a time. A page whose texts could not all be read in time
-// ends before the first of the others.
-func (n *Node) withTexts(ctx context.Context, id string, page Page, asked time.Time) (Page, error) {
-	found := time.Now()
+// readTexts reads the texts of a page that was requested at requestedAt. If not all of them can
+// be read in time, the page is cut before the first missing one.
+func (n *Node) readTexts(ctx context.Context, id string, page Page, requestedAt time.Time) (Page, error) {
+	pageReadAt := time.Now()
 	var wanted []*pathbendv1.Blob
 	for _, listed := range page.Results {
 		if listed.Text != nil {
 			wanted = append(wanted, listed.Text)
 		}
 	}
-	callCtx, cancel := context.WithTimeout(ctx, textsPatience)
+	callCtx, cancel := context.WithTimeout(ctx, textReadTimeout)
 	defer cancel()
 	texts, err := n.jobs.contents.GetFirst(callCtx, wanted)
-	whole := page.fill(texts)
+	total := page.fill(texts)
 	switch {
 	case err == nil:
 	case len(page.Results) == 0:
 		n.logger.Log(event.BatchReadRefused, "job_id", id, "texts", len(wanted), "detail", err.Error())
 		return Page{}, spread(err)
 	default:
-		n.logger.Log(event.PageCut, "job_id", id, "results", len(page.Results), "of", whole, "detail", err.Error())
+		n.logger.Log(event.PageCut, "job_id", id, "results", len(page.Results), "of", total, "detail", err.Error())
 	}
 	n.logger.Log(event.BatchRead, "job_id", id, "from", page.Next-len(page.Results), "next", page.Next, "total", page.Total,
-		"held_ms", found.Sub(asked).Milliseconds(), "texts_ms", time.Since(found).Milliseconds())
+		"held_ms", pageReadAt.Sub(requestedAt).Milliseconds(), "texts_ms", time.Since(pageReadAt).Milliseconds())
 	return page, nil
 }
 
-// fill puts texts, those of the first results that have one, into the page and ends it
-// before a result whose text is not among them. It returns how many results the page had.
-func (p *Page) fill(texts [][]byte) (whole int) {
-	whole = len(p.Results)
-	p.Next -= whole
-	p.Texts = make([][]byte, 0, whole)
+// fill sets the texts of the page's results. texts holds those of the first results that
+// have one; the page is cut before the first result whose text is missing. It returns the
+// number of results before the cut.
+func (p *Page) fill(texts [][]byte) (total int) {
+	total = len(p.Results)
+	p.Next -= total
+	p.Texts = make([][]byte, 0, total)
 	for _, listed := range p.Results {
 		var text []byte
 		if listed.Text != nil {
@@ -235,10 +240,12 @@
 	}
 	p.Results = p.Results[:len(p.Texts)]
 	p.Next += len(p.Results)
-	return whole
+	return total
 }
 
-// page reads a page. settled is set if no further result can come.
+// page returns the known results of a job starting at position from, up to maxPageBytes of
+// text, and a channel that is closed at the next change. settled is true if no further
+// results can follow.
 func (b *jobBook) page(id string, from int) (page Page, changed <-chan struct{}, settled bool) {
 	page.Results = []ledger.Result{}
 	changed = b.view(id, func(job *ledger.Job) {
@@ -261,8 +268,8 @@
 	return page, changed, settled
 }
 
-// Body returns the body of an item that is not listed yet, of a job of the tenant that
-// holds the key.
+// Body returns the body of an item that has no result yet, of a job of the tenant that
+// holds the key. It returns ItemUnknown if there is no such item.
 func (n *Node) Body(ctx context.Context, id, key, itemID string) ([]byte, error) {
 	if err := n.requireJob(ctx, id, key); err != nil {
 		return nil, err
--- a/internal/hosted/executor_test.go
+++ b/internal/hosted/executor_test.go
@@ -11,8 +11,8 @@
 	"github.com/pathbend/pathbend/internal/schedule"
 )
 
-// executorWith returns an executor that has taken in one job of two items.
-func executorWith(t *testing.T) (*executor, *ledger.Job) {
+// executorWithJob returns an executor whose scheduler has one job, j, with two items.
+func executorWithJob(t *testing.T) (*executor, *ledger.Job) {
 	t.Helper()
 	e := newTestNode().executor
 	e.scheduler = schedule.New(func() uint64 { return 1 })
@@ -23,51 +23,51 @@
 	records, err := ledger.Encode(entry, 1, large)
 	require.NoError(t, err)
 	var job *ledger.Job
-	e.node.jobs.withLedger(func(known *ledger.Ledger) {
-		_, err = known.Apply(records[0], time.Now())
-		job = known.Job("j")
+	e.node.jobs.withLedger(func(state *ledger.Ledger) {
+		_, err = state.Apply(records[0], time.Now())
+		job = state.Job("j")
 	})
 	require.NoError(t, err)
-	e.add(e.scheduler, job, adopted{items: items})
+	e.addJob(e.scheduler, job, loadedJob{items: items})
 	require.True(t, e.scheduler.HasJob("j"))
 	return e, job
 }
 
-// The simulation did not notice an executor that went on with an ended job: all
-// its items had begun within the time that may pass after an end.
-func TestEndedJobIsNotGoneOnWith(t *testing.T) {
-	e, job := executorWith(t)
+// Guards against an executor that continues an ended job. The simulation does not detect
+// this: all items of its jobs start within the time that may pass after a job's end.
+func TestEndedJobIsStopped(t *testing.T) {
+	e, job := executorWithJob(t)
 	e.applyChange(ledger.Change{Kind: ledger.Ended, Job: job})
 	require.False(t, e.scheduler.HasJob("j"))
 }
 
-func TestCompleteJobIsForgotten(t *testing.T) {
-	e, job := executorWith(t)
+func TestCompleteJobIsRemoved(t *testing.T) {
+	e, job := executorWithJob(t)
 	e.applyChange(ledger.Change{Kind: ledger.Listed, Job: job, Listed: []ledger.Result{{ItemID: "a"}}})
 	require.True(t, e.scheduler.HasJob("j"))
 	e.applyChange(ledger.Change{Kind: ledger.Listed, Job: job, Listed: []ledger.Result{{ItemID: "b"}}, Complete: true})
 	require.False(t, e.scheduler.HasJob("j"))
 }
 
-// A job of another executor's time must not reach the one of now.
-func TestJobThatWasReadForAFormerSessionIsDropped(t *testing.T) {
-	e, job := executorWith(t)
+// A job that was loaded for an earlier session must not reach the current scheduler.
+func TestJobLoadedForAFormerSessionIsDropped(t *testing.T) {
+	e, job := executorWithJob(t)
 	former := e.scheduler
 	e.scheduler = schedule.New(func() uint64 { return 1 })
-	e.add(former, job, adopted{})
+	e.addJob(former, job, loadedJob{})
 	require.False(t, e.scheduler.HasJob("j"))
 }
 
-func TestNewExecutorKnowsTheWorkOfJobsThatAreOver(t *testing.T) {
-	e, _ := executorWith(t)
+func TestNewExecutorCountsTheDemandOfEndedJobs(t *testing.T) {
+	e, _ := executorWithJob(t)
 	ended, err := ledger.Encode(&pathbendv1.LedgerEntry{JobId: "j", Fact: &pathbendv1.LedgerEntry_Ended{Ended: &pathbendv1.BatchEnd{}}}, 2, 1<<10)
 	require.NoError(t, err)
-	e.node.jobs.withLedger(func(known *ledger.Ledger) {
-		_, err = known.Apply(ended[0], time.Now())
+	e.node.jobs.withLedger(func(state *ledger.Ledger) {
+		_, err = state.Apply(ended[0], time.Now())
 	})
 	require.NoError(t, err)
 	e.scheduler = schedule.New(func() uint64 { return 1 })
 	require.Empty(t, e.scheduler.Demand(time.Now()))
-	e.noteDemand(time.Now())
+	e.recordDemand(time.Now())
 	require.Equal(t, map[string]int{"m": 2}, e.scheduler.Demand(time.Now()))
 }
--- a/internal/hosted/rewards.go
+++ b/internal/hosted/rewards.go
@@ -15,33 +15,35 @@
 )
 
 const (
-	// rewardTimeout bounds the first reward call of an item; it doubles up to
-	// maxRewardTimeout.
+	// rewardTimeout is the timeout of the first reward call of an item. It doubles with each
+	// attempt, up to maxRewardTimeout.
 	rewardTimeout    = 500 * time.Millisecond
 	maxRewardTimeout = 2 * time.Second
-	// rewardPause is the pause before a reward call is repeated; it doubles up
-	// to maxRewardPause.
-	rewardPause    = 20 * time.Millisecond
-	maxRewardPause = 400 * time.Millisecond
-	// rewardShare is the part of a service's slots that reward calls may take,
-	// so that requests of clients find room.
-	rewardShare = 2
-	minRewards  = 2
+	// rewardRetryPause is the pause before the first retry of a reward call. It doubles with each
+	// attempt, up to maxRewardRetryPause.
+	rewardRetryPause    = 20 * time.Millisecond
+	maxRewardRetryPause = 400 * time.Millisecond
+	// rewardSlotsDivisor limits concurrent reward calls to a service's slots divided by it, but
+	// to no less than minRewardSlots. This leaves room for client requests.
+	rewardSlotsDivisor = 2
+	minRewardSlots     = 2
 )
 
-// rewardSlots bounds the reward calls under way.
+// rewardSlots is a semaphore with a variable limit for concurrent reward calls.
 type rewardSlots struct {
 	mutex    sync.Mutex
-	taken    int
+	inUse    int
 	released chan struct{}
 }
 
+// acquire waits for a free slot, reading the limit again whenever one is released. It
+// returns false if ctx ended first.
 func (r *rewardSlots) acquire(ctx context.Context, limit func() int) bool {
 	for {
 		r.mutex.Lock()
-		free := r.taken < limit()
+		free := r.inUse < limit()
 		if free {
-			r.taken++
+			r.inUse++
 		}
 		r.mutex.Unlock()
 		if free {
@@ -57,7 +59,7 @@
 
 func (r *rewardSlots) release() {
 	r.mutex.Lock()
-	r.taken--
+	r.inUse--
 	r.mutex.Unlock()
 	select {
 	case r.released <- struct{}{}:
@@ -71,13 +73,14 @@
 	slots rewardSlots
 }
 
-// score calls the reward of a complete text until it answers or nobody wants it. It
-// returns the proof of the answer, and false if the item is given up.
+// score repeats the reward call of a complete text until it is answered or the result is
+// no longer wanted. It returns the stamp that proves the answer; alive is false if the
+// call failed too often and the item must be given up.
 func (r *rewarder) score(ctx context.Context, completed schedule.Finished, wanted func() bool) (stamp string, alive bool) {
 	failures := 0
-	var avoid []string
+	var excluded []string
 	for attempt := 0; wanted() && ctx.Err() == nil; attempt++ {
-		outcome := r.call(ctx, completed, avoid, attempt)
+		outcome := r.call(ctx, completed, excluded, attempt)
 		if outcome.stamp != "" {
 			return outcome.stamp, true
 		}
@@ -92,35 +95,35 @@
 		if outcome.maxFailures > 0 && failures >= outcome.maxFailures {
 			return "", false
 		}
-		avoid = nil
+		excluded = nil
 		if outcome.backEnd != "" {
-			avoid = []string{outcome.backEnd}
+			excluded = []string{outcome.backEnd}
 		}
-		wait.For(ctx, max(min(rewardPause<<min(attempt, 5), maxRewardPause), outcome.heldFor))
+		wait.For(ctx, max(min(rewardRetryPause<<min(attempt, 5), maxRewardRetryPause), outcome.quarantineDelay))
 	}
 	return "", true
 }
 
-// rewardOutcome is how one reward call ended.
+// rewardOutcome is the outcome of one reward call.
 type rewardOutcome struct {
 	stamp string
-	// failed is set if the back end ran the call and failed.
+	// failed is set if the back end executed the call and reported a failure.
 	failed      bool
 	backEnd     string
 	detail      string
 	maxFailures int
-	// heldFor is how long the call is held back from back ends.
-	heldFor time.Duration
+	// quarantineDelay is how long the call is quarantined, 0 if it is not.
+	quarantineDelay time.Duration
 }
 
-func (r *rewarder) call(ctx context.Context, completed schedule.Finished, avoid []string, attempt int) rewardOutcome {
+func (r *rewarder) call(ctx context.Context, completed schedule.Finished, excluded []string, attempt int) rewardOutcome {
 	current := r.node.Catalog()
 	if current == nil {
 		return rewardOutcome{detail: "no configuration"}
 	}
 	route := current.Find(completed.Reward.Host, completed.Reward.Path)
 	if route == nil {
-		return rewardOutcome{detail: "no route for the reward call"}
+		return rewardOutcome{detail: "no route matches the reward call"}
 	}
 	if !r.slots.acquire(ctx, func() int { return r.limit(route) }) {
 		return rewardOutcome{detail: "stopped"}
@@ -130,12 +133,12 @@
 	deadline := received.Time().Add(min(rewardTimeout<<min(attempt, 5), maxRewardTimeout))
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
-	request := rewardRequest(route, completed, avoid, deadline)
+	request := rewardRequest(route, completed, excluded, deadline)
 	request.Regions, request.Received = regionsOf(current, route, completed.Tenant), received
 	answer, err := r.node.dispatcher.Do(ctx, request)
 	outcome := rewardOutcome{maxFailures: route.MaxAttempts}
 	if err != nil {
-		outcome.detail, outcome.heldFor = err.Error(), heldFor(err)
+		outcome.detail, outcome.quarantineDelay = err.Error(), quarantineDelay(err)
 		return outcome
 	}
 	answer.Body.Close()
@@ -150,7 +153,7 @@
 	return outcome
 }
 
-func rewardRequest(route *catalog.Route, completed schedule.Finished, avoid []string, deadline time.Time) *dispatch.Request {
+func rewardRequest(route *catalog.Route, completed schedule.Finished, excluded []string, deadline time.Time) *dispatch.Request {
 	reward := completed.Reward
 	body := reward.Body
 	if body == nil {
@@ -159,17 +162,17 @@
 	return &dispatch.Request{
 		Pool: route.ServiceFor(reward.Id), Method: http.MethodPost, Path: reward.Path, Host: reward.Host,
 		Header: http.Header{}, Buffered: body, Length: int64(len(body)), MaxAttempts: 1,
-		Deadline: deadline, ID: reward.Id, Excluded: avoid,
-		// All reward calls come from one node; they must not fill its zone.
+		Deadline: deadline, ID: reward.Id, Excluded: excluded,
+		// All reward calls come from one node and must not overload the back ends of its zone.
 		AnyZone: true,
 	}
 }
 
-// rewardLimit is the number of reward calls that may be under way.
+// limit returns the maximum number of concurrent reward calls on a route.
 func (r *rewarder) limit(route *catalog.Route) int {
 	listed := r.node.samplers.Load()
 	if listed == nil {
-		return minRewards
+		return minRewardSlots
 	}
 	slots, evacuated := 0, r.node.evacuated.Load()
 	for _, sampler := range *listed {
@@ -177,5 +180,5 @@
 			slots += sampler.Slots
 		}
 	}
-	return max(slots/rewardShare, minRewards)
+	return max(slots/rewardSlotsDivisor, minRewardSlots)
 }
--- a/internal/hosted/split_brain.go
+++ b/internal/hosted/split_brain.go
@@ -9,70 +9,72 @@
 )
 
 const (
-	// splitBrainInterval is how often a node that executes without its share asks
-	// samplers for their work.
+	// splitBrainInterval is how often an executor that cannot renew its assignment of the
+	// partition asks a sampler for its load.
 	splitBrainInterval = 150 * time.Millisecond
-	// foreignRuns is how many runs of others a sampler must have to count as a
-	// sign of another executor: its report is some 100 ms old, and runs come and
-	// go meanwhile.
-	foreignRuns = 4
-	// reportsNeeded is the number of such reports in a row.
-	reportsNeeded = 3
+	// minForeignRuns is the minimum number of runs that a sampler must have beyond those of this
+	// node to indicate another executor. Smaller differences are normal: the report is some
+	// 100 ms old, and runs start and end meanwhile.
+	minForeignRuns = 4
+	// minConsecutiveReports is the number of consecutive such reports that prove another executor.
+	minConsecutiveReports = 3
 )
 
-// splitBrainDetector finds out whether another node executes the same jobs. An executor that
-// cannot renew its share goes on, since the log service may be away for all, and
-// then nobody else can take the jobs over. If the service only turned this node
-// away, another one has them, and both fill the same samplers. The samplers tell:
-// they have more work than this node gave them.
+// splitBrainDetector detects whether another node executes the same jobs. An executor that
+// cannot renew its partition assignment continues, since the log service may be down for all
+// nodes, and then no other node can take over. If the service refuses only this node,
+// another one has taken over, and both send work to the same samplers. The samplers' reports
+// show it: they have more work than this node gave them.
 type splitBrainDetector struct {
-	askedAt time.Time
-	next    int
-	seen    int
+	queriedAt time.Time
+	next      int
+	// consecutive counts the reports in a row that show another executor.
+	consecutive int
 }
 
-// due reports whether a sampler is to be asked now, and forgets what was seen once
-// the node holds its share again.
-func (w *splitBrainDetector) due(outOfTouch bool, now time.Time) bool {
-	if !outOfTouch {
-		w.seen = 0
+// due reports whether to query a sampler now. It resets the count of suspicious reports
+// once the node can renew its assignment again.
+func (d *splitBrainDetector) due(isolated bool, now time.Time) bool {
+	if !isolated {
+		d.consecutive = 0
 		return false
 	}
-	if now.Sub(w.askedAt) < splitBrainInterval {
+	if now.Sub(d.queriedAt) < splitBrainInterval {
 		return false
 	}
-	w.askedAt = now
+	d.queriedAt = now
 	return true
 }
 
-// choose returns the samplers in turn.
-func (w *splitBrainDetector) choose(loads []schedule.Load) (schedule.Load, bool) {
+// nextSampler returns the next sampler in round-robin order, skipping those that are leaving,
+// evacuated or serve no model. It returns false if there is none.
+func (d *splitBrainDetector) nextSampler(loads []schedule.Load) (schedule.Load, bool) {
 	for range loads {
-		w.next++
-		if load := loads[w.next%len(loads)]; !load.Leaving && !load.Evacuated && len(load.Versions) > 0 {
+		d.next++
+		if load := loads[d.next%len(loads)]; !load.Leaving && !load.Evacuated && len(load.Versions) > 0 {
 			return load, true
 		}
 	}
 	return schedule.Load{}, false
 }
 
-// heard records a sampler's work beside what this node gave it. It reports whether
-// another node is sure to execute.
-func (w *splitBrainDetector) heard(work, own int) bool {
-	if work-own < foreignRuns {
-		w.seen = 0
+// observe compares the work that a sampler reports with the work that this node gave it. It
+// returns true once minConsecutiveReports consecutive reports show another executor.
+func (d *splitBrainDetector) observe(work, own int) bool {
+	if work-own < minForeignRuns {
+		d.consecutive = 0
 		return false
 	}
-	w.seen++
-	return w.seen >= reportsNeeded
+	d.consecutive++
+	return d.consecutive >= minConsecutiveReports
 }
 
-// detectSplitBrain asks a sampler, if that is due. It is called under the lock.
+// detectSplitBrain queries a sampler if that is due. The caller holds e.mutex.
 func (e *executor) detectSplitBrain(now time.Time) {
 	if !e.splitBrain.due(e.node.ownership.OutOfTouch(now), now) {
 		return
 	}
-	load, ok := e.splitBrain.choose(e.scheduler.Loads())
+	load, ok := e.splitBrain.nextSampler(e.scheduler.Loads())
 	if !ok {
 		return
 	}
@@ -88,12 +90,12 @@
 	}
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if e.scheduler != scheduler || !e.node.ownership.OutOfTouch(time.Now()) || !e.splitBrain.heard(report.Work, own) {
+	if e.scheduler != scheduler || !e.node.ownership.OutOfTouch(time.Now()) || !e.splitBrain.observe(report.Work, own) {
 		return
 	}
 	e.node.logger.Log(event.ExecutorYielded, "sampler", sampler.ID, "work", report.Work, "own", own)
 	e.node.ownership.Yield()
-	// Their slots are wanted before the log can be told how far they came.
+	// The other executor needs the slots before the progress of these runs could be saved.
 	e.stopRuns()
 	e.wake()
 }
--- a/internal/hosted/suspects.go
+++ b/internal/hosted/suspects.go
@@ -11,26 +11,28 @@
 )
 
 const (
-	// tellPatience is how long a request waits until what its node knows of it is in the log
-	// and read back: some 10 ms at a log next door. With a log that is slow or lost the node
-	// goes on with what it knows (chosen: as long as the shortest objective).
-	tellPatience = 150 * time.Millisecond
-	// tellFor is how long a node tries to write it down all the same.
-	tellFor = 30 * time.Second
-	// keepInterval is how often the node that executes writes down anew what is held: the log
-	// drops records after 300 s.
-	keepInterval = 2 * time.Minute
-	// heldPause bounds the pause between reward calls that are held back.
-	heldPause = 5 * time.Second
+	// suspectSyncWait is how long a request waits until its quarantine record is appended to the
+	// log and read back, which takes some 10 ms with a nearby log. If the log is
+	// slow or unreachable, the node continues with its local record after this time, which is
+	// as long as the shortest latency objective.
+	suspectSyncWait = 150 * time.Millisecond
+	// suspectAppendTimeout is how long the append is retried in the background.
+	suspectAppendTimeout = 30 * time.Second
+	// republishInterval is how often the executing node appends the active records again, as the
+	// log drops records after 300 s.
+	republishInterval = 2 * time.Minute
+	// maxQuarantineDelay is the maximum pause between attempts of a quarantined reward call.
+	maxQuarantineDelay = 5 * time.Second
 )
 
-// suspects are the requests and items under which back ends ended, as far as the log tells.
+// suspects holds the requests and items during whose execution back ends ended, and shares
+// them with the other nodes through the log.
 type suspects struct {
 	node *Node
-	// requests guards requests of clients and reward calls, items the runs of items.
-	requests *quarantine.Guard
-	items    *quarantine.Guard
-	keptAt   time.Time
+	// requests covers client requests and reward calls, items the runs of batch items.
+	requests      *quarantine.Guard
+	items         *quarantine.Guard
+	republishedAt time.Time
 }
 
 func newSuspects(n *Node) *suspects {
@@ -39,12 +41,12 @@
 		requests: quarantine.NewGuard(quarantine.Requests(), n.logger),
 		items:    quarantine.NewGuard(quarantine.Items(), n.logger),
 	}
-	s.requests.SetTeller(&suspectTeller{node: n})
-	s.items.SetTeller(&suspectTeller{node: n, item: true})
+	s.requests.SetTeller(&suspectPublisher{node: n})
+	s.items.SetTeller(&suspectPublisher{node: n, item: true})
 	return s
 }
 
-// guard returns what guards requests, or items.
+// guard returns the guard of items, or that of requests.
 func (s *suspects) guard(item bool) *quarantine.Guard {
 	if item {
 		return s.items
@@ -52,69 +54,71 @@
 	return s.requests
 }
 
-// take takes in an entry of the ledger.
-func (s *suspects) take(told *pathbendv1.SuspectRequest) error {
-	record, err := quarantine.Decode(told)
+// merge adds an entry of the ledger. It returns an error if the entry is malformed.
+func (s *suspects) merge(entry *pathbendv1.SuspectRequest) error {
+	record, err := quarantine.Decode(entry)
 	if err != nil {
 		return err
 	}
-	s.guard(told.Item).Merge(record)
+	s.guard(entry.Item).Merge(record)
 	return nil
 }
 
-// expire forgets what nothing was heard of for long.
+// expire removes records that have not been updated for long.
 func (s *suspects) expire() {
 	s.requests.Expire()
 	s.items.Expire()
 }
 
-// keep writes down anew what is held, so that nodes which start later read it too. The node
-// that executes calls it.
-func (s *suspects) keep(now time.Time) {
-	if now.Sub(s.keptAt) < keepInterval {
+// republish appends the active records again every republishInterval, so that nodes that
+// start later read them too. Only the executing node calls it.
+func (s *suspects) republish(now time.Time) {
+	if now.Sub(s.republishedAt) < republishInterval {
 		return
 	}
-	s.keptAt = now
+	s.republishedAt = now
 	for _, item := range []bool{false, true} {
 		for _, record := range s.guard(item).Held() {
-			teller := &suspectTeller{node: s.node, item: item}
-			go teller.write(record)
+			publisher := &suspectPublisher{node: s.node, item: item}
+			go publisher.write(record)
 		}
 	}
 }
 
-// suspectTeller tells the other nodes through the ledger, which all of them read. Ways
-// weighed: a keyed topic of its own costs each node a read held open; calls from node to node
-// reach no node that starts later, and at 420 nodes each end would be told 419 times. An entry
-// is some 100 bytes, which each node reads beside the jobs.
-type suspectTeller struct {
+// suspectPublisher shares records with the other nodes through the ledger, which all of them
+// read. An entry has some 100 bytes, which each node reads along with the jobs. The
+// alternatives cost more: a separate keyed topic would need another long poll on each node,
+// and calls between nodes would not reach nodes that start later and, with 420 nodes, would
+// take 419 calls for each ended back end.
+type suspectPublisher struct {
 	node *Node
 	item bool
 }
 
 // Tell implements quarantine.Teller.
-func (t *suspectTeller) Tell(ctx context.Context, record quarantine.Record) {
-	patience := tellPatience + t.node.log.Beyond()
-	if t.node.jobs.follower.Health.Lost() {
-		// It will not be read back in time.
-		patience = 0
+func (p *suspectPublisher) Tell(ctx context.Context, record quarantine.Record) {
+	timeout := suspectSyncWait + p.node.log.Beyond()
+	if p.node.jobs.follower.Health.Lost() {
+		// The record would not be read back in time.
+		timeout = 0
 	}
-	quarantine.TellWithin(ctx, patience, func() { t.write(record) })
+	quarantine.TellWithin(ctx, timeout, func() { p.write(record) })
 }
 
 // write appends a record to the ledger and reads it back.
-func (t *suspectTeller) write(record quarantine.Record) {
-	entry := &pathbendv1.LedgerEntry{Fact: &pathbendv1.LedgerEntry_Suspect{Suspect: quarantine.Encode(record, t.item)}}
-	err := t.node.jobs.record(t.node.lifetime, tellFor, nil, entry)
+func (p *suspectPublisher) write(record quarantine.Record) {
+	entry := &pathbendv1.LedgerEntry{Fact: &pathbendv1.LedgerEntry_Suspect{Suspect: quarantine.Encode(record, p.item)}}
+	err := p.node.jobs.record(p.node.lifetime, suspectAppendTimeout, nil, entry)
 	if err == nil {
-		err = t.node.jobs.refresh(t.node.lifetime)
+		err = p.node.jobs.refresh(p.node.lifetime)
 	}
-	if err != nil && t.node.lifetime.Err() == nil {
-		t.node.logger.Log(event.SuspectUntold, "digest", record.Digest.String(), "ends", len(record.Ended), "detail", err.Error())
+	if err != nil && p.node.lifetime.Err() == nil {
+		p.node.logger.Log(event.SuspectUntold, "digest", record.Digest.String(), "ends", len(record.Ended), "detail", err.Error())
 	}
 }
 
-// itemDigest names an item: it keeps its id in all its runs, also in later jobs.
+// itemDigest returns the digest that identifies an item. It is the same in all runs of the
+// item, including those of later jobs, as the item keeps its id.
 func itemDigest(itemID string) quarantine.Digest {
 	return quarantine.Content{Caller: []string{"item"}, Path: itemID}.Digest()
 }
@@ -127,16 +131,18 @@
 	return s.items.HeldUntil(itemDigest(itemID))
 }
 
-// Suspect implements schedule.Holds. One end makes no suspect: when many samplers are lost at
-// once, all that ran there would wait for a sampler each (87 items of a day, on 44 samplers).
+// Suspect implements schedule.Holds. A single ended sampler does not make an item suspect:
+// if many samplers are lost at once, every item that ran there would need a sampler of its
+// own, for example 87 items that had run on 44 samplers within a day.
 func (s *suspects) Suspect(itemID string) bool {
 	return !s.items.Empty() && s.items.Ends(itemDigest(itemID)) >= quarantine.Ends-1
 }
 
-// heldFor is how long a reward call waits after an error, if that says that it is held back.
-func heldFor(err error) time.Duration {
+// quarantineDelay returns how long a reward call must wait after an error, at most
+// maxQuarantineDelay; 0 if the error does not say that the call is quarantined.
+func quarantineDelay(err error) time.Duration {
 	if !result.Is(err, result.RequestQuarantined) {
 		return 0
 	}
-	return min(result.From(err).RetryAfter, heldPause)
+	return min(result.From(err).RetryAfter, maxQuarantineDelay)
 }
