--- a/internal/platformsim/mutants_test.go
+++ b/internal/platformsim/mutants_test.go
@@ -111,7 +111,7 @@
 		mutation.Replace("internal/warmup/budget.go", "senders = 2", "senders = 1"),
 	}},
 	{Promise: "BUDGET: a request that is held goes nowhere", Test: "TestRequestThatCrashesItsSamplersIsHeldBack", Edits: []mutation.Edit{
-		mutation.Replace("internal/quarantine/guard.go", "\tcase Held:\n\t\treturn nil, g.refuse(digest, time.Until(until))\n", "\tcase Held:\n\t\t_ = until\n"),
+		mutation.Replace("internal/quarantine/guard.go", "\tcase Quarantined:\n\t\treturn nil, g.refuse(digest, time.Until(until))\n", "\tcase Quarantined:\n\t\t_ = until\n"),
 	}},
 	{Promise: "BUDGET: an item that is held goes nowhere", Test: "TestRequestThatCrashesItsSamplersIsHeldBack", Edits: []mutation.Edit{
 		mutation.Replace("internal/schedule/placement.go", " && !s.held(entry, now)", ""),
@@ -119,11 +119,11 @@
 	{Promise: "BUDGET: nodes hear of the ends that others saw", Test: "TestRequestThatCrashesItsSamplersIsHeldBack", Edits: []mutation.Edit{
 		mutation.Replace("internal/hosted/suspects.go", "\ts.guard(told.Item).Merge(record)\n", "\t_ = record\n"),
 	}},
-	{Promise: "BUDGET: one node makes a trial", Test: "TestOfClaimsAtOnceTheFirstInTheLogWins", Package: "./internal/quarantine", Edits: []mutation.Edit{
-		mutation.Replace("internal/quarantine/guard.go", "won := g.book.Claims(digest, claimant)", "won := true"),
+	{Promise: "BUDGET: one node makes a trial", Test: "TestFirstOfConcurrentClaimsInTheLogWins", Package: "./internal/quarantine", Edits: []mutation.Edit{
+		mutation.Replace("internal/quarantine/guard.go", "won := g.registry.OwnsTrial(digest, claimant)", "won := true"),
 	}},
-	{Promise: "BUDGET: what stood beside is not held", Test: "TestWhatRanBesideTheCauseIsNotHeld", Package: "./internal/quarantine", Edits: []mutation.Edit{
-		mutation.Replace("internal/quarantine/book.go", "if len(other.Ended) > ends && other.held(policy)", "if false && other.held(policy)"),
+	{Promise: "BUDGET: what stood beside is not held", Test: "TestRequestRunningBesideTheCauseIsNotQuarantined", Package: "./internal/quarantine", Edits: []mutation.Edit{
+		mutation.Replace("internal/quarantine/registry.go", "if len(other.Ended) > crashes && other.reachedLimit(policy)", "if false && other.reachedLimit(policy)"),
 	}},
 	{Promise: "In touch: suspension counts", Test: "TestSuspendedNodeIsOutOfTouch", Package: "./internal/hosted", Edits: []mutation.Edit{
 		mutation.Replace("internal/clock/clock.go", "return reading.Sub(m.at) + m.Slept()", "return reading.Sub(m.at)"),
--- a/internal/quarantine/digest.go
+++ b/internal/quarantine/digest.go
@@ -6,42 +6,43 @@
 	"encoding/hex"
 )
 
-// Digest names the content of a request: it is the same in every try of the request, at
-// every node, whatever ids and deadlines the tries carry.
+// Digest identifies the content of a request. It is the same for every attempt at every
+// node, whatever ids and deadlines the attempts carry.
 type Digest [16]byte
 
-// String returns the digest as hexadecimal digits, as log lines show it.
+// String returns the digest in hexadecimal, as it appears in log lines.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// ParseDigest reads a digest from its bytes; false if they are too few or too many.
+// ParseDigest returns the digest with the given bytes, or false if their number is wrong.
 func ParseDigest(raw []byte) (Digest, bool) {
 	var digest Digest
 	return digest, copy(digest[:], raw) == len(raw) && len(raw) == len(digest)
 }
 
-// Content is what the tries of one request have in common, as far as a back end sees it.
+// Content is the part of a request that all of its attempts have in common, as seen by a
+// back end.
 type Content struct {
-	// Caller tells requests of different callers apart: the tenant, and what the caller
-	// shows of itself to the back end.
+	// Caller tells requests of different callers apart: the tenant, and the caller's
+	// identity as presented to the back end.
 	Caller []string
 	Method string
 	Host   string
-	// Path is the path and query.
+	// Path is the path with its query.
 	Path string
-	// Body is the body, if it is known before the request is sent, and Length its length in
-	// bytes, -1 if that is not known either.
+	// Body is the body if it is known before the request is sent. Length is its length in
+	// bytes, or -1 if unknown.
 	Body   []byte
 	Length int64
 }
 
-// Digest returns the digest of a content: the first half of a SHA-256 sum, so that nobody
-// can craft a request that has the digest of another.
+// Digest returns the first half of a SHA-256 sum over the content, so that nobody can craft
+// a request with the digest of another.
 func (c Content) Digest() Digest {
 	sum := sha256.New()
 	var number [8]byte
 	write := func(part []byte) {
 		binary.BigEndian.PutUint64(number[:], uint64(len(part)))
-		// A hash takes whatever it is given.
+		// hash.Hash.Write never returns an error.
 		_, _ = sum.Write(number[:])
 		_, _ = sum.Write(part)
 	}
--- a/internal/quarantine/digest_test.go
+++ b/internal/quarantine/digest_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestDigestTellsContentsApart(t *testing.T) {
+func TestDigestDiffersForDifferentContents(t *testing.T) {
 	base := Content{Caller: []string{"tenant", "key"}, Method: "POST", Host: "h", Path: "/p?q", Body: []byte("body"), Length: 4}
 	require.Equal(t, base.Digest(), base.Digest())
 	others := []Content{base, base, base, base, base, base, base}
@@ -24,7 +24,7 @@
 	}
 }
 
-func TestDigestIsReadFromItsBytesOnly(t *testing.T) {
+func TestParseDigestRejectsWrongLengths(t *testing.T) {
 	digest := Content{Path: "/p"}.Digest()
 	read, ok := ParseDigest(digest[:])
 	require.True(t, ok)
--- a/internal/quarantine/doc.go
+++ b/internal/quarantine/doc.go
@@ -1,14 +1,15 @@
-// Package quarantine keeps requests from back ends that end under them.
+// Package quarantine stops requests that repeatedly crash back ends.
 //
-// A request that crashes whatever runs it comes again, under another id and at another node,
-// and would take one back end after another with it. Its tries are joined by the digest of
-// their content. Each node records under which digests back ends ended and tells the others;
-// once back ends ended under a digest as often as the policy allows, no node sends it any
-// more but for a few trials, far apart and by one node each, so that a request which only
-// stood beside the cause is served again. A request that a back end survives is cleared.
+// A request that crashes every back end it runs on is retried under other ids and at other
+// nodes, and would crash one back end after another. All attempts of a request are
+// correlated by a digest of their content. Each node records which back ends crashed, that
+// is, terminated, while running a digest and publishes that to the other nodes. Once a digest has reached the
+// policy's crash limit, nodes send it no more, except for a few widely spaced trials, each
+// by a single node: these restore requests that merely ran beside the one that caused the
+// crashes. A request that a back end completes is cleared.
 //
-// Book is the state: a record for each digest, and a merge of two records that is
-// commutative and idempotent but for the winner of a trial, which is the first in a log and
-// otherwise whoever comes first. So records may be repeated, come late or in any order.
-// Guard drives it for the requests of one node.
+// Book is the state: one record per digest, and a merge that is commutative and idempotent
+// except for the winner of a trial, which is the first claim in the log and otherwise the
+// first to arrive. So records may be repeated, delayed and reordered. Guard applies the
+// state to the requests of one node.
 package quarantine
--- a/internal/quarantine/guard.go
+++ b/internal/quarantine/guard.go
@@ -11,19 +11,19 @@
 	"github.com/pathbend/pathbend/internal/result"
 )
 
-// Teller tells the other nodes what this one knows, through a log. What is read from the log,
-// also what this node told, comes by Merge, in the order of the log.
+// Teller publishes this node's records to the other nodes through a log. Records read back
+// from the log, including this node's own, are applied with Merge in log order.
 type Teller interface {
-	// Tell tells a record. It returns once this node has read it back, and with it what others
-	// told before, or once it has waited for as long as a request may. It goes on telling it
-	// after that.
+	// Tell publishes a record. It returns once this node has read the record back from the
+	// log, along with all earlier ones, or when the time that a request may wait is over.
+	// In the latter case publishing continues in the background.
 	Tell(ctx context.Context, record Record)
 }
 
-// TellWithin writes a record down, and returns once that is done or patience is over. The
-// writing goes on after that, and must end with its node.
-func TellWithin(ctx context.Context, patience time.Duration, write func()) {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+// TellWithin runs write and returns when it is done or the timeout has expired. After a
+// timeout write keeps running in the background; it must return when its node shuts down.
+func TellWithin(ctx context.Context, timeout time.Duration, write func()) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	written := make(chan struct{})
 	go func() {
@@ -36,85 +36,89 @@
 	}
 }
 
-// Guard holds requests of one node back from back ends that would end under them. It is safe
+// Guard keeps requests of one node away from back ends that they would crash. It is safe
 // for concurrent use.
 type Guard struct {
-	policy Policy
-	teller Teller
-	logger *event.Logger
+	policy    Policy
+	publisher Teller
+	logger    *event.Logger
 
-	// known is set while the book has any record, so that other requests pass unhashed.
-	known atomic.Bool
+	// nonEmpty is set while the registry holds any record. While it is unset, requests are
+	// not hashed.
+	nonEmpty atomic.Bool
 
-	mutex sync.Mutex
-	book  Book
-	// running counts the requests of this node at back ends, by digest, of those that a back
-	// end ended under.
+	mutex    sync.Mutex
+	registry Book
+	// running counts this node's requests in progress at back ends by digest, as far as they
+	// were admitted while the registry held a record.
 	running map[Digest]int
 	counts  Counts
 }
 
-// Counts are what a guard did since the start of the node.
+// Counts are the counters of a guard since the start of the node.
 type Counts struct {
-	// Ended counts back ends that ended under requests of this node, Refused requests that
-	// were held back. Held is the number of digests that are held now.
+	// Ended counts back ends that crashed while running requests of this node, and Refused
+	// the requests that were not let through. Held is the number of digests that are
+	// quarantined now.
 	Ended   int
 	Refused int
 	Held    int
 }
 
-// NewGuard returns a guard with an empty book. SetTeller must follow before its use.
+// NewGuard returns a guard with an empty registry. SetTeller must be called before the
+// guard is used.
 func NewGuard(policy Policy, logger *event.Logger) *Guard {
 	return &Guard{policy: policy, logger: logger, running: make(map[Digest]int)}
 }
 
-// SetTeller names what tells the other nodes.
-func (g *Guard) SetTeller(teller Teller) { g.teller = teller }
+// SetTeller sets the publisher to the other nodes.
+func (g *Guard) SetTeller(publisher Teller) { g.publisher = publisher }
 
-// suspectHint is when to come back for a request that runs at a back end already and may end
-// it: about as long as a run takes (chosen).
-const suspectHint = 250 * time.Millisecond
+// suspectRetryAfter is the retry delay for a suspect request that is already running at a
+// back end: roughly the duration of one run.
+const suspectRetryAfter = 250 * time.Millisecond
 
-// Enter lets a request to a back end, or returns a *result.Error that says when to come
-// back. leave must be called once its attempt is over. The digest is asked for only if any
-// is known.
-func (g *Guard) Enter(ctx context.Context, digestOf func() Digest) (leave func(), err error) {
-	if !g.known.Load() {
+// Enter admits a request to a back end, or returns a *result.Error with a retry delay. The
+// caller must call release when the attempt is over. digestOf is called only if the
+// registry holds any record.
+func (g *Guard) Enter(ctx context.Context, digestOf func() Digest) (release func(), err error) {
+	if !g.nonEmpty.Load() {
 		return func() {}, nil
 	}
 	digest := digestOf()
-	standing, until := g.standing(digest)
-	switch standing {
-	case Held:
+	status, until := g.status(digest)
+	switch status {
+	case Quarantined:
 		return nil, g.refuse(digest, time.Until(until))
-	case OnTrial:
-		if !g.claim(ctx, digest) {
-			return nil, g.refuse(digest, g.policy.Trial)
+	case TrialDue:
+		if !g.claimTrial(ctx, digest) {
+			return nil, g.refuse(digest, g.policy.TrialTimeout)
 		}
 	}
-	return g.enter(digest, standing)
+	return g.acquire(digest, status)
 }
 
-func (g *Guard) standing(digest Digest) (Standing, time.Time) {
+func (g *Guard) status(digest Digest) (Status, time.Time) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.book.Standing(digest, g.policy, time.Now())
+	return g.registry.Status(digest, g.policy, time.Now())
 }
 
-// enter counts a request as running. One more end would hold a suspect: so it runs alone.
-func (g *Guard) enter(digest Digest, standing Standing) (leave func(), err error) {
+// acquire counts a request as running. It refuses a suspect request that is already
+// running, since one more crash would quarantine it.
+func (g *Guard) acquire(digest Digest, status Status) (release func(), err error) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if standing == Suspect && g.running[digest] > 0 {
+	if status == Suspect && g.running[digest] > 0 {
 		g.counts.Refused++
-		return nil, result.New(result.RequestQuarantined, "back ends ended under this request, and it runs at another one already").
-			WithRetryAfter(suspectHint)
+		return nil, result.New(result.RequestQuarantined, "back ends crashed while running this request, and it is already running at another one").
+			WithRetryAfter(suspectRetryAfter)
 	}
 	g.running[digest]++
-	return func() { g.leave(digest) }, nil
+	return func() { g.release(digest) }, nil
 }
 
-func (g *Guard) leave(digest Digest) {
+func (g *Guard) release(digest Digest) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.running[digest]--
@@ -127,148 +131,155 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.counts.Refused++
-	return result.New(result.RequestQuarantined, "%d back ends ended under this request", g.book.Ends(digest)).
-		WithRetryAfter(max(wait, suspectHint))
+	return result.New(result.RequestQuarantined, "%d back ends crashed while running this request", g.registry.CrashCount(digest)).
+		WithRetryAfter(max(wait, suspectRetryAfter))
 }
 
-// claim claims a trial for this node, and reports whether it is its.
-func (g *Guard) claim(ctx context.Context, digest Digest) bool {
+// claimTrial publishes a claim on a trial and reports whether this node won it.
+func (g *Guard) claimTrial(ctx context.Context, digest Digest) bool {
 	claimant := rand.Uint64()
 	g.mutex.Lock()
-	claimed, open := g.book.Claim(digest, g.policy, claimant, time.Now())
+	claimed, due := g.registry.ClaimTrial(digest, g.policy, claimant, time.Now())
 	g.mutex.Unlock()
-	if !open {
+	if !due {
 		return false
 	}
-	g.teller.Tell(ctx, claimed)
+	g.publisher.Tell(ctx, claimed)
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	won := g.book.Claims(digest, claimant)
+	won := g.registry.OwnsTrial(digest, claimant)
 	if won {
-		g.logger.Log(event.QuarantineTried, "digest", digest.String(), "ends", g.book.Ends(digest), "trial", claimed.Trials)
+		g.logger.Log(event.QuarantineTried, "digest", digest.String(), "ends", g.registry.CrashCount(digest), "trial", claimed.Trials)
 	}
 	return won
 }
 
-// Suspected reports whether a back end ended under a request that none survived since. Such a
-// request runs at one back end at a time, and whether that ends is waited for.
+// Suspected reports whether a request has crashed a back end and none has run it
+// successfully since. Callers run such a request at one back end at a time and wait to see
+// whether that back end crashes.
 func (g *Guard) Suspected(digestOf func() Digest) bool {
-	if !g.known.Load() {
+	if !g.nonEmpty.Load() {
 		return false
 	}
 	digest := digestOf()
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.book.Ends(digest) > 0
+	return g.registry.CrashCount(digest) > 0
 }
 
-// Ended notes that a back end ended under a request, and tells the others before it returns.
+// Ended records that a back end crashed while running a request, and publishes the record
+// before it returns.
 func (g *Guard) Ended(ctx context.Context, digest Digest, backEnd string) {
-	if record, news := g.noteEnded(digest, backEnd); news {
-		g.teller.Tell(ctx, record)
+	if record, changed := g.addCrash(digest, backEnd); changed {
+		g.publisher.Tell(ctx, record)
 	}
 }
 
-// Heard notes that a back end ended under a request, of which another node tells the others.
-func (g *Guard) Heard(digest Digest, backEnd string) { g.noteEnded(digest, backEnd) }
+// Heard records that a back end crashed while running a request, without publishing it:
+// another node does so.
+func (g *Guard) Heard(digest Digest, backEnd string) { g.addCrash(digest, backEnd) }
 
-func (g *Guard) noteEnded(digest Digest, backEnd string) (Record, bool) {
+func (g *Guard) addCrash(digest Digest, backEnd string) (Record, bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	before, _ := g.book.Standing(digest, g.policy, time.Now())
-	record, news := g.book.NoteEnded(digest, backEnd, time.Now())
-	g.noteKnown()
-	if news {
+	before, _ := g.registry.Status(digest, g.policy, time.Now())
+	record, changed := g.registry.AddCrash(digest, backEnd, time.Now())
+	g.updateNonEmpty()
+	if changed {
 		g.counts.Ended++
 		g.logger.Log(event.BackEndEnded, "digest", digest.String(), "back_end", backEnd, "ends", len(record.Ended))
-		g.logHeld(digest, before)
+		g.logQuarantined(digest, before)
 	}
-	return record, news
+	return record, changed
 }
 
-// Served notes that a back end survived a request.
+// Served records that a back end ran a request without crashing, which lifts the
+// quarantine.
 func (g *Guard) Served(ctx context.Context, digestOf func() Digest) {
-	if !g.known.Load() {
+	if !g.nonEmpty.Load() {
 		return
 	}
 	digest := digestOf()
 	g.mutex.Lock()
-	ends := g.book.Ends(digest)
-	record, cleared := g.book.NoteServed(digest, time.Now())
+	crashes := g.registry.CrashCount(digest)
+	record, cleared := g.registry.Clear(digest, time.Now())
 	g.mutex.Unlock()
 	if !cleared {
 		return
 	}
-	g.logger.Log(event.QuarantineCleared, "digest", digest.String(), "ends", ends)
-	// The answer does not wait for it.
-	go g.teller.Tell(context.WithoutCancel(ctx), record)
+	g.logger.Log(event.QuarantineCleared, "digest", digest.String(), "ends", crashes)
+	// The response is not delayed until the record is published.
+	go g.publisher.Tell(context.WithoutCancel(ctx), record)
 }
 
-// Merge takes in what another node told, or what this one told itself.
-func (g *Guard) Merge(told Record) {
+// Merge applies a record that was read from the log, whether from another node or from this
+// one.
+func (g *Guard) Merge(received Record) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	before, _ := g.book.Standing(told.Digest, g.policy, time.Now())
-	if g.book.Merge(told, time.Now()) {
-		g.logHeld(told.Digest, before)
+	before, _ := g.registry.Status(received.Digest, g.policy, time.Now())
+	if g.registry.Merge(received, time.Now()) {
+		g.logQuarantined(received.Digest, before)
 	}
-	g.noteKnown()
+	g.updateNonEmpty()
 }
 
-// logHeld tells that a digest is held from now on, if it was not before. It is called under
-// the lock.
-func (g *Guard) logHeld(digest Digest, before Standing) {
-	after, until := g.book.Standing(digest, g.policy, time.Now())
-	if before == Held || before == OnTrial || after != Held {
+// logQuarantined logs that a digest is quarantined, unless it already was. The caller must
+// hold the mutex.
+func (g *Guard) logQuarantined(digest Digest, before Status) {
+	after, until := g.registry.Status(digest, g.policy, time.Now())
+	if before == Quarantined || before == TrialDue || after != Quarantined {
 		return
 	}
-	g.logger.Log(event.RequestQuarantined, "digest", digest.String(), "ends", g.book.Ends(digest), "retry_after_ms", time.Until(until).Milliseconds())
+	g.logger.Log(event.RequestQuarantined, "digest", digest.String(), "ends", g.registry.CrashCount(digest), "retry_after_ms", time.Until(until).Milliseconds())
 }
 
-// Ends counts the back ends that ended under a digest that none survived since.
+// Ends returns the number of back ends that crashed while running a digest, since the last
+// successful run.
 func (g *Guard) Ends(digest Digest) int {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.book.Ends(digest)
+	return g.registry.CrashCount(digest)
 }
 
-// HeldUntil is when a digest may be tried again, the zero time if it is not held.
+// HeldUntil returns when the next trial of a digest is due, or the zero time if the digest
+// is not quarantined or its trial is due already.
 func (g *Guard) HeldUntil(digest Digest) time.Time {
-	if !g.known.Load() {
+	if !g.nonEmpty.Load() {
 		return time.Time{}
 	}
-	if standing, until := g.standing(digest); standing == Held {
+	if status, until := g.status(digest); status == Quarantined {
 		return until
 	}
 	return time.Time{}
 }
 
-// Empty reports whether nothing is known of any digest.
-func (g *Guard) Empty() bool { return !g.known.Load() }
+// Empty reports whether the registry holds no records.
+func (g *Guard) Empty() bool { return !g.nonEmpty.Load() }
 
-// Held lists the records that are held.
+// Held returns the records of all quarantined digests.
 func (g *Guard) Held() []Record {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.book.Held(g.policy)
+	return g.registry.Quarantined(g.policy)
 }
 
-// Expire forgets what nothing was heard of for long.
+// Expire deletes the records that have not changed within their retention period.
 func (g *Guard) Expire() {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.book.Expire(time.Now())
-	g.noteKnown()
+	g.registry.Expire(time.Now())
+	g.updateNonEmpty()
 }
 
-// Counts returns what the guard did.
+// Counts returns the guard's counters.
 func (g *Guard) Counts() Counts {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	counts := g.counts
-	counts.Held = len(g.book.Held(g.policy))
+	counts.Held = len(g.registry.Quarantined(g.policy))
 	return counts
 }
 
-// noteKnown is called under the lock.
-func (g *Guard) noteKnown() { g.known.Store(!g.book.Empty()) }
+// updateNonEmpty sets nonEmpty from the registry. The caller must hold the mutex.
+func (g *Guard) updateNonEmpty() { g.nonEmpty.Store(!g.registry.Empty()) }
--- a/internal/quarantine/guard_test.go
+++ b/internal/quarantine/guard_test.go
@@ -15,15 +15,15 @@
 	"github.com/pathbend/pathbend/internal/result"
 )
 
-// sharedLog hands every record to all guards, in one order. Nothing is heard while it is
-// lost.
-type sharedLog struct {
-	guards []*Guard
-	lost   bool
+// fakeLog delivers each record to all guards in one order. While disconnected it drops
+// records.
+type fakeLog struct {
+	guards       []*Guard
+	disconnected bool
 }
 
-func (l *sharedLog) Tell(_ context.Context, record Record) {
-	if l.lost {
+func (l *fakeLog) Tell(_ context.Context, record Record) {
+	if l.disconnected {
 		return
 	}
 	for _, guard := range l.guards {
@@ -31,9 +31,9 @@
 	}
 }
 
-// guards returns the guards of some nodes.
-func guards(count int, policy Policy) ([]*Guard, *sharedLog) {
-	log := &sharedLog{}
+// newGuards returns the guards of count nodes that share a log.
+func newGuards(count int, policy Policy) ([]*Guard, *fakeLog) {
+	log := &fakeLog{}
 	for range count {
 		guard := NewGuard(policy, event.Discard())
 		guard.SetTeller(log)
@@ -44,11 +44,12 @@
 
 func digestOf() Digest { return digest }
 
-// admitted counts the guards that let a request through, and leaves at once.
-func admitted(t *testing.T, among []*Guard) int {
+// admitted returns how many of the guards admit the request. Each attempt is released at
+// once.
+func admitted(t *testing.T, nodes []*Guard) int {
 	t.Helper()
 	count := 0
-	for _, guard := range among {
+	for _, guard := range nodes {
 		leave, err := guard.Enter(context.Background(), digestOf)
 		if err != nil {
 			require.True(t, result.Is(err, result.RequestQuarantined), "%v", err)
@@ -62,100 +63,100 @@
 	return count
 }
 
-func TestEndsAtAnyNodesHoldARequestAtAll(t *testing.T) {
+func TestCrashesAtDifferentNodesQuarantineARequestAtAllNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		nodes, _ := guards(3, Requests())
+		nodes, _ := newGuards(3, Requests())
 		for i, node := range nodes {
-			require.Equal(t, len(nodes), admitted(t, nodes), "%d ends", i)
+			require.Equal(t, len(nodes), admitted(t, nodes), "%d crashes", i)
 			node.Ended(context.Background(), digest, fmt.Sprint("back-end-", i))
-			require.True(t, nodes[0].Suspected(digestOf), "it runs at one back end at a time")
+			require.True(t, nodes[0].Suspected(digestOf), "the request must be suspect")
 		}
 		require.Zero(t, admitted(t, nodes))
 		require.Equal(t, Counts{Ended: 1, Refused: 1, Held: 1}, nodes[0].Counts())
 	})
 }
 
-func TestOnlyOneNodeTriesAHeldRequest(t *testing.T) {
+func TestOnlyOneNodeRunsATrial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		nodes, _ := guards(5, Requests())
+		nodes, _ := newGuards(5, Requests())
 		for i := range Ends {
 			nodes[i].Ended(context.Background(), digest, fmt.Sprint("back-end-", i))
 		}
-		time.Sleep(Requests().Pauses[0])
+		time.Sleep(Requests().TrialDelays[0])
 		require.Equal(t, 1, admitted(t, nodes))
 		nodes[0].Ended(context.Background(), digest, "back-end-of-the-trial")
-		time.Sleep(Requests().Pauses[0])
-		require.Zero(t, admitted(t, nodes), "the second trial comes later")
-		time.Sleep(Requests().Pauses[1])
+		time.Sleep(Requests().TrialDelays[0])
+		require.Zero(t, admitted(t, nodes), "the second trial has a longer delay")
+		time.Sleep(Requests().TrialDelays[1])
 		require.Equal(t, 1, admitted(t, nodes))
 		nodes[0].Served(context.Background(), digestOf)
 		synctest.Wait()
-		require.Equal(t, len(nodes), admitted(t, nodes), "a back end survived it")
+		require.Equal(t, len(nodes), admitted(t, nodes), "a back end ran it without crashing")
 	})
 }
 
-// slowLog hands records on only once so many were told.
-type slowLog struct {
-	sharedLog
-	waitFor int
-	mutex   sync.Mutex
-	told    []Record
-	full    chan struct{}
+// batchingLog delivers records only when batchSize of them have been published.
+type batchingLog struct {
+	fakeLog
+	batchSize int
+	mutex     sync.Mutex
+	published []Record
+	delivered chan struct{}
 }
 
-func (l *slowLog) Tell(ctx context.Context, record Record) {
+func (l *batchingLog) Tell(ctx context.Context, record Record) {
 	l.mutex.Lock()
-	l.told = append(l.told, record)
-	if len(l.told) == l.waitFor {
-		for _, one := range l.told {
-			l.sharedLog.Tell(ctx, one)
+	l.published = append(l.published, record)
+	if len(l.published) == l.batchSize {
+		for _, record := range l.published {
+			l.fakeLog.Tell(ctx, record)
 		}
-		close(l.full)
+		close(l.delivered)
 	}
 	l.mutex.Unlock()
-	<-l.full
+	<-l.delivered
 }
 
-func TestOfClaimsAtOnceTheFirstInTheLogWins(t *testing.T) {
+func TestFirstOfConcurrentClaimsInTheLogWins(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		nodes, log := guards(3, Requests())
+		nodes, log := newGuards(3, Requests())
 		for i := range Ends {
 			nodes[i].Ended(context.Background(), digest, fmt.Sprint("back-end-", i))
 		}
-		time.Sleep(Requests().Pauses[0])
-		slow := &slowLog{sharedLog: *log, waitFor: len(nodes), full: make(chan struct{})}
-		var tried atomic.Int64
+		time.Sleep(Requests().TrialDelays[0])
+		batching := &batchingLog{fakeLog: *log, batchSize: len(nodes), delivered: make(chan struct{})}
+		var admittedCount atomic.Int64
 		for _, node := range nodes {
-			node.SetTeller(slow)
+			node.SetTeller(batching)
 			go func() {
 				if leave, err := node.Enter(context.Background(), digestOf); err == nil {
-					tried.Add(1)
+					admittedCount.Add(1)
 					leave()
 				}
 			}()
 		}
 		synctest.Wait()
-		require.EqualValues(t, 1, tried.Load())
+		require.EqualValues(t, 1, admittedCount.Load())
 	})
 }
 
-func TestNodeWithoutTheLogTriesNothing(t *testing.T) {
+func TestNodeCutOffFromTheLogRunsNoTrial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		nodes, log := guards(2, Requests())
+		nodes, log := newGuards(2, Requests())
 		for i := range Ends {
 			nodes[0].Ended(context.Background(), digest, fmt.Sprint("back-end-", i))
 		}
-		log.lost = true
-		time.Sleep(2 * Requests().Pauses[0])
+		log.disconnected = true
+		time.Sleep(2 * Requests().TrialDelays[0])
 		require.Zero(t, admitted(t, nodes))
-		log.lost = false
+		log.disconnected = false
 		require.Equal(t, 1, admitted(t, nodes))
 	})
 }
 
-func TestNodeWithoutTheLogStillCountsWhatItSees(t *testing.T) {
-	nodes, log := guards(2, Requests())
-	log.lost = true
+func TestNodeCutOffFromTheLogCountsItsOwnCrashes(t *testing.T) {
+	nodes, log := newGuards(2, Requests())
+	log.disconnected = true
 	for i := range Ends {
 		nodes[0].Ended(context.Background(), digest, fmt.Sprint("back-end-", i))
 	}
@@ -163,8 +164,8 @@
 	require.Equal(t, 1, admitted(t, nodes[1:]))
 }
 
-func TestSuspectRunsAlone(t *testing.T) {
-	nodes, _ := guards(1, Requests())
+func TestSuspectRequestRunsOneAtATime(t *testing.T) {
+	nodes, _ := newGuards(1, Requests())
 	for i := range Ends - 1 {
 		nodes[0].Ended(context.Background(), digest, fmt.Sprint("back-end-", i))
 	}
@@ -175,26 +176,26 @@
 	require.Equal(t, 1, admitted(t, nodes))
 }
 
-func TestOtherRequestsAreNotHashedWhileNothingIsKnown(t *testing.T) {
-	nodes, _ := guards(1, Requests())
-	unasked := func() Digest { panic("not to be asked") }
-	leave, err := nodes[0].Enter(context.Background(), unasked)
+func TestRequestsAreNotHashedWhileTheRegistryIsEmpty(t *testing.T) {
+	nodes, _ := newGuards(1, Requests())
+	unexpectedDigest := func() Digest { panic("digest computed with an empty registry") }
+	leave, err := nodes[0].Enter(context.Background(), unexpectedDigest)
 	require.NoError(t, err)
 	leave()
-	require.False(t, nodes[0].Suspected(unasked))
-	nodes[0].Served(context.Background(), unasked)
+	require.False(t, nodes[0].Suspected(unexpectedDigest))
+	nodes[0].Served(context.Background(), unexpectedDigest)
 	require.True(t, nodes[0].HeldUntil(digest).IsZero())
 }
 
-func TestItemIsHeldUntilItsTrial(t *testing.T) {
+func TestItemIsQuarantinedUntilItsTrial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		nodes, _ := guards(1, Items())
+		nodes, _ := newGuards(1, Items())
 		for i := range Ends {
 			require.True(t, nodes[0].HeldUntil(digest).IsZero())
 			nodes[0].Ended(context.Background(), digest, fmt.Sprint("sampler-", i))
 		}
-		require.Equal(t, time.Now().Add(Items().Pauses[0]).Unix(), nodes[0].HeldUntil(digest).Unix())
-		time.Sleep(Items().Pauses[0])
+		require.Equal(t, time.Now().Add(Items().TrialDelays[0]).Unix(), nodes[0].HeldUntil(digest).Unix())
+		time.Sleep(Items().TrialDelays[0])
 		require.True(t, nodes[0].HeldUntil(digest).IsZero())
 	})
 }
--- a/internal/quarantine/policy.go
+++ b/internal/quarantine/policy.go
@@ -2,45 +2,49 @@
 
 import "time"
 
-// Policy says how often back ends may end under a request, and when it is tried again.
+// Policy defines how many back ends a request may crash before it is quarantined, and when
+// it is tried again.
 type Policy struct {
-	// Ends is how many back ends may end under a request before it is held.
-	Ends int
-	// Pauses are the times from the last end, or the last trial, to the next trial; the last
+	// CrashLimit is the number of back-end crashes at which a request is quarantined.
+	CrashLimit int
+	// TrialDelays are the delays from the latest crash or trial to the next trial. The last
 	// one repeats.
-	Pauses []time.Duration
-	// Trial is how long a trial is waited for before another one may begin.
-	Trial time.Duration
+	TrialDelays []time.Duration
+	// TrialTimeout is the retry delay of a request whose trial another node has claimed.
+	TrialTimeout time.Duration
 }
 
-// Ends is how many back ends may end under a request: one may be chance, two may be a node
-// that took both down, and the users' rules know a request by the third.
+// Ends is the number of back-end crashes at which a request is quarantined. One crash may
+// be a coincidence, and two may be one node that took both back ends down. The service's
+// requirements expect a request to be recognized at the third.
 const Ends = 3
 
 const (
-	// lastPause is the last of all pauses: a trial an hour costs one back end an hour (chosen).
-	lastPause = time.Hour
-	// trialTime is longer than any deadline that clients give.
-	trialTime = 30 * time.Second
+	// maxTrialDelay is the longest delay between trials: at one trial an hour a request
+	// costs at most one back end an hour.
+	maxTrialDelay = time.Hour
+	// trialTimeout exceeds any deadline that clients set.
+	trialTimeout = 30 * time.Second
 )
 
-// Requests returns the policy for requests of clients and reward calls. A node hears of the
-// others' ends within some 100 ms; the users allow three sends after nodes had 3 s to hear of
-// the third end, of which two are trials and one is left to nodes that have just started.
+// Requests returns the policy for client requests and reward calls. Nodes learn of crashes
+// seen by others within about 100 ms. The requirements allow three sends after nodes have
+// had 3 s to learn of the third crash: two of them are trials, and one is left for nodes
+// that have just started.
 func Requests() Policy {
-	return Policy{Ends: Ends, Pauses: []time.Duration{15 * time.Second, 2 * time.Minute, lastPause}, Trial: trialTime}
+	return Policy{CrashLimit: Ends, TrialDelays: []time.Duration{15 * time.Second, 2 * time.Minute, maxTrialDelay}, TrialTimeout: trialTimeout}
 }
 
-// Items returns the policy for items of batch jobs. Several run beside each other at one
-// sampler, so that an item may stand beside the cause more often, and only one node starts
-// them: it tries again sooner. The first trial comes within the 3 s after the third end that
-// the users leave to nodes, the two others are sends after it.
+// Items returns the policy for items of batch jobs. A sampler runs several items at once,
+// so an item is more often running beside the one that caused a crash, and only one node
+// starts items: trials come sooner. The first trial falls within the 3 s after the third
+// crash that the requirements leave for propagation; the two others are sends after it.
 func Items() Policy {
-	return Policy{Ends: Ends, Pauses: []time.Duration{time.Second, 4 * time.Second, 8 * time.Second, lastPause}, Trial: trialTime}
+	return Policy{CrashLimit: Ends, TrialDelays: []time.Duration{time.Second, 4 * time.Second, 8 * time.Second, maxTrialDelay}, TrialTimeout: trialTimeout}
 }
 
-// pause returns the time before the next trial after a number of trials, or of ends beyond
-// the limit.
-func (p Policy) pause(trials int) time.Duration {
-	return p.Pauses[min(trials, len(p.Pauses)-1)]
+// trialDelay returns the delay before the next trial, given the number of trials so far or
+// of crashes beyond the limit.
+func (p Policy) trialDelay(trials int) time.Duration {
+	return p.TrialDelays[min(trials, len(p.TrialDelays)-1)]
 }
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -5,27 +5,29 @@
 	"time"
 )
 
-// Record is what is known of one digest. It is also what nodes tell each other.
+// Record holds the crashes and trials of one digest. Nodes exchange records to share their
+// state.
 type Record struct {
 	Digest Digest
-	// Epoch counts how often the digest was cleared. A record of an earlier epoch says
-	// nothing any more.
+	// Epoch counts how often the digest was cleared. Records of an earlier epoch are
+	// ignored.
 	Epoch uint64
-	// Ended are the back ends that ended under the digest in this epoch, by id, ascending.
+	// Ended holds the ids of the back ends that crashed while running the digest in this
+	// epoch, ascending.
 	Ended []string
-	// Trials counts the trials of this epoch, Claimant is who made the last one.
+	// Trials counts the trials of this epoch. Claimant identifies who claimed the latest
+	// one.
 	Trials   int
 	Claimant uint64
-	// ChangedAt is when the last end or trial was, by the clock of the node that holds the
-	// record.
+	// ChangedAt is the time of the latest crash or trial, by the clock of the node that
+	// recorded it.
 	ChangedAt time.Time
 }
 
-// mostEnded bounds the ids that a record keeps: more say nothing new.
-const mostEnded = 16
+// maxCrashedBackEnds limits the ids in a record. Further ids would change no decision.
+const maxCrashedBackEnds = 16
 
-// merge takes in what another record of the same digest says, and reports whether that
-// was news.
+// merge applies another record of the same digest and reports whether this record changed.
 func (r *Record) merge(other Record) bool {
 	switch {
 	case other.Epoch < r.Epoch:
@@ -35,40 +37,41 @@
 		r.Ended = slices.Clone(other.Ended)
 		return true
 	}
-	news := false
+	changed := false
 	for _, id := range other.Ended {
-		news = r.addEnded(id) || news
+		changed = r.addCrashed(id) || changed
 	}
 	if other.Trials > r.Trials {
 		r.Trials, r.Claimant = other.Trials, other.Claimant
-		news = true
+		changed = true
 	}
-	if news && other.ChangedAt.After(r.ChangedAt) {
+	if changed && other.ChangedAt.After(r.ChangedAt) {
 		r.ChangedAt = other.ChangedAt
 	}
-	return news
+	return changed
 }
 
-// addEnded adds the id of a back end, and reports whether it is news.
-func (r *Record) addEnded(id string) bool {
-	at, known := slices.BinarySearch(r.Ended, id)
-	if known || len(r.Ended) == mostEnded {
+// addCrashed adds the id of a crashed back end and reports whether the record changed.
+func (r *Record) addCrashed(id string) bool {
+	at, found := slices.BinarySearch(r.Ended, id)
+	if found || len(r.Ended) == maxCrashedBackEnds {
 		return false
 	}
 	r.Ended = slices.Insert(slices.Clip(r.Ended), at, id)
 	return true
 }
 
-// has reports whether a back end is known to have ended.
-func (r *Record) has(id string) bool {
-	_, known := slices.BinarySearch(r.Ended, id)
-	return known
+// hasCrashed reports whether the record lists a back end as crashed.
+func (r *Record) hasCrashed(id string) bool {
+	_, found := slices.BinarySearch(r.Ended, id)
+	return found
 }
 
-// held reports whether as many back ends ended under the digest as a policy allows.
-func (r *Record) held(policy Policy) bool { return len(r.Ended) >= policy.Ends }
+// reachedLimit reports whether the digest has as many crashes as the policy's limit.
+func (r *Record) reachedLimit(policy Policy) bool { return len(r.Ended) >= policy.CrashLimit }
 
-// trialAt is when a digest may be tried again that is held for a number of ends.
-func (r *Record) trialAt(policy Policy, ends int) time.Time {
-	return r.ChangedAt.Add(policy.pause(max(ends-policy.Ends, r.Trials)))
+// nextTrialAt returns when the next trial is due for a quarantined digest with the given
+// number of crashes.
+func (r *Record) nextTrialAt(policy Policy, crashes int) time.Time {
+	return r.ChangedAt.Add(policy.trialDelay(max(crashes-policy.CrashLimit, r.Trials)))
 }
--- a/internal/quarantine/wire.go
+++ b/internal/quarantine/wire.go
@@ -7,7 +7,8 @@
 	"github.com/pathbend/pathbend/internal/result"
 )
 
-// Encode returns the message that tells a record.
+// Encode returns the protobuf message for a record. item is set for items of batch jobs and
+// unset for requests.
 func Encode(record Record, item bool) *pathbendv1.SuspectRequest {
 	return &pathbendv1.SuspectRequest{
 		Digest: record.Digest[:], Epoch: record.Epoch, Ended: record.Ended, Trials: uint32(record.Trials),
@@ -15,18 +16,19 @@
 	}
 }
 
-// Decode reads a record from its message.
-func Decode(told *pathbendv1.SuspectRequest) (Record, error) {
-	digest, ok := ParseDigest(told.GetDigest())
+// Decode returns the record of a protobuf message, or an error if its digest has the wrong
+// length.
+func Decode(message *pathbendv1.SuspectRequest) (Record, error) {
+	digest, ok := ParseDigest(message.GetDigest())
 	if !ok {
-		return Record{}, result.New(result.RecordMalformed, "a digest of %d bytes", len(told.GetDigest()))
+		return Record{}, result.New(result.RecordMalformed, "digest has %d bytes", len(message.GetDigest()))
 	}
 	record := Record{
-		Digest: digest, Epoch: told.Epoch, Trials: int(told.Trials), Claimant: told.Claimant,
-		ChangedAt: time.UnixMilli(told.ChangedUnixMs),
+		Digest: digest, Epoch: message.Epoch, Trials: int(message.Trials), Claimant: message.Claimant,
+		ChangedAt: time.UnixMilli(message.ChangedUnixMs),
 	}
-	for _, id := range told.Ended {
-		record.addEnded(id)
+	for _, id := range message.Ended {
+		record.addCrashed(id)
 	}
 	return record, nil
 }
