--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -1,18 +1,17 @@
-// Package membership keeps each node's view of the other nodes.
+// Package membership maintains each node's view of the other nodes with a gossip protocol.
 //
-// Machine is a pure state machine: the driver calls Tick at every interval and
-// sends the heartbeats it returns; it hands in heartbeats, acknowledgements and
-// misses with the time at which they happened. No goroutine, socket or clock
-// is inside.
+// Machine is a pure state machine without goroutines, sockets or clocks. The driver calls
+// Tick at every interval and sends the heartbeats it returns. It passes in heartbeats,
+// acknowledgements and misses along with the time of each.
 //
-// Every node watches a few successors on a hash ring of all live nodes, so the
-// cost of a node does not grow with the cluster, and each node is watched by as
-// many. Statements about members spread by gossip: they ride on heartbeats, and
-// a fresh statement is also sent to a few random members at the next tick.
+// Every node monitors a few successors on a hash ring of all live nodes and is monitored by
+// as many, so the cost per node does not grow with the cluster. Updates about members
+// spread by gossip: heartbeats carry them, and a new update is also sent to a few random
+// members at the next tick.
 //
 // Invariants:
-//   - a statement about a member replaces another only with a higher version,
-//     or with the same version and a graver status;
+//   - an update about a member replaces another only if it has a higher version, or the
+//     same version and a more severe status;
 //   - only the member itself raises its version, to refute a suspicion;
-//   - a node that was paused itself suspects nobody for what it missed.
+//   - a node that was paused does not suspect others for heartbeats missed meanwhile.
 package membership
--- a/internal/membership/machine.go
+++ b/internal/membership/machine.go
@@ -13,54 +13,54 @@
 )
 
 const (
-	// maxUpdates bounds the statements on one heartbeat.
+	// maxUpdates limits the gossiped updates per heartbeat, in addition to the sender's
+	// own.
 	maxUpdates = 12
-	// transmitFactor times log2 of the cluster size is how often a statement
-	// is sent on by each node.
+	// transmitFactor times log2 of the cluster size is how often each node transmits an
+	// update.
 	transmitFactor = 3
-	// pauseFactor times the interval without a tick counts as a pause of this
-	// node.
+	// pauseFactor is the number of intervals without a tick after which this node counts as
+	// having been paused.
 	pauseFactor = 2
-	// maxSeedProbes bounds the probes to unknown addresses at one tick.
+	// maxSeedProbes limits the probes to unknown addresses per tick.
 	maxSeedProbes = 3
-	// divergenceLimit is how long two tables may differ before they are
-	// exchanged whole.
-	divergenceLimit = 5 * time.Second
+	// divergenceTimeout is how long two tables may differ before they are exchanged in
+	// full.
+	divergenceTimeout = 5 * time.Second
 )
 
-type record struct {
+type memberEntry struct {
 	member Member
-	// since is when the status was taken on here.
+	// since is when this node recorded the status.
 	since time.Time
-	// misses counts unanswered heartbeats in a row.
+	// misses counts consecutive unanswered heartbeats.
 	misses int
-	// divergedSince is when this member's digest began to differ from ours.
+	// divergedSince is when this member's digest began to differ from ours, or zero.
 	divergedSince time.Time
 }
 
-// Machine is the membership state of one node. It is not safe for concurrent
-// use.
+// Machine is the membership state of one node. It is not safe for concurrent use.
 type Machine struct {
 	settings Settings
 	self     Member
 	random   *rand.Rand
-	members  map[string]*record
+	members  map[string]*memberEntry
 	seeds    map[string]struct{}
-	// timed are the ids whose status runs out: suspects and the dead.
-	timed map[string]struct{}
-	// unknownSeeds are the seeds at which no live member is known.
+	// expiring holds the ids with a status that times out: suspect and dead members.
+	expiring map[string]struct{}
+	// unknownSeeds are the seeds without a known live member.
 	unknownSeeds []string
 	seedsStale   bool
-	// remaining counts how often a statement is still to be sent.
-	remaining map[string]int
-	fresh     bool
-	changes   []Change
-	ring      []ringEntry
-	ringStale bool
-	lastTick  time.Time
-	digest    uint64
-	hasDigest bool
-	// changeCount counts stores and removals.
+	// transmissionsLeft counts how often the update about a member is still to be sent.
+	transmissionsLeft map[string]int
+	hasUnsent         bool
+	changes           []Change
+	ring              []ringEntry
+	ringStale         bool
+	lastTick          time.Time
+	digest            uint64
+	digestValid       bool
+	// changeCount counts stored updates and removals.
 	changeCount uint64
 }
 
@@ -74,22 +74,22 @@
 	self.Status = Alive
 	self.Version = 1
 	machine := &Machine{
-		settings:  settings,
-		self:      self,
-		random:    random,
-		members:   make(map[string]*record),
-		seeds:     make(map[string]struct{}),
-		remaining: make(map[string]int),
-		timed:     make(map[string]struct{}),
-		ringStale: true,
-		lastTick:  now,
+		settings:          settings,
+		self:              self,
+		random:            random,
+		members:           make(map[string]*memberEntry),
+		seeds:             make(map[string]struct{}),
+		transmissionsLeft: make(map[string]int),
+		expiring:          make(map[string]struct{}),
+		ringStale:         true,
+		lastTick:          now,
 	}
 	machine.store(self, now)
 	machine.changes = nil
 	return machine
 }
 
-// Self returns the node's own statement.
+// Self returns the node's own entry.
 func (m *Machine) Self() Member { return m.self }
 
 // Members returns every known member ordered by id, dead ones included.
@@ -101,11 +101,10 @@
 	return members
 }
 
-// Changes counts the changes of the table so far. The members are the same as
-// long as it is.
+// Changes returns a counter that changes whenever the members do.
 func (m *Machine) Changes() uint64 { return m.changeCount }
 
-// Get returns one member.
+// Get returns the member with the given id.
 func (m *Machine) Get(id string) (Member, bool) {
 	found, ok := m.members[id]
 	if !ok {
@@ -114,8 +113,8 @@
 	return found.member, true
 }
 
-// TakeChanges returns the status changes since the last call. A change of the
-// node itself is a refutation; Former is what others held of it.
+// TakeChanges returns the status changes since the last call. A change of the node itself
+// is a refutation, and its Former is the status that others had assigned to it.
 func (m *Machine) TakeChanges() []Change {
 	changes := m.changes
 	m.changes = nil
@@ -133,21 +132,22 @@
 	m.seedsStale = true
 }
 
-// Leave announces that this node takes no new work.
+// Leave announces that this node accepts no new work.
 func (m *Machine) Leave(now time.Time) {
 	m.self.Version++
 	m.self.Status = Leaving
 	m.store(m.self, now)
 }
 
-// Depart returns the messages that announce this node's end to its monitors.
+// Depart marks this node as dead and returns the messages that announce it, to the members
+// it monitors and a few more successors.
 func (m *Machine) Depart(now time.Time) []Message {
 	m.self.Version++
 	m.self.Status = Dead
 	m.store(m.self, now)
 	var messages []Message
-	for _, id := range m.neighbours(m.settings.Monitors + m.settings.GossipFanout) {
-		messages = append(messages, m.messageTo(id))
+	for _, id := range m.successors(m.settings.Monitors + m.settings.GossipFanout) {
+		messages = append(messages, m.newMessage(id))
 	}
 	return messages
 }
@@ -155,59 +155,60 @@
 // Tick advances timers and returns the heartbeats to send now.
 func (m *Machine) Tick(now time.Time) []Message {
 	if now.Sub(m.lastTick) > pauseFactor*m.settings.Interval {
-		m.forgiveMisses(now)
+		m.resetTimers(now)
 	}
 	m.lastTick = now
 	m.expire(now)
 	targets := m.targets()
 	messages := make([]Message, 0, len(targets)+maxSeedProbes)
 	for _, id := range targets {
-		messages = append(messages, m.messageTo(id))
+		messages = append(messages, m.newMessage(id))
 	}
-	m.fresh = false
+	m.hasUnsent = false
 	return append(messages, m.seedProbes()...)
 }
 
-// forgiveMisses restarts every timer that ran while this node was paused.
-func (m *Machine) forgiveMisses(now time.Time) {
-	for _, held := range m.members {
-		held.misses = 0
-		if held.member.Status == Suspect {
-			held.since = now
+// resetTimers clears the misses and suspicion timers that ran while this node was paused.
+func (m *Machine) resetTimers(now time.Time) {
+	for _, entry := range m.members {
+		entry.misses = 0
+		if entry.member.Status == Suspect {
+			entry.since = now
 		}
 	}
 }
 
 func (m *Machine) expire(now time.Time) {
-	for _, id := range slices.Sorted(maps.Keys(m.timed)) {
-		held := m.members[id]
-		age := now.Sub(held.since)
+	for _, id := range slices.Sorted(maps.Keys(m.expiring)) {
+		entry := m.members[id]
+		age := now.Sub(entry.since)
 		switch {
-		case held.member.Status == Suspect && age >= m.settings.SuspicionTimeout:
-			dead := held.member
+		case entry.member.Status == Suspect && age >= m.settings.SuspicionTimeout:
+			dead := entry.member
 			dead.Status = Dead
 			m.store(dead, now)
-		case held.member.Status == Dead && age >= m.settings.TombstoneTimeout && id != m.self.ID:
+		case entry.member.Status == Dead && age >= m.settings.TombstoneTimeout && id != m.self.ID:
 			delete(m.members, id)
-			delete(m.remaining, id)
-			delete(m.timed, id)
-			m.hasDigest = false
+			delete(m.transmissionsLeft, id)
+			delete(m.expiring, id)
+			m.digestValid = false
 			m.changeCount++
 		}
 	}
 }
 
-// targets are the watched successors and, for fresh statements, a few more.
+// targets returns the monitored successors and, if there are unsent updates, a few random
+// members.
 func (m *Machine) targets() []string {
-	targets := m.neighbours(m.settings.Monitors)
-	if m.fresh {
-		targets = m.addRandom(targets)
+	targets := m.successors(m.settings.Monitors)
+	if m.hasUnsent {
+		targets = m.addRandomMembers(targets)
 	}
 	return targets
 }
 
-// addRandom appends up to GossipFanout random members that are not there yet.
-func (m *Machine) addRandom(targets []string) []string {
+// addRandomMembers appends up to GossipFanout random members that are not in targets yet.
+func (m *Machine) addRandomMembers(targets []string) []string {
 	m.refreshRing()
 	for range m.settings.GossipFanout {
 		if len(m.ring) == 0 {
@@ -221,25 +222,25 @@
 	return targets
 }
 
-// Fresh reports whether a statement has come in that was not sent on yet.
-func (m *Machine) Fresh() bool { return m.fresh }
+// Fresh reports whether updates have arrived that were not sent on yet.
+func (m *Machine) Fresh() bool { return m.hasUnsent }
 
-// Spread returns messages that send fresh statements on before the next tick.
-// They are no probes and name no member, so an unanswered one is no miss.
+// Spread returns messages that send new updates on before the next tick. They are not
+// probes and carry no member id, so a lost one is not a miss.
 func (m *Machine) Spread() []Message {
-	if !m.fresh {
+	if !m.hasUnsent {
 		return nil
 	}
-	m.fresh = false
+	m.hasUnsent = false
 	var messages []Message
-	for _, id := range m.addRandom(nil) {
-		messages = append(messages, Message{ToAddress: m.members[id].member.Address, Heartbeat: m.heartbeat()})
+	for _, id := range m.addRandomMembers(nil) {
+		messages = append(messages, Message{ToAddress: m.members[id].member.Address, Heartbeat: m.newHeartbeat()})
 	}
 	return messages
 }
 
-// neighbours returns the next members after this node on the hash ring.
-func (m *Machine) neighbours(count int) []string {
+// successors returns the next members after this node on the hash ring.
+func (m *Machine) successors(count int) []string {
 	m.refreshRing()
 	start, _ := slices.BinarySearchFunc(m.ring, xxhash.Sum64String(m.self.ID), func(entry ringEntry, hash uint64) int {
 		return cmp.Compare(entry.hash, hash)
@@ -260,8 +261,8 @@
 	}
 	m.ringStale = false
 	m.ring = m.ring[:0]
-	for id, held := range m.members {
-		if held.member.Status != Dead {
+	for id, entry := range m.members {
+		if entry.member.Status != Dead {
 			m.ring = append(m.ring, ringEntry{hash: xxhash.Sum64String(id), id: id})
 		}
 	}
@@ -274,7 +275,7 @@
 	m.random.Shuffle(len(unknown), func(i, j int) { unknown[i], unknown[j] = unknown[j], unknown[i] })
 	var messages []Message
 	for _, address := range unknown[:min(len(unknown), maxSeedProbes)] {
-		messages = append(messages, Message{ToAddress: address, Heartbeat: m.heartbeat()})
+		messages = append(messages, Message{ToAddress: address, Heartbeat: m.newHeartbeat()})
 	}
 	return messages
 }
@@ -285,9 +286,9 @@
 	}
 	m.seedsStale = false
 	known := make(map[string]struct{}, len(m.members))
-	for _, held := range m.members {
-		if held.member.Status != Dead {
-			known[held.member.Address] = struct{}{}
+	for _, entry := range m.members {
+		if entry.member.Status != Dead {
+			known[entry.member.Address] = struct{}{}
 		}
 	}
 	m.unknownSeeds = m.unknownSeeds[:0]
@@ -298,178 +299,180 @@
 	}
 }
 
-func (m *Machine) messageTo(id string) Message {
-	return Message{ToID: id, ToAddress: m.members[id].member.Address, Heartbeat: m.heartbeat()}
+func (m *Machine) newMessage(id string) Message {
+	return Message{ToID: id, ToAddress: m.members[id].member.Address, Heartbeat: m.newHeartbeat()}
 }
 
-// heartbeat carries the node itself and the statements with the most
+// newHeartbeat returns a heartbeat with this node's own entry and the updates with the most
 // transmissions left.
-func (m *Machine) heartbeat() Heartbeat {
-	beat := Heartbeat{From: m.self.ID, Digest: m.tableDigest(), Updates: []Member{m.self}}
-	for _, id := range m.mostWanted() {
+func (m *Machine) newHeartbeat() Heartbeat {
+	heartbeat := Heartbeat{From: m.self.ID, Digest: m.tableDigest(), Updates: []Member{m.self}}
+	for _, id := range m.nextToTransmit() {
 		if id != m.self.ID {
-			beat.Updates = append(beat.Updates, m.members[id].member)
+			heartbeat.Updates = append(heartbeat.Updates, m.members[id].member)
 		}
-		m.remaining[id]--
-		if m.remaining[id] <= 0 {
-			delete(m.remaining, id)
+		m.transmissionsLeft[id]--
+		if m.transmissionsLeft[id] <= 0 {
+			delete(m.transmissionsLeft, id)
 		}
 	}
-	return beat
+	return heartbeat
 }
 
-// mostWanted returns the ids of the statements with the most transmissions
-// left, at most maxUpdates of them.
-func (m *Machine) mostWanted() []string {
-	if len(m.remaining) == 0 {
+// nextToTransmit returns the ids of the updates with the most transmissions left, at most
+// maxUpdates of them.
+func (m *Machine) nextToTransmit() []string {
+	if len(m.transmissionsLeft) == 0 {
 		return nil
 	}
-	var wanted []string
-	for id := range m.remaining {
-		at, _ := slices.BinarySearchFunc(wanted, id, func(a, b string) int {
-			return cmp.Or(cmp.Compare(m.remaining[b], m.remaining[a]), cmp.Compare(a, b))
+	var selected []string
+	for id := range m.transmissionsLeft {
+		at, _ := slices.BinarySearchFunc(selected, id, func(a, b string) int {
+			return cmp.Or(cmp.Compare(m.transmissionsLeft[b], m.transmissionsLeft[a]), cmp.Compare(a, b))
 		})
 		if at >= maxUpdates {
 			continue
 		}
-		wanted = slices.Insert(wanted, at, id)
-		wanted = wanted[:min(len(wanted), maxUpdates)]
+		selected = slices.Insert(selected, at, id)
+		selected = selected[:min(len(selected), maxUpdates)]
 	}
-	return wanted
+	return selected
 }
 
-// HandleHeartbeat applies a probe and returns the acknowledgement.
-func (m *Machine) HandleHeartbeat(now time.Time, beat Heartbeat) Heartbeat {
-	m.takeIn(now, beat)
-	reply := m.heartbeat()
-	if beat.Full || m.diverged(now, beat) {
+// HandleHeartbeat applies a probe and returns the acknowledgement. The acknowledgement
+// holds the whole table if the sender sent its own in full or has diverged for too long.
+func (m *Machine) HandleHeartbeat(now time.Time, heartbeat Heartbeat) Heartbeat {
+	m.applyUpdates(now, heartbeat)
+	reply := m.newHeartbeat()
+	if heartbeat.Full || m.diverged(now, heartbeat) {
 		reply.Full = true
 		reply.Updates = m.Members()
 	}
 	return reply
 }
 
-// HandleAck applies the acknowledgement of a heartbeat. It returns a further
-// message if the peer sent its whole table and needs ours.
-func (m *Machine) HandleAck(now time.Time, beat Heartbeat) {
-	m.takeIn(now, beat)
-	if held, ok := m.members[beat.From]; ok {
-		held.misses = 0
+// HandleAck applies the acknowledgement of a heartbeat and clears the misses of its sender.
+func (m *Machine) HandleAck(now time.Time, heartbeat Heartbeat) {
+	m.applyUpdates(now, heartbeat)
+	if entry, ok := m.members[heartbeat.From]; ok {
+		entry.misses = 0
 	}
 }
 
-// diverged reports whether the sender's table has differed from ours for long.
-func (m *Machine) diverged(now time.Time, beat Heartbeat) bool {
-	held, ok := m.members[beat.From]
-	if !ok || beat.Digest == m.tableDigest() {
+// diverged reports whether the sender's table has differed from ours for divergenceTimeout,
+// and if so restarts the timeout.
+func (m *Machine) diverged(now time.Time, heartbeat Heartbeat) bool {
+	entry, ok := m.members[heartbeat.From]
+	if !ok || heartbeat.Digest == m.tableDigest() {
 		if ok {
-			held.divergedSince = time.Time{}
+			entry.divergedSince = time.Time{}
 		}
 		return false
 	}
-	if held.divergedSince.IsZero() {
-		held.divergedSince = now
+	if entry.divergedSince.IsZero() {
+		entry.divergedSince = now
 		return false
 	}
-	if now.Sub(held.divergedSince) < divergenceLimit {
+	if now.Sub(entry.divergedSince) < divergenceTimeout {
 		return false
 	}
-	held.divergedSince = now
+	entry.divergedSince = now
 	return true
 }
 
-// HandleMiss records that a heartbeat to a member went unanswered.
+// HandleMiss records that a heartbeat to a member went unanswered. Misses do not count
+// while this node itself is late with its ticks.
 func (m *Machine) HandleMiss(now time.Time, id string) {
-	held, ok := m.members[id]
-	if !ok || held.member.Status == Dead || now.Sub(m.lastTick) > pauseFactor*m.settings.Interval {
+	entry, ok := m.members[id]
+	if !ok || entry.member.Status == Dead || now.Sub(m.lastTick) > pauseFactor*m.settings.Interval {
 		return
 	}
-	held.misses++
-	if held.misses < m.settings.MissLimit || held.member.Status == Suspect {
+	entry.misses++
+	if entry.misses < m.settings.MissLimit || entry.member.Status == Suspect {
 		return
 	}
-	suspect := held.member
+	suspect := entry.member
 	suspect.Status = Suspect
-	if held.member.Status == Leaving {
-		suspect.Status = Dead // a leaving node has no reason to refute
+	if entry.member.Status == Leaving {
+		suspect.Status = Dead // a leaving node does not refute a suspicion
 	}
 	m.store(suspect, now)
 }
 
-func (m *Machine) takeIn(now time.Time, beat Heartbeat) {
-	for _, statement := range beat.Updates {
-		if statement.ID == m.self.ID {
-			m.refute(now, statement)
+func (m *Machine) applyUpdates(now time.Time, heartbeat Heartbeat) {
+	for _, update := range heartbeat.Updates {
+		if update.ID == m.self.ID {
+			m.refute(now, update)
 			continue
 		}
-		held, ok := m.members[statement.ID]
-		if !ok && statement.Status == Dead {
-			continue // never known here, no need to learn of its end
+		entry, ok := m.members[update.ID]
+		if !ok && update.Status == Dead {
+			continue // a dead member that was never known here needs no entry
 		}
-		if !ok || supersedes(statement, held.member) {
-			m.store(statement, now)
+		if !ok || supersedes(update, entry.member) {
+			m.store(update, now)
 		}
 	}
 }
 
-// refute answers a graver statement about this node with a higher version.
-func (m *Machine) refute(now time.Time, statement Member) {
-	if !supersedes(statement, m.self) {
+// refute answers a more severe update about this node with a higher version.
+func (m *Machine) refute(now time.Time, update Member) {
+	if !supersedes(update, m.self) {
 		return
 	}
-	m.self.Version = statement.Version + 1
+	m.self.Version = update.Version + 1
 	m.store(m.self, now)
-	m.changes = append(m.changes, Change{Member: m.self, Former: statement.Status})
+	m.changes = append(m.changes, Change{Member: m.self, Former: update.Status})
 }
 
-func (m *Machine) store(statement Member, now time.Time) {
+func (m *Machine) store(update Member, now time.Time) {
 	m.changeCount++
-	held, ok := m.members[statement.ID]
+	entry, ok := m.members[update.ID]
 	var former Status
 	if ok {
-		former = held.member.Status
-		if former == statement.Status {
-			held.member = statement
+		former = entry.member.Status
+		if former == update.Status {
+			entry.member = update
 		} else {
-			*held = record{member: statement, since: now}
+			*entry = memberEntry{member: update, since: now}
 		}
 	} else {
-		held = &record{member: statement, since: now}
-		m.members[statement.ID] = held
+		entry = &memberEntry{member: update, since: now}
+		m.members[update.ID] = entry
 	}
-	m.remaining[statement.ID] = transmitFactor * bits.Len(uint(len(m.members)))
-	if statement.Status == Suspect || statement.Status == Dead {
-		m.timed[statement.ID] = struct{}{}
+	m.transmissionsLeft[update.ID] = transmitFactor * bits.Len(uint(len(m.members)))
+	if update.Status == Suspect || update.Status == Dead {
+		m.expiring[update.ID] = struct{}{}
 	} else {
-		delete(m.timed, statement.ID)
+		delete(m.expiring, update.ID)
 	}
-	m.fresh = true
-	m.hasDigest = false
-	if !ok || (former == Dead) != (statement.Status == Dead) {
+	m.hasUnsent = true
+	m.digestValid = false
+	if !ok || (former == Dead) != (update.Status == Dead) {
 		m.ringStale = true
 		m.seedsStale = true
 	}
-	if former != statement.Status && statement.ID != m.self.ID {
-		m.changes = append(m.changes, Change{Member: statement, Former: former})
+	if former != update.Status && update.ID != m.self.ID {
+		m.changes = append(m.changes, Change{Member: update, Former: former})
 	}
 }
 
-// tableDigest hashes the table independently of order.
+// tableDigest returns a hash of the live members that does not depend on their order.
 func (m *Machine) tableDigest() uint64 {
-	if m.hasDigest {
+	if m.digestValid {
 		return m.digest
 	}
 	m.digest = 0
 	var buffer []byte
-	for id, held := range m.members {
-		if held.member.Status == Dead {
+	for id, entry := range m.members {
+		if entry.member.Status == Dead {
 			continue
 		}
 		buffer = append(buffer[:0], id...)
-		buffer = binary.BigEndian.AppendUint64(buffer, held.member.Version)
-		buffer = append(buffer, byte(held.member.Status))
+		buffer = binary.BigEndian.AppendUint64(buffer, entry.member.Version)
+		buffer = append(buffer, byte(entry.member.Status))
 		m.digest ^= xxhash.Sum64(buffer)
 	}
-	m.hasDigest = true
+	m.digestValid = true
 	return m.digest
 }
--- a/internal/membership/machine_test.go
+++ b/internal/membership/machine_test.go
@@ -12,20 +12,21 @@
 
 var start = time.Unix(1000, 0)
 
-// cluster drives machines over a perfect or faulty network, tick by tick.
+// cluster connects the machines of several nodes, some of which may be down or paused, and
+// advances them one tick at a time.
 type cluster struct {
-	now      time.Time
-	machines map[string]*Machine
-	order    []string
-	byAddr   map[string]string
-	down     map[string]bool
-	paused   map[string]bool
-	sent     int
+	now       time.Time
+	machines  map[string]*Machine
+	order     []string
+	byAddress map[string]string
+	down      map[string]bool
+	paused    map[string]bool
+	sent      int
 }
 
 func newCluster(size int, seed uint64) *cluster {
 	c := &cluster{
-		now: start, machines: map[string]*Machine{}, byAddr: map[string]string{},
+		now: start, machines: map[string]*Machine{}, byAddress: map[string]string{},
 		down: map[string]bool{}, paused: map[string]bool{},
 	}
 	var seeds []string
@@ -33,7 +34,7 @@
 		id := fmt.Sprintf("node-%03d", i)
 		address := "10.0.0." + id
 		c.order = append(c.order, id)
-		c.byAddr[address] = id
+		c.byAddress[address] = id
 		seeds = append(seeds, address)
 		self := Member{ID: id, Address: address, Zone: fmt.Sprintf("zone-%d", i%3)}
 		c.machines[id] = New(DefaultSettings(), self, rand.New(rand.NewPCG(seed, uint64(i))), c.now)
@@ -52,7 +53,7 @@
 		}
 		for _, message := range c.machines[id].Tick(c.now) {
 			c.sent++
-			target := c.byAddr[message.ToAddress]
+			target := c.byAddress[message.ToAddress]
 			if c.down[target] || c.paused[target] {
 				c.machines[id].HandleMiss(c.now, message.ToID)
 				continue
@@ -68,38 +69,38 @@
 	}
 }
 
-func (c *cluster) statusEverywhere(id string) map[Status]int {
-	seen := map[Status]int{}
+func (c *cluster) countStatuses(id string) map[Status]int {
+	counts := map[Status]int{}
 	for _, observer := range c.order {
 		if observer == id || c.down[observer] {
 			continue
 		}
 		member, ok := c.machines[observer].Get(id)
 		if ok {
-			seen[member.Status]++
+			counts[member.Status]++
 		} else {
-			seen[0]++
+			counts[0]++
 		}
 	}
-	return seen
+	return counts
 }
 
-func TestEveryNodeLearnsEveryOther(t *testing.T) {
+func TestEveryNodeDiscoversAllOthers(t *testing.T) {
 	for _, size := range []int{2, 3, 30, 120} {
 		c := newCluster(size, 1)
 		c.run(20 * time.Second)
 		for _, id := range c.order {
-			require.Equal(t, map[Status]int{Alive: size - 1}, c.statusEverywhere(id), "size %d, %s", size, id)
+			require.Equal(t, map[Status]int{Alive: size - 1}, c.countStatuses(id), "size %d, %s", size, id)
 		}
 	}
 }
 
-func TestDeadNodeIsNoticedWithinThreeSeconds(t *testing.T) {
+func TestDeadNodeIsDetectedWithinThreeSeconds(t *testing.T) {
 	c := newCluster(60, 2)
 	c.run(20 * time.Second)
 	c.down["node-007"] = true
 	c.run(3 * time.Second)
-	require.Equal(t, map[Status]int{Dead: 59}, c.statusEverywhere("node-007"))
+	require.Equal(t, map[Status]int{Dead: 59}, c.countStatuses("node-007"))
 }
 
 func TestPausedNodeRefutesAndSuspectsNobody(t *testing.T) {
@@ -107,53 +108,53 @@
 	c.run(20 * time.Second)
 	c.paused["node-003"] = true
 	c.run(5 * time.Second)
-	require.Equal(t, map[Status]int{Dead: 29}, c.statusEverywhere("node-003"))
+	require.Equal(t, map[Status]int{Dead: 29}, c.countStatuses("node-003"))
 	c.paused["node-003"] = false
 	c.run(10 * time.Second)
-	require.Equal(t, map[Status]int{Alive: 29}, c.statusEverywhere("node-003"))
+	require.Equal(t, map[Status]int{Alive: 29}, c.countStatuses("node-003"))
 	for _, id := range c.order {
-		require.Equal(t, map[Status]int{Alive: 29}, c.statusEverywhere(id))
+		require.Equal(t, map[Status]int{Alive: 29}, c.countStatuses(id))
 	}
 }
 
-func TestLeavingIsKnownEverywhereWithinThreeSeconds(t *testing.T) {
+func TestLeavingReachesAllNodesWithinThreeSeconds(t *testing.T) {
 	c := newCluster(60, 4)
 	c.run(20 * time.Second)
 	c.machines["node-010"].Leave(c.now)
 	c.run(3 * time.Second)
-	require.Equal(t, map[Status]int{Leaving: 59}, c.statusEverywhere("node-010"))
+	require.Equal(t, map[Status]int{Leaving: 59}, c.countStatuses("node-010"))
 	member, _ := c.machines["node-000"].Get("node-010")
 	require.False(t, member.Usable())
 }
 
-func TestHeartbeatsANodeDoNotGrowWithTheCluster(t *testing.T) {
-	perNode := func(size int) float64 {
+func TestHeartbeatsPerNodeAreIndependentOfClusterSize(t *testing.T) {
+	heartbeatsPerNode := func(size int) float64 {
 		c := newCluster(size, 5)
 		c.run(30 * time.Second)
 		c.sent = 0
 		c.run(30 * time.Second)
 		return float64(c.sent) / float64(size)
 	}
-	require.InDelta(t, perNode(30), perNode(120), 1)
+	require.InDelta(t, heartbeatsPerNode(30), heartbeatsPerNode(120), 1)
 }
 
-func TestStatementsNeverGoBack(t *testing.T) {
+func TestUpdatesAreNeverReplacedByOlderOnes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		machine := New(DefaultSettings(), Member{ID: "self", Address: "self"}, rand.New(rand.NewPCG(1, 1)), start)
-		var held Member
-		for range rapid.IntRange(1, 30).Draw(t, "statements") {
-			statement := Member{
+		node := New(DefaultSettings(), Member{ID: "self", Address: "self"}, rand.New(rand.NewPCG(1, 1)), start)
+		var previous Member
+		for range rapid.IntRange(1, 30).Draw(t, "updates") {
+			update := Member{
 				ID: "other", Address: "other",
 				Status:  Status(rapid.IntRange(int(Alive), int(Dead)).Draw(t, "status")),
 				Version: rapid.Uint64Range(1, 4).Draw(t, "version"),
 			}
-			machine.HandleHeartbeat(start, Heartbeat{From: "other", Updates: []Member{statement}})
-			now, ok := machine.Get("other")
+			node.HandleHeartbeat(start, Heartbeat{From: "other", Updates: []Member{update}})
+			current, ok := node.Get("other")
 			if !ok {
 				continue
 			}
-			require.False(t, supersedes(held, now))
-			held = now
+			require.False(t, supersedes(previous, current))
+			previous = current
 		}
 	})
 }
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Status is what a node holds of a member. Graver statuses are larger.
+// Status is a member's status as seen by one node. Larger values are more severe.
 type Status int
 
-// Statuses in order of gravity at the same version.
+// Statuses in order of severity at the same version.
 const (
 	Alive Status = iota + 1
 	Suspect
@@ -36,19 +36,19 @@
 	HTTPAddress string
 	Zone        string
 	Status      Status
-	// Version orders statements about the member.
+	// Version orders updates about the member.
 	Version uint64
 }
 
 // Usable reports whether other nodes may send the member new work.
 func (m Member) Usable() bool { return m.Status == Alive || m.Status == Suspect }
 
-// supersedes reports whether a statement replaces another about one member.
-func supersedes(statement, held Member) bool {
-	if statement.Version != held.Version {
-		return statement.Version > held.Version
+// supersedes reports whether an update replaces the current entry of the same member.
+func supersedes(update, current Member) bool {
+	if update.Version != current.Version {
+		return update.Version > current.Version
 	}
-	return statement.Status > held.Status
+	return update.Status > current.Status
 }
 
 // Heartbeat is a probe or its acknowledgement.
@@ -63,36 +63,38 @@
 
 // Message is a heartbeat to send.
 type Message struct {
-	// ToID is empty if an unanswered message says nothing of a member: the
-	// node at the address is not known yet, or the message is no probe.
+	// ToID is empty if a lost message must not count as a miss: the node at the address is
+	// not known yet, or the message is not a probe.
 	ToID      string
 	ToAddress string
 	Heartbeat Heartbeat
 }
 
-// Change tells the driver that a member's status changed.
+// Change is a change of a member's status.
 type Change struct {
 	Member Member
 	Former Status
 }
 
-// Settings tunes the failure detector.
+// Settings configures the failure detector.
 type Settings struct {
 	// Interval is the time between ticks.
 	Interval time.Duration
-	// Monitors is how many ring successors a node watches.
+	// Monitors is the number of ring successors that a node monitors.
 	Monitors int
-	// MissLimit is how many heartbeats in a row may go unanswered.
+	// MissLimit is the number of consecutive unanswered heartbeats after which a member
+	// becomes suspect.
 	MissLimit int
-	// SuspicionTimeout is how long a suspect may take to refute.
+	// SuspicionTimeout is how long a suspect has to refute before it counts as dead.
 	SuspicionTimeout time.Duration
-	// GossipFanout is how many random members get a fresh statement at a tick.
+	// GossipFanout is the number of random members that receive a new update per tick.
 	GossipFanout int
-	// TombstoneTimeout is how long a dead member is remembered.
+	// TombstoneTimeout is how long a dead member is kept.
 	TombstoneTimeout time.Duration
 }
 
-// DefaultSettings notices a dead node within 0.5 + 2·0.5 + 1 s plus the spread.
+// DefaultSettings returns settings that detect a dead node within 0.5 + 2·0.5 + 1 s, plus
+// the time that gossip takes.
 func DefaultSettings() Settings {
 	return Settings{
 		Interval:         500 * time.Millisecond,
