--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,10 +1,9 @@
-// Package lease folds claims from the log into a table of leases.
+// Package lease applies claims from the log to a table of leases.
 //
-// A lease is safe by order, not by clock: a claim names the claim that it
-// replaces, the first such claim in the log wins, and its offset becomes the
-// fencing token. Heartbeats only decide when a node tries to claim. A paused
-// holder that acts late carries an old token and is refused by whoever it
-// orders.
+// Leases are ordered by the log and do not depend on clocks: a claim names the fencing token
+// that it replaces, the first such claim in the log wins, and its offset plus one becomes the
+// new token. Heartbeats only decide when a node tries to claim. A holder that was paused and
+// acts late carries an old token, so the recipients of its orders reject them.
 package lease
 
 import (
@@ -18,14 +17,14 @@
 // Lease is the current claim on a name.
 type Lease struct {
 	Name string
-	// Holder is the node id of the claimant; empty after a release.
+	// Holder is the node id of the claimant, or empty after a release.
 	Holder string
-	// Token is the fencing token: the offset of the winning claim plus one, so
-	// that 0 means that nobody ever claimed.
+	// Token is the fencing token: the offset of the winning claim plus one. 0 means that the
+	// lease was never claimed.
 	Token uint64
 }
 
-// Table holds all leases.
+// Table holds all leases by name. It is not safe for concurrent use.
 type Table struct {
 	leases map[string]Lease
 }
@@ -33,11 +32,11 @@
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{leases: make(map[string]Lease)} }
 
-// Get returns the lease of a name; its Token is 0 if there is none.
+// Get returns the lease of a name. Its Token is 0 if it was never claimed.
 func (t *Table) Get(name string) Lease {
-	found := t.leases[name]
-	found.Name = name
-	return found
+	lease := t.leases[name]
+	lease.Name = name
+	return lease
 }
 
 // All returns every lease ordered by name.
@@ -49,7 +48,8 @@
 	return all
 }
 
-// Claim applies a claim found at a log offset.
+// Claim applies the claim at a log offset. It returns a LeaseConflict error, and leaves the
+// lease unchanged, if the claim does not replace the current token.
 func (t *Table) Claim(claim *pathbendv1.LeaseClaim, offset uint64) error {
 	current := t.leases[claim.Name]
 	if claim.Replaces != current.Token {
@@ -60,8 +60,8 @@
 	return nil
 }
 
-// Release ends a lease if the token is current. The token stays in the table,
-// so that the next claim has to name it.
+// Release ends a lease if the token is current, and otherwise returns a LeaseConflict error.
+// The token stays in the table, and the next claim has to name it.
 func (t *Table) Release(release *pathbendv1.LeaseRelease) error {
 	current := t.leases[release.Name]
 	if release.Token != current.Token {
@@ -73,19 +73,19 @@
 	return nil
 }
 
-// Export encodes the table for a snapshot.
+// Export returns the table as messages for a snapshot, ordered by name.
 func (t *Table) Export() []*pathbendv1.LeaseState {
-	var exported []*pathbendv1.LeaseState
-	for _, current := range t.All() {
-		exported = append(exported, &pathbendv1.LeaseState{Name: current.Name, Holder: current.Holder, Token: current.Token})
+	var states []*pathbendv1.LeaseState
+	for _, lease := range t.All() {
+		states = append(states, &pathbendv1.LeaseState{Name: lease.Name, Holder: lease.Holder, Token: lease.Token})
 	}
-	return exported
+	return states
 }
 
-// Import decodes a table from a snapshot.
-func Import(exported []*pathbendv1.LeaseState) *Table {
+// Import returns the table that a snapshot contains.
+func Import(states []*pathbendv1.LeaseState) *Table {
 	table := NewTable()
-	for _, state := range exported {
+	for _, state := range states {
 		table.leases[state.Name] = Lease{Name: state.Name, Holder: state.Holder, Token: state.Token}
 	}
 	return table
