--- /dev/null
+++ b/internal/election/candidate.go
@@ -0,0 +1,125 @@
+// Package election decides which nodes compete for the partitions of batch jobs.
+//
+// The log service distributes partitions evenly among the members of a group, without
+// regard to the capacity of their machines. It rebalances whenever a member joins or
+// leaves, and each time the jobs may move to another node, which stops their runs and the
+// orders to samplers. So only one node, the executor, is in the group at a time, and all
+// others observe who owns the partitions.
+//
+// The executor needs several times the processor time of any other node. A node whose
+// machine is about as large as the largest joins as soon as there is no executor; a smaller
+// one joins only if no larger one has done so by its second observation. Among machines of
+// similar size those near the log service join first, since each result that the executor
+// records takes two round trips to the log. A running executor is not replaced by a node
+// nearer to the log service.
+//
+// The package is pure: callers supply what they have read from the log and the group.
+package election
+
+// View is what a node knows when it decides. Capacities are in thousandths of a core, or 0
+// if unknown.
+type View struct {
+	// Largest is the capacity of the largest known node.
+	Largest uint64
+	// Owners are the members that own partitions.
+	Owners []Owner
+	// Far is set if the log service is far away from this node.
+	Far bool
+	// Reserve is set if other nodes are better prepared to execute: this node then joins
+	// only under the conditions of a small one. Unready is set while this node could not
+	// execute: it does not join.
+	Reserve bool
+	Unready bool
+}
+
+// Owner is a group member that owns a partition.
+type Owner struct {
+	Millicores uint64
+	// Self is set if the owner is this node.
+	Self bool
+	// Jobs is set if the member owns the partition of the jobs, which makes it the executor.
+	Jobs bool
+}
+
+// Regular reports whether a node of this capacity is about as large as the largest: more
+// than half of its capacity. Nodes of unknown capacity count as regular.
+func (v View) Regular(millicores uint64) bool {
+	return millicores == 0 || 2*millicores > v.Largest
+}
+
+const (
+	// smallNodeObservations is the number of consecutive observations without an executor
+	// after which a small node joins. A single one may fall into a handover to a larger
+	// node.
+	smallNodeObservations = 2
+	// extraFarObservations is the number of additional observations required of a node far
+	// from the log service. In that time a nearer node makes its next observation and
+	// joins.
+	extraFarObservations = 1
+)
+
+// requiredObservations returns the number of consecutive observations without an executor
+// after which a node joins.
+func (v View) requiredObservations(preferred bool) int {
+	required := 1
+	if !preferred {
+		required = smallNodeObservations
+	}
+	if v.Far {
+		required += extraFarObservations
+	}
+	return required
+}
+
+// Standing is the state of one node in the election. The zero value is not a member of the
+// group.
+type Standing struct {
+	joined             bool
+	vacantObservations int
+}
+
+// Joined reports whether the node should be a member of the group.
+func (s *Standing) Joined() bool { return s.joined }
+
+// Look updates the state with an observation of the owners by a node of this capacity. It
+// must not be called if the owners could not be read.
+func (s *Standing) Look(view View, millicores uint64) {
+	preferred := view.Regular(millicores) && !view.Reserve
+	executes := false
+	for _, owner := range view.Owners {
+		if owner.Self {
+			executes = executes || owner.Jobs
+			continue
+		}
+		if view.defersTo(preferred, owner) {
+			s.joined, s.vacantObservations = false, 0
+			return
+		}
+	}
+	if executes {
+		// A partition that this node owned before its process restarted still belongs to
+		// it.
+		s.joined, s.vacantObservations = true, 0
+		return
+	}
+	s.vacantObservations++
+	if s.Wanted(view, millicores) && !view.Unready {
+		s.joined = true
+	}
+}
+
+// Wanted reports whether the node has made enough consecutive observations without an
+// executor to join, whether or not it is ready to.
+func (s *Standing) Wanted(view View, millicores uint64) bool {
+	return s.vacantObservations >= view.requiredObservations(view.Regular(millicores) && !view.Reserve)
+}
+
+// defersTo reports whether a node leaves the jobs to another owner. A preferred node defers
+// only to a regular executor. Any other node defers to every executor, and to every regular
+// owner.
+func (v View) defersTo(preferred bool, owner Owner) bool {
+	if preferred {
+		return owner.Jobs && v.Regular(owner.Millicores)
+	}
+	return owner.Jobs || v.Regular(owner.Millicores)
+}
