--- a/internal/shard/table.go
+++ b/internal/shard/table.go
@@ -1,11 +1,10 @@
-// Package shard assigns shards of the idempotency key space to replica groups
-// of nodes.
+// Package shard assigns shards of the idempotency key space to replica groups of nodes.
 //
-// The assignment is a pure fold of the roster that the log defines: every node
-// computes the same groups with the same generations. A group is the nodes
-// that score highest for the shard by rendezvous hashing, in distinct zones as
-// far as there are zones, so a roster change moves only the shards that the
-// changed node held or now wins.
+// The assignment is a pure function of the sequence of roster changes in the log, so every
+// node computes the same groups with the same generations. A group consists of the nodes
+// with the highest rendezvous-hashing scores for the shard, in distinct zones as far as
+// there are enough. So a roster change affects only the shards that the changed node held
+// or now wins.
 package shard
 
 import (
@@ -20,8 +19,8 @@
 )
 
 const (
-	// Count is the number of shards. It is part of the protocol: all nodes
-	// must agree on it.
+	// Count is the number of shards. It is part of the protocol: all nodes must agree on
+	// it.
 	Count = 256
 	// Replicas is the size of a full group.
 	Replicas = 3
@@ -37,7 +36,7 @@
 type Group struct {
 	// Generation is the roster epoch at which the group was formed.
 	Generation uint64
-	// Members are node ids, best score first.
+	// Members are node ids, highest score first.
 	Members []string
 	// Former are the members of the generation before; nil for the first.
 	Former []string
@@ -45,13 +44,14 @@
 	FormerGeneration uint64
 }
 
-// Quorum is how many of the members must agree.
+// Quorum returns the size of a majority of the members.
 func Quorum(members []string) int { return len(members)/2 + 1 }
 
-// Table holds the group of every shard and the roster that it follows from.
+// Table holds the group of every shard and the roster from which the groups follow. It is
+// not safe for concurrent use.
 type Table struct {
 	groups [Count]Group
-	// zones holds the zone of every member by id.
+	// zones maps the id of every member to its zone.
 	zones map[string]string
 }
 
@@ -67,37 +67,37 @@
 // Group returns the replica group of a shard.
 func (t *Table) Group(shard int) Group { return t.groups[shard] }
 
-// Join takes a member into the roster at an epoch. It changes the groups that
-// the member wins a place in. Choosing among a group and the newcomer gives the
-// same members as choosing among all, so the cost does not grow with the roster.
+// Join adds a member to the roster at an epoch, and to the groups in which it wins a place.
+// Selecting among a group and the new member gives the same result as selecting among the
+// whole roster, so the cost does not grow with the roster.
 func (t *Table) Join(member Member, epoch uint64) {
 	t.zones[member.ID] = member.Zone
 	for shard := range t.groups {
-		present := t.groups[shard].Members
-		if !slices.Contains(present, member.ID) {
-			t.replace(shard, append(slices.Clone(present), member.ID), epoch)
+		currentMembers := t.groups[shard].Members
+		if !slices.Contains(currentMembers, member.ID) {
+			t.updateGroup(shard, append(slices.Clone(currentMembers), member.ID), epoch)
 		}
 	}
 }
 
-// Leave takes a member off the roster at an epoch. The last member's groups
-// stay, so that they remain known as the former ones.
+// Leave removes a member from the roster at an epoch. The groups of the last member are
+// kept, so that they remain known as former ones.
 func (t *Table) Leave(id string, epoch uint64) {
 	delete(t.zones, id)
 	if len(t.zones) == 0 {
 		return
 	}
-	rest := slices.Sorted(maps.Keys(t.zones))
+	remaining := slices.Sorted(maps.Keys(t.zones))
 	for shard := range t.groups {
 		if slices.Contains(t.groups[shard].Members, id) {
-			t.replace(shard, rest, epoch)
+			t.updateGroup(shard, remaining, epoch)
 		}
 	}
 }
 
-// replace forms a new group out of candidates if it differs from the present.
-func (t *Table) replace(shard int, candidates []string, epoch uint64) {
-	members := t.choose(shard, candidates)
+// updateGroup forms a new group from the candidates if it differs from the current one.
+func (t *Table) updateGroup(shard int, candidates []string, epoch uint64) {
+	members := t.selectMembers(shard, candidates)
 	current := &t.groups[shard]
 	if slices.Equal(members, current.Members) {
 		return
@@ -113,9 +113,9 @@
 	score uint64
 }
 
-// choose picks the best candidates for a shard, in distinct zones first. Those
-// that are not on the roster any more are passed over.
-func (t *Table) choose(shard int, candidates []string) []string {
+// selectMembers returns the best candidates for a shard, in distinct zones first. It
+// ignores candidates that have left the roster.
+func (t *Table) selectMembers(shard int, candidates []string) []string {
 	scored := make([]scoredMember, 0, len(candidates))
 	for _, id := range candidates {
 		if zone, ok := t.zones[id]; ok {
@@ -149,25 +149,25 @@
 	return xxhash.Sum64(buffer[:])
 }
 
-// Export encodes the table for a snapshot.
+// Export returns the groups as messages for a snapshot, ordered by shard.
 func (t *Table) Export() []*pathbendv1.ShardState {
-	exported := make([]*pathbendv1.ShardState, 0, Count)
+	states := make([]*pathbendv1.ShardState, 0, Count)
 	for _, group := range t.groups {
-		exported = append(exported, &pathbendv1.ShardState{
+		states = append(states, &pathbendv1.ShardState{
 			Generation: group.Generation, Members: group.Members,
 			Former: group.Former, FormerGeneration: group.FormerGeneration,
 		})
 	}
-	return exported
+	return states
 }
 
-// Import decodes a table from a snapshot and the roster in it.
-func Import(exported []*pathbendv1.ShardState, roster []Member) *Table {
+// Import returns the table that a snapshot contains, given the snapshot's roster.
+func Import(states []*pathbendv1.ShardState, roster []Member) *Table {
 	table := NewTable()
 	for _, member := range roster {
 		table.zones[member.ID] = member.Zone
 	}
-	for i, state := range exported[:min(len(exported), Count)] {
+	for i, state := range states[:min(len(states), Count)] {
 		table.groups[i] = Group{
 			Generation: state.Generation, Members: state.Members,
 			Former: state.Former, FormerGeneration: state.FormerGeneration,
