--- a/internal/quarantine/guard_test.go
+++ b/internal/quarantine/guard_test.go
@@ -50,7 +50,7 @@
 	t.Helper()
 	count := 0
 	for _, guard := range nodes {
-		leave, err := guard.Enter(context.Background(), digestOf)
+		release, err := guard.Enter(context.Background(), digestOf)
 		if err != nil {
 			require.True(t, result.Is(err, result.RequestQuarantined), "%v", err)
 			require.Equal(t, result.NotRun, result.From(err).Run())
@@ -58,7 +58,7 @@
 			continue
 		}
 		count++
-		leave()
+		release()
 	}
 	return count
 }
@@ -129,9 +129,9 @@
 		for _, node := range nodes {
 			node.SetTeller(batching)
 			go func() {
-				if leave, err := node.Enter(context.Background(), digestOf); err == nil {
+				if release, err := node.Enter(context.Background(), digestOf); err == nil {
 					admittedCount.Add(1)
-					leave()
+					release()
 				}
 			}()
 		}
@@ -169,19 +169,19 @@
 	for i := range Ends - 1 {
 		nodes[0].Ended(context.Background(), digest, fmt.Sprint("back-end-", i))
 	}
-	leave, err := nodes[0].Enter(context.Background(), digestOf)
+	release, err := nodes[0].Enter(context.Background(), digestOf)
 	require.NoError(t, err)
 	require.Zero(t, admitted(t, nodes))
-	leave()
+	release()
 	require.Equal(t, 1, admitted(t, nodes))
 }
 
 func TestRequestsAreNotHashedWhileTheRegistryIsEmpty(t *testing.T) {
 	nodes, _ := newGuards(1, Requests())
 	unexpectedDigest := func() Digest { panic("digest computed with an empty registry") }
-	leave, err := nodes[0].Enter(context.Background(), unexpectedDigest)
+	release, err := nodes[0].Enter(context.Background(), unexpectedDigest)
 	require.NoError(t, err)
-	leave()
+	release()
 	require.False(t, nodes[0].Suspected(unexpectedDigest))
 	nodes[0].Served(context.Background(), unexpectedDigest)
 	require.True(t, nodes[0].HeldUntil(digest).IsZero())
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -24,7 +24,7 @@
 	ChangedAt time.Time
 }
 
-// maxCrashedBackEnds limits the ids in a record. Further ids would change no decision.
+// maxCrashedBackEnds limits the ids in a record. Further ids add no information.
 const maxCrashedBackEnds = 16
 
 // merge applies another record of the same digest and reports whether this record changed.
--- a/internal/quarantine/registry_test.go
+++ b/internal/quarantine/registry_test.go
@@ -51,7 +51,7 @@
 func TestRestartedBackEndCountsAsAnotherCrash(t *testing.T) {
 	registry := &Book{}
 	for i := range Ends {
-		_, changed := registry.AddCrash(digest, "the-one", start.Add(time.Duration(i)*(sameCrashWindow+time.Millisecond)))
+		_, changed := registry.AddCrash(digest, "only-back-end", start.Add(time.Duration(i)*(sameCrashWindow+time.Millisecond)))
 		require.True(t, changed, "crash %d", i)
 	}
 	require.Equal(t, Quarantined, status(registry, Requests(), start.Add(10*time.Second)))
@@ -72,8 +72,8 @@
 	require.False(t, ok, "there is nothing left to clear")
 }
 
-// At most two requests may still be sent after the third crash, once all nodes have had
-// time to learn of it.
+// Three sends are allowed after the third crash, once all nodes have had time to learn of
+// it. Two of them are trials.
 func TestTrialsAreLimitedInNumberAndRate(t *testing.T) {
 	for name, policy := range map[string]Policy{"requests": Requests(), "items": Items()} {
 		t.Run(name, func(t *testing.T) {
