--- a/internal/weights/rolling_update.go
+++ b/internal/weights/rolling_update.go
@@ -142,8 +142,8 @@
 	return roll
 }
 
-// concurrencyDivisor sets the fraction of the fleet that may load at once, as one in so
-// many: the throughput of the weight store grows with the fleet.
+// concurrencyDivisor divides the fleet size to give the number of samplers that may load at
+// once: the throughput of the weight store grows with the fleet.
 const concurrencyDivisor = 5
 
 // maxConcurrent returns the limit of updates in progress.
