--- a/internal/platformsim/mutants_test.go
+++ b/internal/platformsim/mutants_test.go
@@ -16,7 +16,7 @@
 	{Promise: "VERSION: no text of old weights", Edits: []mutation.Edit{
 		mutation.Replace("internal/schedule/runs.go", "if event.Version < entry.job.spec.MinVersion {", "if false {"),
 		mutation.Replace("internal/schedule/placement.go", "if !known || version < entry.job.spec.MinVersion ||", "if !known ||"),
-		mutation.Replace("internal/schedule/text.go", "event.ID != t.events+1 || event.Version < accepted.MinVersion", "event.ID != t.events+1"),
+		mutation.Replace("internal/schedule/text.go", "event.ID != t.events+1 || event.Version < acceptance.MinVersion", "event.ID != t.events+1"),
 		mutation.Replace("internal/schedule/text.go", "return versions[0] >= a.MinVersion", "return true"),
 	}},
 	{Promise: "ORDER: parts of two runs are not joined", Test: "TestPartsOfTwoRunsAreNeverJoined", Package: "./internal/ledger", Edits: []mutation.Edit{
@@ -53,7 +53,7 @@
 	{Promise: "DRAIN: a former incarnation's entry replaces none", Test: "TestEntryOfAFormerIncarnationNeverReplacesANewer", Package: "./internal/registry", Edits: []mutation.Edit{
 		mutation.Replace("internal/registry/registry.go", "if sampler.Born < r.newestStart(sampler.ID) {", "if false {"),
 	}},
-	{Promise: "LOST: runs end with the incarnation", Test: "TestRunsOfAFormerIncarnationEndWithIt", Package: "./internal/schedule", Edits: []mutation.Edit{
+	{Promise: "LOST: runs end with the incarnation", Test: "TestRunsOfAPreviousIncarnationMoveAtOnce", Package: "./internal/schedule", Edits: []mutation.Edit{
 		mutation.Replace("internal/schedule/samplers.go", "case known && sampler.Born > state.Born:", "case false:"),
 	}},
 	{Promise: "DRAIN: an entry that turns bad names no sampler", Test: "TestEntriesOfAnotherWriterNameNoSampler", Edits: []mutation.Edit{
@@ -92,7 +92,7 @@
 	{Promise: "HOME: items go to samplers of their regions", Test: "TestItemsStayInTheirRegions", Package: "./internal/schedule", Edits: []mutation.Edit{
 		mutation.Replace("internal/schedule/item.go", "if p.Regions.Bound() && !p.Regions.Allow(p.Topology.Region(sampler.Zone)) {", "if false {"),
 	}},
-	{Promise: "UNASKED: a run ahead is its tenant's", Test: "TestLongItemRunsAheadAndGoesOnInTheJobThatBringsIt", Package: "./internal/schedule", Edits: []mutation.Edit{
+	{Promise: "UNASKED: a run ahead is its tenant's", Test: "TestSpeculativeRunContinuesInTheJobThatResubmitsTheItem", Package: "./internal/schedule", Edits: []mutation.Edit{
 		mutation.Replace("internal/schedule/ahead.go", "\t\tTenant: i.job.spec.Tenant,\n", ""),
 	}},
 	{Promise: "Duty: a request counts once", Test: "TestSumIsThatOfTheNewestEntriesWhateverIsRepeated", Package: "./internal/metering", Edits: []mutation.Edit{
@@ -114,7 +114,7 @@
 		mutation.Replace("internal/quarantine/guard.go", "\tcase Held:\n\t\treturn nil, g.refuse(digest, time.Until(until))\n", "\tcase Held:\n\t\t_ = until\n"),
 	}},
 	{Promise: "BUDGET: an item that is held goes nowhere", Test: "TestRequestThatCrashesItsSamplersIsHeldBack", Edits: []mutation.Edit{
-		mutation.Replace("internal/schedule/placement.go", " && !s.held(entry, now)", ""),
+		mutation.Replace("internal/schedule/placement.go", " && !s.quarantined(entry, now)", ""),
 	}},
 	{Promise: "BUDGET: nodes hear of the ends that others saw", Test: "TestRequestThatCrashesItsSamplersIsHeldBack", Edits: []mutation.Edit{
 		mutation.Replace("internal/hosted/suspects.go", "\ts.guard(told.Item).Merge(record)\n", "\t_ = record\n"),
--- a/internal/schedule/ahead.go
+++ b/internal/schedule/ahead.go
@@ -9,132 +9,134 @@
 	pathbendv1 "github.com/pathbend/pathbend/api/pathbend/v1"
 )
 
-// A trainer ends a job once enough of its groups are complete, and brings the others
-// again in a later job. That job wants newer weights, so the text of their long
-// items, which take an entire step to make, would begin anew. While the first job is
-// still open, such items are therefore run a second time under weights that the
-// later job will accept, and go on from there when it brings them.
+// A trainer ends a job once enough of its groups are complete, and resubmits the other
+// groups in a later job. The later job requires newer weights, so the text of long items,
+// which take an entire step to generate, would be discarded. While the first job is still
+// open, such items therefore get a second, speculative run under weights that the later
+// job will accept. The later job continues from the text of that run.
 
 const (
-	// aheadPart is the part of the slots that runs ahead may take.
-	aheadPart = 8
-	// AheadPatience is how long a run ahead goes on after its job has ended.
+	// speculativeSlotDivisor limits speculative runs to this fraction (1/n) of the slots.
+	speculativeSlotDivisor = 8
+	// AheadPatience is how long a speculative run continues after its job has ended.
 	AheadPatience = 3 * time.Second
-	// longRatio is how many times as long as a usual item one must be to be run
-	// ahead.
-	longRatio = 2.0
-	// usualWeight is the share of a new observation in the usual length.
-	usualWeight = 0.02
+	// minSpeculativeLengthRatio is the least ratio of an item's events to the average
+	// length of a text for the item to get a speculative run.
+	minSpeculativeLengthRatio = 2.0
+	// averageEventsWeight is the weight of a new observation in the moving average
+	// averageEvents.
+	averageEventsWeight = 0.02
 )
 
-// Named records the newest version of a model that trainers named. It reports
-// whether that is newer than what was known.
+// Named records a model version that a trainer announced. It reports whether the version
+// is newer than all versions announced before.
 func (s *Scheduler) Named(model string, version uint64) (newer bool) {
-	if s.named[model] >= version {
+	if s.newestVersions[model] >= version {
 		return false
 	}
-	s.named[model] = version
+	s.newestVersions[model] = version
 	return true
 }
 
-// noteSlack remembers how many versions behind the newest the latest job of a
-// model allows.
-func (s *Scheduler) noteSlack(added *job) {
-	added.newest = max(s.named[added.spec.Model], added.spec.MinVersion)
-	last, known := s.slack[added.spec.Model]
+// recordVersionLag records how far the minimum version of a job is behind the newest
+// version of its model. Of several jobs of a model, the one with the latest step counts.
+func (s *Scheduler) recordVersionLag(added *job) {
+	added.newestVersion = max(s.newestVersions[added.spec.Model], added.spec.MinVersion)
+	last, known := s.versionLags[added.spec.Model]
 	if !known || added.spec.Step >= last.step {
-		s.slack[added.spec.Model] = jobSlack{step: added.spec.Step, versions: added.newest - added.spec.MinVersion}
+		s.versionLags[added.spec.Model] = versionLag{step: added.spec.Step, versions: added.newestVersion - added.spec.MinVersion}
 	}
 }
 
-// jobSlack is how many versions behind the newest a job allows.
-type jobSlack struct {
+// versionLag is how many versions behind the newest one a job of a step accepts.
+type versionLag struct {
 	step     uint64
 	versions uint64
 }
 
-// laterVersion returns the oldest version that a job after the next version of
-// the model will accept. ok is false while no sampler can have it, or nothing
-// newer than the job itself was named.
-func (s *Scheduler) laterVersion(open *job) (version uint64, ok bool) {
-	newest, slack := s.named[open.spec.Model], s.slack[open.spec.Model].versions
-	if newest <= open.newest || slack == 0 {
+// laterJobMinVersion returns the oldest version that a job submitted after the next
+// version of the model will accept. ok is false if no sampler can serve that version yet,
+// or if no version newer than the open job was announced.
+func (s *Scheduler) laterJobMinVersion(open *job) (version uint64, ok bool) {
+	newest, allowedLag := s.newestVersions[open.spec.Model], s.versionLags[open.spec.Model].versions
+	if newest <= open.newestVersion || allowedLag == 0 {
 		return 0, false
 	}
-	return newest + 1 - slack, true
+	return newest + 1 - allowedLag, true
 }
 
-// startsAhead returns runs ahead to begin now.
-func (s *Scheduler) startsAhead(now time.Time) []Start {
-	room := -1
+// speculativeStarts returns the speculative runs to begin now.
+func (s *Scheduler) speculativeStarts(now time.Time) []Start {
+	available := -1
 	var starts []Start
-	for _, open := range s.byDue() {
-		version, ok := s.laterVersion(open)
-		if !ok || open.held || !s.carries[open.spec.Model] {
+	for _, open := range s.jobsByDueTime() {
+		version, ok := s.laterJobMinVersion(open)
+		if !ok || open.paused || !s.resubmitsGroups[open.spec.Model] {
 			continue
 		}
-		for _, entry := range s.worthAhead(open, version) {
-			if room < 0 {
-				// It looks at all samplers, so it is worked out where it is wanted.
-				room = s.aheadRoom()
+		for _, entry := range s.speculationCandidates(open, version) {
+			if available < 0 {
+				// Computed only when needed, because it iterates over all samplers.
+				available = s.speculativeCapacity()
 			}
-			if room == 0 {
+			if available == 0 {
 				return starts
 			}
-			copied := entry.ahead(version)
-			chosen, candidates := s.choose(copied, now)
+			speculativeItem := entry.speculativeCopy(version)
+			chosen, candidates := s.selectSampler(speculativeItem, now)
 			if chosen == nil {
 				break
 			}
-			s.ahead[copied.key.Item] = copied
-			s.items[copied.key] = copied
-			starts = append(starts, s.start(copied, chosen, candidates, now))
-			room--
+			s.speculativeItems[speculativeItem.key.Item] = speculativeItem
+			s.items[speculativeItem.key] = speculativeItem
+			starts = append(starts, s.start(speculativeItem, chosen, candidates, now))
+			available--
 		}
 	}
 	return starts
 }
 
-// aheadRoom is the number of runs ahead that may begin.
-func (s *Scheduler) aheadRoom() int {
-	slots, taken := 0, 0
+// speculativeCapacity returns the number of speculative runs that may begin.
+func (s *Scheduler) speculativeCapacity() int {
+	slots, inUse := 0, 0
 	for _, state := range s.ordered {
 		if !state.Leaving && !state.evacuated {
 			slots += state.slots()
 		}
 	}
-	for _, copied := range s.ahead {
-		if copied.phase == running {
-			taken++
+	for _, speculativeItem := range s.speculativeItems {
+		if speculativeItem.phase == running {
+			inUse++
 		}
 	}
-	return max(slots/aheadPart-taken, 0)
+	return max(slots/speculativeSlotDivisor-inUse, 0)
 }
 
-// worthAhead lists the running items of a job that are long, the longest first,
-// and whose text a later job would not accept.
-func (s *Scheduler) worthAhead(open *job, version uint64) []*item {
-	var long []*item
+// speculationCandidates lists the long running items of a job whose text a later job would
+// not accept, the longest first.
+func (s *Scheduler) speculationCandidates(open *job, version uint64) []*item {
+	var candidates []*item
 	for _, entry := range open.items {
-		_, started := s.ahead[entry.key.Item]
+		_, started := s.speculativeItems[entry.key.Item]
 		if started || entry.phase != running || entry.events == 0 || entry.versions[0] >= version {
 			continue
 		}
 		if s.suspect(entry) {
 			continue
 		}
-		if float64(entry.events) >= longRatio*s.usualEvents {
-			long = append(long, entry)
+		if float64(entry.events) >= minSpeculativeLengthRatio*s.averageEvents {
+			candidates = append(candidates, entry)
 		}
 	}
-	slices.SortFunc(long, func(a, b *item) int {
+	slices.SortFunc(candidates, func(a, b *item) int {
 		return cmp.Or(cmp.Compare(b.events, a.events), cmp.Compare(a.key.Item, b.key.Item))
 	})
-	return long
+	return candidates
 }
 
-// ahead returns a second entry for an item, whose text begins at a version.
-func (i *item) ahead(version uint64) *item {
+// speculativeCopy returns a copy of an item for a speculative run, whose text may be made
+// by the given version or newer ones.
+func (i *item) speculativeCopy(version uint64) *item {
 	spec := &pathbendv1.BatchJob{
 		Host: i.job.spec.Host, Path: i.job.spec.Path, Step: i.job.spec.Step, Model: i.job.spec.Model, MinVersion: version,
 		Tenant: i.job.spec.Tenant,
@@ -145,101 +147,104 @@
 	return &item{key: key, spec: i.spec, job: later, remote: i.job.policy.Remote}
 }
 
-// endAhead records the end of a run ahead. Its text is kept for a later job.
-func (s *Scheduler) endAhead(copied *item, ending Ending) {
-	s.free(copied)
-	delete(s.items, copied.key)
-	copied.phase = pending
-	if ending == Complete && copied.events > 0 {
-		copied.phase = settled
+// endSpeculative records the end of a speculative run. Its text, if there is any, is kept
+// for a later job.
+func (s *Scheduler) endSpeculative(speculativeItem *item, ending Ending) {
+	s.release(speculativeItem)
+	delete(s.items, speculativeItem.key)
+	speculativeItem.phase = pending
+	if ending == Complete && speculativeItem.events > 0 {
+		speculativeItem.phase = settled
 	}
-	if copied.events == 0 {
-		delete(s.ahead, copied.key.Item)
+	if speculativeItem.events == 0 {
+		delete(s.speculativeItems, speculativeItem.key.Item)
 	}
 }
 
-// dropAhead forgets what was made ahead of an item, and reports whether a run of
-// it must be stopped.
-func (s *Scheduler) dropAhead(itemID string) (key Key, wasRunning bool) {
-	copied, ok := s.ahead[itemID]
+// dropSpeculative removes an item's speculative run and its text. wasRunning reports
+// whether the run with the returned key must be stopped.
+func (s *Scheduler) dropSpeculative(itemID string) (key Key, wasRunning bool) {
+	speculativeItem, ok := s.speculativeItems[itemID]
 	if !ok {
 		return Key{}, false
 	}
-	wasRunning = copied.phase == running
-	s.free(copied)
-	delete(s.items, copied.key)
-	delete(s.ahead, itemID)
-	return copied.key, wasRunning
+	wasRunning = speculativeItem.phase == running
+	s.release(speculativeItem)
+	delete(s.items, speculativeItem.key)
+	delete(s.speculativeItems, itemID)
+	return speculativeItem.key, wasRunning
 }
 
-// takeAhead gives an item that a later job brings again what was made ahead of it,
-// if the job accepts it. It returns the run to stop, if there is one.
-func (s *Scheduler) takeAhead(entry *item) (stopped []Key) {
-	copied, ok := s.ahead[entry.key.Item]
+// adoptSpeculative gives a resubmitted item the text of its speculative run, if the job
+// accepts the versions and the text is longer than the item's own. It returns the
+// speculative run to stop, if there is one.
+func (s *Scheduler) adoptSpeculative(entry *item) (stopped []Key) {
+	speculativeItem, ok := s.speculativeItems[entry.key.Item]
 	if !ok {
 		return nil
 	}
-	key, wasRunning := s.dropAhead(entry.key.Item)
+	key, wasRunning := s.dropSpeculative(entry.key.Item)
 	if wasRunning {
 		stopped = append(stopped, key)
 	}
-	if copied.remote == entry.job.policy.Remote && copied.events > entry.events && entry.job.fits(copied.versions) {
-		entry.Text = Text{text: copied.text, events: copied.events, versions: copied.versions}
-		entry.aheadComplete = copied.phase == settled
+	if speculativeItem.remote == entry.job.policy.Remote && speculativeItem.events > entry.events && entry.job.accepts(speculativeItem.versions) {
+		entry.Text = Text{text: speculativeItem.text, events: speculativeItem.events, versions: speculativeItem.versions}
+		entry.speculativeComplete = speculativeItem.phase == settled
 	}
 	return stopped
 }
 
-// leave keeps the text of an unfinished item of a job that is over, unless more
-// fitting text was made ahead.
-func (s *Scheduler) leave(entry *item, now time.Time) {
-	copied, started := s.ahead[entry.key.Item]
+// keepUnfinishedText keeps the text of an unfinished item of an ended job for a later job,
+// unless a speculative run provides text under newer weights.
+func (s *Scheduler) keepUnfinishedText(entry *item, now time.Time) {
+	speculativeItem, started := s.speculativeItems[entry.key.Item]
 	if started {
-		copied.leftAt = now
+		speculativeItem.jobEndedAt = now
 		return
 	}
 	if entry.events > 0 && entry.phase != settled {
-		// The job itself is not kept: it holds the texts of all its items.
-		s.ahead[entry.key.Item] = &item{
-			key: entry.key, leftAt: now, remote: entry.job.policy.Remote,
+		// No reference to the job is kept: it would retain the texts of all its items.
+		s.speculativeItems[entry.key.Item] = &item{
+			key: entry.key, jobEndedAt: now, remote: entry.job.policy.Remote,
 			Text: Text{text: entry.text, events: entry.events, versions: entry.versions},
 		}
 	}
 }
 
-// staleAhead returns the runs ahead to stop: of jobs that ended long ago, or that
-// are silent. What is older than a group may take to come again is forgotten.
-func (s *Scheduler) staleAhead(now time.Time) []Move {
+// staleSpeculativeRuns returns the speculative runs to stop: those whose job ended more
+// than AheadPatience ago and those that are silent. It deletes texts that were not
+// resubmitted within groupResubmitTimeout.
+func (s *Scheduler) staleSpeculativeRuns(now time.Time) []Move {
 	var moves []Move
-	for _, itemID := range slices.Sorted(maps.Keys(s.ahead)) {
-		copied := s.ahead[itemID]
-		left := !copied.leftAt.IsZero()
-		if copied.phase != running {
-			if left && now.Sub(copied.leftAt) > carryTime {
-				delete(s.ahead, itemID)
+	for _, itemID := range slices.Sorted(maps.Keys(s.speculativeItems)) {
+		speculativeItem := s.speculativeItems[itemID]
+		jobEnded := !speculativeItem.jobEndedAt.IsZero()
+		if speculativeItem.phase != running {
+			if jobEnded && now.Sub(speculativeItem.jobEndedAt) > groupResubmitTimeout {
+				delete(s.speculativeItems, itemID)
 			}
 			continue
 		}
-		move := Move{Key: copied.key, Run: copied.run, From: copied.sampler.ID, Silent: now.Sub(copied.lastEvent), Pace: copied.sampler.pace}
+		move := Move{Key: speculativeItem.key, Run: speculativeItem.run, From: speculativeItem.sampler.ID, Silent: now.Sub(speculativeItem.lastEvent), Pace: speculativeItem.sampler.pace}
 		switch {
-		case left && now.Sub(copied.leftAt) > AheadPatience:
-			move.Reason = "not brought again"
-		case move.Silent > silenceLimit && !copied.sampler.isLoading(copied.job.spec.Model):
+		case jobEnded && now.Sub(speculativeItem.jobEndedAt) > AheadPatience:
+			move.Reason = "not resubmitted"
+		case move.Silent > maxSilenceTimeout && !speculativeItem.sampler.isLoading(speculativeItem.job.spec.Model):
 			move.Reason = "silent"
-			copied.sampler.lost(now)
+			speculativeItem.sampler.connectionLost(now)
 		default:
 			continue
 		}
-		s.endAhead(copied, Stopped)
+		s.endSpeculative(speculativeItem, Stopped)
 		moves = append(moves, move)
 	}
 	return moves
 }
 
-// noteLength records the length of a complete text.
-func (s *Scheduler) noteLength(events uint64) {
-	if s.usualEvents == 0 {
-		s.usualEvents = float64(events)
+// recordLength adds the length of a complete text to the moving average.
+func (s *Scheduler) recordLength(events uint64) {
+	if s.averageEvents == 0 {
+		s.averageEvents = float64(events)
 	}
-	s.usualEvents += usualWeight * (float64(events) - s.usualEvents)
+	s.averageEvents += averageEventsWeight * (float64(events) - s.averageEvents)
 }
--- a/internal/schedule/demand.go
+++ b/internal/schedule/demand.go
@@ -5,39 +5,40 @@
 	"time"
 )
 
-// demandWindow is how long a peak of the work wanted counts at least: several steps
-// of a trainer, which come some seconds apart (chosen; steps of the deployments seen
-// come each 4 s).
+// demandWindow is the minimum time for which a peak of demand counts. It spans several
+// steps of a trainer; steps come about every 4 s in known
+// deployments.
 const demandWindow = 15 * time.Second
 
-// demand keeps the most items of each model that were wanted at once of late. It
-// keeps the peaks of two windows, the one under way and the one before.
+// demand tracks, by model, the peak number of items wanted at once. It keeps the peaks of
+// the current and the previous window.
 type demand struct {
-	since          time.Time
-	former, latest map[string]int
+	windowStart       time.Time
+	previous, current map[string]int
 }
 
-// take records what is wanted at a time.
-func (d *demand) take(wanted map[string]int, now time.Time) {
-	if d.latest == nil || now.Sub(d.since) >= demandWindow {
-		d.since, d.former, d.latest = now, d.latest, make(map[string]int)
+// record raises the peaks of the current window to the number of items wanted now, and
+// begins a new window if demandWindow has passed.
+func (d *demand) record(wanted map[string]int, now time.Time) {
+	if d.current == nil || now.Sub(d.windowStart) >= demandWindow {
+		d.windowStart, d.previous, d.current = now, d.current, make(map[string]int)
 	}
 	for model, count := range wanted {
-		d.latest[model] = max(d.latest[model], count)
+		d.current[model] = max(d.current[model], count)
 	}
 }
 
-// peaks returns the peaks by model.
+// peaks returns the peak of both windows for each model.
 func (d *demand) peaks() map[string]int {
-	peaks := maps.Clone(d.latest)
-	for model, count := range d.former {
+	peaks := maps.Clone(d.current)
+	for model, count := range d.previous {
 		peaks[model] = max(peaks[model], count)
 	}
 	return peaks
 }
 
-// Demand returns, by model, the most items that open jobs wanted from samplers at
-// once of late. A model of which no job was seen is missing.
+// Demand returns, by model, the recent peak number of unfinished items of open jobs. Models
+// without recent jobs are absent.
 func (s *Scheduler) Demand(now time.Time) map[string]int {
 	wanted := make(map[string]int)
 	for _, open := range s.jobs {
@@ -47,13 +48,13 @@
 			}
 		}
 	}
-	s.demand.take(wanted, now)
+	s.demand.record(wanted, now)
 	return s.demand.peaks()
 }
 
-// Wanted records that a job wanted so many items of a model. A new holder of the jobs
-// learns of those that are over that way: a model of which it knew nothing would take its
-// even share of a fleet, however little work it has.
+// Wanted records the number of items that a job of a model had. A new executor uses it to
+// account for jobs that have already ended: otherwise a model of unknown demand would get
+// an even share of the fleet, however little work it has.
 func (s *Scheduler) Wanted(model string, items int, now time.Time) {
-	s.demand.take(map[string]int{model: items}, now)
+	s.demand.record(map[string]int{model: items}, now)
 }
--- a/internal/schedule/demand_test.go
+++ b/internal/schedule/demand_test.go
@@ -7,22 +7,23 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestDemandIsThePeakOfLate(t *testing.T) {
-	b := newBench(t, sampler("s", 1, 1))
-	require.Empty(t, b.s.Demand(b.now), "no job was seen")
-	b.addJob(b.jobOf("j", 1, "g:9", "g:9", "g:9"), policy(time.Second), kept{})
-	b.starts()
-	require.Equal(t, map[string]int{"m": 3}, b.s.Demand(b.now), "running and waiting")
-	b.s.DropJob("j", b.now)
-	b.now = b.now.Add(demandWindow)
-	require.Equal(t, map[string]int{"m": 3}, b.s.Demand(b.now), "the window before counts")
-	b.now = b.now.Add(demandWindow)
-	require.Empty(t, b.s.Demand(b.now))
+func TestDemandIsTheRecentPeak(t *testing.T) {
+	h := newHarness(t, sampler("s", 1, 1))
+	require.Empty(t, h.scheduler.Demand(h.now), "no job was added yet")
+	h.addJob(h.newJob("j", 1, "g:9", "g:9", "g:9"), policy(time.Second), storedTexts{})
+	h.starts()
+	require.Equal(t, map[string]int{"m": 3}, h.scheduler.Demand(h.now), "running and waiting items count")
+	h.scheduler.DropJob("j", h.now)
+	h.now = h.now.Add(demandWindow)
+	require.Equal(t, map[string]int{"m": 3}, h.scheduler.Demand(h.now), "the previous window counts")
+	h.now = h.now.Add(demandWindow)
+	require.Empty(t, h.scheduler.Demand(h.now))
 }
 
-// A new holder ordered 345 of 3,000 samplers to the newest versions at once, and no step
-// found a sampler that had loaded its version for six seconds.
-func TestJobsThatAreOverTellANewHolderOfDemand(t *testing.T) {
+// Guards against a new executor that does not know the demand of models whose jobs ended
+// before: it ordered 345 of 3,000 samplers to the newest versions at once, and for six seconds
+// no step found a sampler that had loaded its version.
+func TestDemandIncludesEndedJobsReportedToANewExecutor(t *testing.T) {
 	now := time.Unix(100, 0)
 	s := New(func() uint64 { return 0 })
 	s.Wanted("m", 80, now)
@@ -30,5 +31,5 @@
 	s.Wanted("n", 8, now)
 	require.Equal(t, map[string]int{"m": 80, "n": 8}, s.Demand(now))
 	s.Demand(now.Add(demandWindow))
-	require.Empty(t, s.Demand(now.Add(2*demandWindow)), "models without work are forgotten as ever")
+	require.Empty(t, s.Demand(now.Add(2*demandWindow)), "models without work are removed after two windows")
 }
--- a/internal/schedule/doc.go
+++ b/internal/schedule/doc.go
@@ -1,13 +1,14 @@
 // Package schedule decides which sampler generates which item of the open batch
-// jobs, when an item moves to another sampler and when it is given up.
+// jobs, when an item moves to another sampler, and when an item is given up.
 //
-// One executor holds the Scheduler of all jobs before a fleet of samplers, so
-// its own books say how loaded each sampler is. The order of work is: the job
-// that is due first, in it the groups that an earlier job brought already, then
-// the groups with the longest expected item. Of the samplers that serve a
-// usable weight version and have a free slot, the one that is expected to
-// finish the item first gets it; a sampler that has read the group's shared
-// prompt is preferred among nearly equal ones.
+// A single executor schedules all jobs of a fleet of samplers, so its own state
+// tells how loaded each sampler is. Items start in the order of the latest time at
+// which they can start and still complete before their job is due. Within a job,
+// groups that an earlier job already submitted come first, then the groups with the
+// longest expected item. Of the samplers that serve an accepted weight version and
+// have a free slot, the one with the lowest estimated time for the item is selected.
+// The estimate favors a sampler whose prefix cache holds the group's shared prompt.
 //
-// The package is pure: callers pass the time and hold the lock.
+// The package does no I/O, starts no goroutines and does not read the clock:
+// callers pass the time and serialize access.
 package schedule
--- a/internal/schedule/failing_test.go
+++ b/internal/schedule/failing_test.go
@@ -8,36 +8,36 @@
 	"github.com/stretchr/testify/require"
 )
 
-// One of twelve samplers answered 500 to everything and was free again at once, so that
-// it took 774 of the runs of its time, and 556 items were dead after three of them
-// (scale-1 of the shifted deployment).
-func TestFailingSamplerTakesFewItemsAndKillsNone(t *testing.T) {
+// Guards against a sampler that fails all requests at once and therefore always has free
+// slots: one of twelve samplers that answered everything with status 500 took 774 runs, and
+// 556 items were given up after three failures each.
+func TestFailingSamplerTakesFewItemsAndNoItemIsGivenUp(t *testing.T) {
 	var samplers []Sampler
 	for i := range 6 {
 		samplers = append(samplers, sampler(fmt.Sprintf("s%d", i), 2, 1))
 	}
-	b := newBench(t, samplers...)
-	words := make([]string, 60)
-	for i := range words {
-		words[i] = fmt.Sprintf("g%d:10", i)
+	h := newHarness(t, samplers...)
+	itemSpecs := make([]string, 60)
+	for i := range itemSpecs {
+		itemSpecs[i] = fmt.Sprintf("g%d:10", i)
 	}
-	b.addJob(b.jobOf("j", 1, words...), policy(9*time.Second), kept{})
+	h.addJob(h.newJob("j", 1, itemSpecs...), policy(9*time.Second), storedTexts{})
 	failures, finished, dead := 0, 0, 0
 	var running []Start
 	for range 2000 {
-		running = append(running, b.starts()...)
-		b.now = b.now.Add(10 * time.Millisecond)
+		running = append(running, h.starts()...)
+		h.now = h.now.Add(10 * time.Millisecond)
 		var left []Start
 		for _, start := range running {
 			switch {
 			case start.Sampler.ID == "s0":
 				failures++
-				if b.s.RunEnded(start.Key, start.Run, Failed, b.now).Dead {
+				if h.scheduler.RunEnded(start.Key, start.Run, Failed, h.now).Dead {
 					dead++
 				}
-			case b.now.Sub(began)%(300*time.Millisecond) == 0:
-				require.True(t, b.s.Progress(start.Key, start.Run, Event{ID: 1, Version: 1}, b.now))
-				require.NotNil(t, b.s.RunEnded(start.Key, start.Run, Complete, b.now).Finished)
+			case h.now.Sub(startTime)%(300*time.Millisecond) == 0:
+				require.True(t, h.scheduler.Progress(start.Key, start.Run, Event{ID: 1, Version: 1}, h.now))
+				require.NotNil(t, h.scheduler.RunEnded(start.Key, start.Run, Complete, h.now).Finished)
 				finished++
 			default:
 				left = append(left, start)
@@ -46,29 +46,29 @@
 		running = left
 	}
 	require.Zero(t, dead)
-	require.Equal(t, len(words), finished)
+	require.Equal(t, len(itemSpecs), finished)
 	require.LessOrEqual(t, failures, 12)
 }
 
-// The fault may be the sampler's: while others could run the item, failures at one alone
-// end it later, and at the latest after twice their number.
-func TestItemIsGivenUpOnceEnoughSamplersFailedIt(t *testing.T) {
-	for _, one := range []struct {
-		name    string
-		busy    bool
-		expects int
-	}{{"at three samplers in turn", false, 3}, {"at one while the others are full", true, 3 * doubtfulFailures}} {
-		b := newBench(t, sampler("a", 1, 1), sampler("b", 1, 1), sampler("c", 1, 1))
-		b.addJob(b.jobOf("j", 1, "g:1"), policy(time.Second), kept{})
-		if one.busy {
-			b.s.samplers["b"].running, b.s.samplers["c"].running = 1, 1
+// The sampler may be at fault: while other samplers could run the item, failures at a single
+// one do not end it at MaxFailures, but at maxFailuresFactor times that number.
+func TestItemIsGivenUpOnceEnoughSamplersFailed(t *testing.T) {
+	for _, test := range []struct {
+		name         string
+		busy         bool
+		wantFailures int
+	}{{"at three samplers in turn", false, 3}, {"at one while the others are full", true, 3 * maxFailuresFactor}} {
+		h := newHarness(t, sampler("a", 1, 1), sampler("b", 1, 1), sampler("c", 1, 1))
+		h.addJob(h.newJob("j", 1, "g:1"), policy(time.Second), storedTexts{})
+		if test.busy {
+			h.scheduler.samplers["b"].running, h.scheduler.samplers["c"].running = 1, 1
 		}
 		for failure := 1; ; failure++ {
-			b.now = b.now.Add(10 * time.Second)
-			starts := b.starts()
-			require.Len(t, starts, 1, one.name)
-			if b.s.RunEnded(starts[0].Key, starts[0].Run, Failed, b.now).Dead {
-				require.Equal(t, one.expects, failure, one.name)
+			h.now = h.now.Add(10 * time.Second)
+			starts := h.starts()
+			require.Len(t, starts, 1, test.name)
+			if h.scheduler.RunEnded(starts[0].Key, starts[0].Run, Failed, h.now).Dead {
+				require.Equal(t, test.wantFailures, failure, test.name)
 				break
 			}
 		}
@@ -76,14 +76,14 @@
 }
 
 func TestFailedItemPrefersASamplerThatDidNotFailIt(t *testing.T) {
-	b := newBench(t, sampler("a", 1, 1), sampler("b", 1, 1))
-	b.addJob(b.jobOf("j", 1, "g:1"), policy(time.Second), kept{})
-	first := b.starts()[0]
-	b.s.RunEnded(first.Key, first.Run, Failed, b.now)
-	b.now = b.now.Add(10 * time.Second)
-	second := b.starts()[0]
+	h := newHarness(t, sampler("a", 1, 1), sampler("b", 1, 1))
+	h.addJob(h.newJob("j", 1, "g:1"), policy(time.Second), storedTexts{})
+	first := h.starts()[0]
+	h.scheduler.RunEnded(first.Key, first.Run, Failed, h.now)
+	h.now = h.now.Add(10 * time.Second)
+	second := h.starts()[0]
 	require.NotEqual(t, first.Sampler.ID, second.Sampler.ID)
-	b.s.RunEnded(second.Key, second.Run, Failed, b.now)
-	b.now = b.now.Add(10 * time.Second)
-	require.Len(t, b.starts(), 1, "both failed it: either is tried again")
+	h.scheduler.RunEnded(second.Key, second.Run, Failed, h.now)
+	h.now = h.now.Add(10 * time.Second)
+	require.Len(t, h.starts(), 1, "both failed it, so either is tried again")
 }
--- a/internal/schedule/holds_test.go
+++ b/internal/schedule/holds_test.go
@@ -7,59 +7,61 @@
 	"github.com/stretchr/testify/require"
 )
 
-// holds are times until which items are held; a suspect has the zero time.
-type holds map[string]time.Time
+// fakeQuarantine maps suspect items to the times until which they are quarantined; the zero
+// time means that an item is a suspect but not quarantined.
+type fakeQuarantine map[string]time.Time
 
-func (h holds) HeldUntil(item string) time.Time { return h[item] }
+func (q fakeQuarantine) HeldUntil(item string) time.Time { return q[item] }
 
-func (h holds) Suspect(item string) bool {
-	_, known := h[item]
+func (q fakeQuarantine) Suspect(item string) bool {
+	_, known := q[item]
 	return known
 }
 
-// An item that crashed three samplers took 46 in 40 s, as each run that broke was followed by
-// the next.
-func TestItemThatIsHeldGoesToNoSampler(t *testing.T) {
-	b := newBench(t, sampler("s", 8, 1), sampler("t", 8, 1))
-	held := holds{"k-1": b.now.Add(time.Second)}
-	b.s.SetHolds(held)
-	b.addJob(b.jobOf("k", 1, "g:1", "g:1", "g:1"), policy(9*time.Second), kept{})
-	require.ElementsMatch(t, []string{"k-0", "k-2"}, itemsOf(b.starts()))
-	// A later job that brings the item again is bound as well.
-	b.s.DropJob("k", b.now)
-	again := b.jobOf("l", 1, "g:1")
+// Guards against an item that crashes its samplers and is restarted at once after each
+// broken run: such an item crashed 46 samplers in 40 s.
+func TestQuarantinedItemIsNotStarted(t *testing.T) {
+	h := newHarness(t, sampler("s", 8, 1), sampler("t", 8, 1))
+	quarantined := fakeQuarantine{"k-1": h.now.Add(time.Second)}
+	h.scheduler.SetHolds(quarantined)
+	h.addJob(h.newJob("k", 1, "g:1", "g:1", "g:1"), policy(9*time.Second), storedTexts{})
+	require.ElementsMatch(t, []string{"k-0", "k-2"}, itemIDs(h.starts()))
+	// The quarantine also applies to a later job that resubmits the item.
+	h.scheduler.DropJob("k", h.now)
+	again := h.newJob("l", 1, "g:1")
 	again.items[0].Id = "k-1"
-	b.addJob(again, policy(9*time.Second), kept{})
-	require.Empty(t, b.starts())
-	b.now = held["k-1"]
-	require.Equal(t, []string{"k-1"}, itemsOf(b.starts()), "its trial")
+	h.addJob(again, policy(9*time.Second), storedTexts{})
+	require.Empty(t, h.starts())
+	h.now = quarantined["k-1"]
+	require.Equal(t, []string{"k-1"}, itemIDs(h.starts()), "the trial run after the quarantine")
 }
 
-// Items of a group go to one sampler. All of a group were there at each of the six ends that one
-// of them caused, and were held with it.
-func TestSuspectsRunAtASamplerEach(t *testing.T) {
-	b := newBench(t, sampler("s", 8, 1), sampler("t", 8, 1))
-	b.s.SetHolds(holds{"k-0": {}, "k-1": {}, "k-2": {}})
-	b.addJob(b.jobOf("k", 1, "g:1", "g:1", "g:1", "g:1"), policy(9*time.Second), kept{})
-	starts := b.starts()
+// Guards against quarantining harmless items together with the one that crashes samplers.
+// Items of a group tend to run at the same sampler, so all items of a group were present at
+// each of the six crashes that one of them caused.
+func TestEachSamplerRunsAtMostOneSuspect(t *testing.T) {
+	h := newHarness(t, sampler("s", 8, 1), sampler("t", 8, 1))
+	h.scheduler.SetHolds(fakeQuarantine{"k-0": {}, "k-1": {}, "k-2": {}})
+	h.addJob(h.newJob("k", 1, "g:1", "g:1", "g:1", "g:1"), policy(9*time.Second), storedTexts{})
+	starts := h.starts()
 	suspects := make(map[string]int)
 	for _, start := range starts {
 		if start.Key.Item != "k-3" {
 			suspects[start.Sampler.ID]++
 		}
 	}
-	require.Len(t, starts, 3, "one suspect waits for the others")
+	require.Len(t, starts, 3, "one suspect waits for a sampler without a suspect")
 	require.Equal(t, map[string]int{"s": 1, "t": 1}, suspects)
 	for _, start := range starts {
-		b.s.RunEnded(start.Key, start.Run, Refused, b.now)
+		h.scheduler.RunEnded(start.Key, start.Run, Refused, h.now)
 	}
-	b.now = b.now.Add(time.Second)
-	require.Len(t, b.starts(), 3)
+	h.now = h.now.Add(time.Second)
+	require.Len(t, h.starts(), 3)
 }
 
-func TestSuspectItemIsNotRunAhead(t *testing.T) {
-	b := carrying(t, 4, sampler("old", 8, 1), sampler("new", 8, 3))
-	b.s.SetHolds(holds{"k-0": time.Time{}})
-	longAt(b, 10)
-	require.Empty(t, b.starts())
+func TestSuspectItemIsNotRunSpeculatively(t *testing.T) {
+	h := newResubmittingHarness(t, 4, sampler("old", 8, 1), sampler("new", 8, 3))
+	h.scheduler.SetHolds(fakeQuarantine{"k-0": time.Time{}})
+	startLongItem(h, 10)
+	require.Empty(t, h.starts())
 }
--- a/internal/schedule/item.go
+++ b/internal/schedule/item.go
@@ -8,34 +8,36 @@
 	"github.com/pathbend/pathbend/internal/locality"
 )
 
-// Key names an item of a job.
+// Key identifies an item of a job, or the speculative run of that item.
 type Key struct {
 	Job  string
 	Item string
-	// Ahead is set for a second run of the item, for a later job.
+	// Ahead is set for a speculative run of the item on behalf of a later job.
 	Ahead bool
 }
 
-// Policy is how the items of a job are run.
+// Policy holds the rules by which the items of a job are scheduled.
 type Policy struct {
-	// Services may generate the items.
+	// Services lists the services whose samplers may generate the items.
 	Services []string
-	// Regions are those whose samplers may generate the items, by Topology.
+	// Regions restricts the regions whose samplers may generate the items. Topology maps
+	// zones to regions.
 	Regions  locality.Regions
 	Topology locality.Topology
-	// MaxFailures is the number of failed runs after which an item is dead.
+	// MaxFailures is the number of failed runs, or of samplers that failed, after which an
+	// item is given up.
 	MaxFailures int
-	// SingleVersion wants each text made by one weight version.
+	// SingleVersion requires each text to be made by one weight version.
 	SingleVersion bool
-	// Remote is set if a worker of the regions carries the runs and holds the texts.
+	// Remote is set if a worker in the job's regions executes the runs and holds the texts.
 	Remote bool
-	// Priority ranks the job, 0 first.
+	// Priority is the job's rank; 0 is the most urgent.
 	Priority int
-	// Due is when the results are wanted.
+	// Due is the time by which the results are wanted.
 	Due time.Time
 }
 
-// allows reports whether a sampler's place and service fit.
+// allows reports whether the sampler's service and region are permitted.
 func (p *Policy) allows(sampler *Sampler) bool {
 	if p.Regions.Bound() && !p.Regions.Allow(p.Topology.Region(sampler.Zone)) {
 		return false
@@ -45,22 +47,23 @@
 
 // Event is one event of a sampler's stream.
 type Event struct {
-	// ID numbers the events of a text from 1.
+	// ID is the sequence number of the event in its text, from 1.
 	ID uint64
-	// Version is the weight version that made it.
+	// Version is the weight version that made the event.
 	Version uint64
 	Data    []byte
 }
 
-// phase is where an item stands.
+// phase is the stage of an item between its submission and its result.
 type phase int
 
 const (
 	pending phase = iota
 	running
-	// scoring means that the text is complete and its reward call is under way.
+	// scoring means that the text is complete and its reward call is in progress.
 	scoring
-	// settled means that the result waits for its place in the log.
+	// settled means that the item needs no further work and its result is about to be
+	// appended to the log. A speculative run is settled once its text is complete.
 	settled
 )
 
@@ -69,107 +72,110 @@
 	spec  *pathbendv1.BatchItem
 	job   *job
 	phase phase
-	// rank orders the items of a job that are equally urgent.
+	// rank orders the items of a job that have the same latest start.
 	rank int
-	// carried is set if an earlier job brought the item's group already.
-	carried bool
-	// latestStart is when the item must begin to be complete in time, as of the last
-	// look.
+	// resubmitted is set if an earlier job already submitted the item's group.
+	resubmitted bool
+	// latestStart is the latest time to start the item so that it completes before its job
+	// is due, as of the last call of readyItems.
 	latestStart time.Time
 
 	Text
 
 	sampler *samplerState
-	// suspect is set while it runs as the suspect of its sampler.
+	// suspect is set while the item is counted in the suspects of its sampler.
 	suspect    bool
 	run        uint64
 	startedAt  time.Time
 	lastEvent  time.Time
 	milestones Milestones
-	// aheadComplete is set if the text was made complete ahead of the job.
-	aheadComplete bool
-	// remote is set if a worker holds the text of a run ahead.
+	// speculativeComplete is set if a speculative run completed the text before the job was
+	// submitted.
+	speculativeComplete bool
+	// remote is set if a worker holds the text of a speculative run.
 	remote bool
-	// leftAt is when the job of a run ahead was over.
-	leftAt    time.Time
-	notBefore time.Time
-	// avoid is the sampler that failed the item last.
-	avoid    Incarnation
-	failures int
-	refusals int
-	// failedAt holds the samplers that ran the item and failed.
+	// jobEndedAt is when the job of a speculative run ended, the zero time while it is open.
+	jobEndedAt time.Time
+	notBefore  time.Time
+	// lastSampler is the sampler of the last run that ended.
+	lastSampler Incarnation
+	failures    int
+	refusals    int
+	// failedAt is the set of samplers that ran the item and failed.
 	failedAt map[Incarnation]struct{}
 }
 
-// Milestones are the moments of an item's way to its result, as far as this
-// executor saw them; a moment that it did not see is zero.
+// Milestones are the times of an item's progress to its result, as observed by this
+// executor. Times that it did not observe are zero.
 type Milestones struct {
 	// Started is when the item was first sent to a sampler.
 	Started time.Time
-	// Completed is when its text was complete, Scored when its reward call had answered.
+	// Completed is when its text was complete, Scored when its reward call returned.
 	Completed time.Time
 	Scored    time.Time
-	// Sampler made the end of the text, which has Events events.
+	// Sampler is the id of the sampler of the last run. Events is the length of the
+	// complete text.
 	Sampler string
 	Events  uint64
-	// Runs counts the times that it was sent to a sampler.
+	// Runs counts the runs of the item.
 	Runs int
-	// Group is the item's group, GroupOpen how many others of it have no place in the
-	// log yet. Carried is set if an earlier job brought the group already.
+	// Group is the item's group, GroupOpen the number of its other items whose results are
+	// not in the log yet. Carried is set if an earlier job already submitted the group.
 	Group     string
 	GroupOpen int
 	Carried   bool
-	// ExpectedTokens is the caller's guess of its length.
+	// ExpectedTokens is the caller's estimate of its length.
 	ExpectedTokens uint64
-	// Spent tells where the time between Started and Completed went.
+	// Spent breaks down the time between Started and Completed.
 	Spent Spent
 }
 
-// Spent splits the time that an item took from its first start to its complete text.
-// What is in none of these, it was making events.
+// Spent breaks down the time from an item's first start to its complete text. The time
+// that none of the fields covers was spent generating events.
 type Spent struct {
 	// Prompt is the time from the starts of its runs to their first events.
 	Prompt time.Duration
-	// Paused is the time from the last sign of each run that ended early to the next
-	// run.
+	// Paused is the time from the last event, or the start, of each run that ended early
+	// to the next run.
 	Paused time.Duration
-	// Stalled is that of gaps between events of stallFrom or longer.
+	// Stalled is the sum of the gaps between events of minStall or longer.
 	Stalled time.Duration
 }
 
-// stallFrom is the gap between two events that counts as a stall: the users' sheets
-// bound pauses by 150 ms, and events come some 35 ms apart.
-const stallFrom = 150 * time.Millisecond
+// minStall is the shortest gap between two events that counts as a stall. Users limit
+// pauses to 150 ms; events normally come about 35 ms apart.
+const minStall = 150 * time.Millisecond
 
-// gap records the time from one event of a run, or from its start, to the next.
-func (s *Spent) gap(length time.Duration, first bool) {
+// addGap records the time from one event of a run, or from its start, to the next event.
+// first is set for the first event of the run.
+func (s *Spent) addGap(length time.Duration, first bool) {
 	switch {
 	case first:
 		s.Prompt += length
-	case length >= stallFrom:
+	case length >= minStall:
 		s.Stalled += length
 	}
 }
 
-// sent records the start of a run. lastSign is the last event, or start, of the run
-// before it.
-func (m *Milestones) sent(samplerID string, lastSign, now time.Time) {
+// recordStart records the start of a run. lastActivity is the time of the last event, or
+// the start, of the previous run.
+func (m *Milestones) recordStart(samplerID string, lastActivity, now time.Time) {
 	if m.Started.IsZero() {
 		m.Started = now
 	} else {
-		m.Spent.Paused += now.Sub(lastSign)
+		m.Spent.Paused += now.Sub(lastActivity)
 	}
 	m.Sampler = samplerID
 	m.Runs++
 }
 
-// savedText tells how much of an item's text was sent to the log.
+// savedText describes the prefix of an item's text that was sent to the log.
 type savedText struct {
-	// id names the last part sent, 0 if there is none.
+	// id identifies the last part sent, 0 if there is none.
 	id     uint64
 	events uint64
 	bytes  int
-	// at is when it was sent; confirmed is set once it was read back.
+	// at is when that part was sent; confirmed is set once it was read back from the log.
 	at        time.Time
 	confirmed bool
 }
@@ -179,16 +185,16 @@
 	spec   *pathbendv1.BatchJob
 	policy Policy
 	items  []*item
-	// held keeps its items from being started.
-	held bool
-	// newest is the newest version of the model when the job was taken in.
-	newest uint64
+	// paused prevents its items from being started.
+	paused bool
+	// newestVersion is the newest version of the model when the job was added.
+	newestVersion uint64
 }
 
-// accepted tells which versions the job's texts may have.
-func (j *job) accepted() Acceptance {
+// acceptance returns the versions that may have made the job's texts.
+func (j *job) acceptance() Acceptance {
 	return Acceptance{MinVersion: j.spec.MinVersion, SingleVersion: j.policy.SingleVersion}
 }
 
-// fits reports whether text of these versions may be part of a result.
-func (j *job) fits(versions []uint64) bool { return j.accepted().Fits(versions) }
+// accepts reports whether text made by the versions may be part of a result.
+func (j *job) accepts(versions []uint64) bool { return j.acceptance().Fits(versions) }
--- a/internal/schedule/length_test.go
+++ b/internal/schedule/length_test.go
@@ -13,39 +13,40 @@
 	return &item{spec: &pathbendv1.BatchItem{ExpectedTokens: expectedTokens}, Text: Text{events: events}}
 }
 
-func TestTokensOfAnEventAreLearned(t *testing.T) {
+func TestEstimatorLearnsTokensPerEvent(t *testing.T) {
 	for _, tokensPerEvent := range []uint64{33, 99} {
-		learned := newLengths()
-		require.InDelta(t, 20, learned.remaining(itemOf(20*assumedTokensPerEvent, 0)), 0.001)
+		estimator := newLengthEstimator()
+		require.InDelta(t, 20, estimator.remainingEvents(itemOf(20*initialTokensPerEvent, 0)), 0.001)
 		for range 100 {
-			learned.note(20*tokensPerEvent, 20)
-			learned.note(0, 20)
+			estimator.observe(20*tokensPerEvent, 20)
+			estimator.observe(0, 20)
 		}
-		require.InDelta(t, 20, learned.remaining(itemOf(20*tokensPerEvent, 0)), 2, "%d tokens an event", tokensPerEvent)
+		require.InDelta(t, 20, estimator.remainingEvents(itemOf(20*tokensPerEvent, 0)), 2, "%d tokens per event", tokensPerEvent)
 	}
 }
 
-func TestItemPastItsGuessIsExpectedToGoOn(t *testing.T) {
-	learned := newLengths()
-	require.InDelta(t, 30, learned.remaining(itemOf(100*assumedTokensPerEvent, 70)), 0.001)
-	require.InDelta(t, overrun*200, learned.remaining(itemOf(100*assumedTokensPerEvent, 200)), 0.001)
-	require.InDelta(t, 1, learned.remaining(itemOf(0, 0)), 0.001)
+func TestItemPastItsEstimateHasRemainingEvents(t *testing.T) {
+	estimator := newLengthEstimator()
+	require.InDelta(t, 30, estimator.remainingEvents(itemOf(100*initialTokensPerEvent, 70)), 0.001)
+	require.InDelta(t, minRemainingRatio*200, estimator.remainingEvents(itemOf(100*initialTokensPerEvent, 200)), 0.001)
+	require.InDelta(t, 1, estimator.remainingEvents(itemOf(0, 0)), 0.001)
 }
 
-// An item of 235 events stayed at a sampler that turned four times as slow, since 45
-// tokens an event were assumed where there were 33: by that it was nearly done. Its
-// step took 8.6 s, and the day ended one step short.
-func TestLongItemLeavesASlowSamplerAlsoPastItsGuess(t *testing.T) {
-	b := newBench(t, sampler("slow", 1, 1))
-	b.addJob(b.jobOf("j", 1, "g:900"), policy(time.Second), kept{})
-	start := b.starts()[0]
+// Guards against a long item that stays at a sampler that became slow, because the item is
+// considered nearly done. With 45 tokens assumed per event instead of the actual 33, an item
+// of 235 events stayed at a sampler four times as slow as before. Its step took 8.6 s, so that
+// one step fewer completed within the test period.
+func TestLongItemPastItsEstimateMovesFromASlowSampler(t *testing.T) {
+	h := newHarness(t, sampler("slow", 1, 1))
+	h.addJob(h.newJob("j", 1, "g:900"), policy(time.Second), storedTexts{})
+	start := h.starts()[0]
 	for id := uint64(1); id <= 60; id++ {
-		b.now = b.now.Add(100 * time.Millisecond)
-		require.True(t, b.s.Progress(start.Key, start.Run, Event{ID: id, Version: 1, Data: []byte("x")}, b.now))
+		h.now = h.now.Add(100 * time.Millisecond)
+		require.True(t, h.scheduler.Progress(start.Key, start.Run, Event{ID: id, Version: 1, Data: []byte("x")}, h.now))
 	}
-	b.s.fleetPace = initialPace
-	b.s.Samplers([]Sampler{sampler("slow", 1, 1), sampler("fit", 1, 1)}, b.now)
-	moves := b.s.Moves(b.now)
+	h.scheduler.fleetPace = initialPace
+	h.scheduler.Samplers([]Sampler{sampler("slow", 1, 1), sampler("fit", 1, 1)}, h.now)
+	moves := h.scheduler.Moves(h.now)
 	require.Len(t, moves, 1)
 	require.Equal(t, "slow", moves[0].Reason)
 }
--- a/internal/schedule/placement.go
+++ b/internal/schedule/placement.go
@@ -17,11 +17,12 @@
 	Sampler Sampler
 	Job     *pathbendv1.BatchJob
 	Item    *pathbendv1.BatchItem
-	// AfterEvent is the event to continue after, 0 to begin.
+	// AfterEvent is the id of the event to continue after, 0 to start from the beginning.
 	AfterEvent uint64
-	// SingleVersion wants the text made by one weight version.
+	// SingleVersion requires the text to be made by one weight version.
 	SingleVersion bool
-	// Candidates and Running tell what the choice was made from.
+	// Candidates is the number of samplers that were compared. Running and Pace are the
+	// runs of the selected sampler before this one and its average time per event.
 	Candidates int
 	Running    int
 	Pace       time.Duration
@@ -29,87 +30,91 @@
 
 // Starts returns the runs to begin now, the most urgent items first.
 func (s *Scheduler) Starts(now time.Time) []Start {
-	free := s.freeSlots(now)
-	if free == 0 {
+	available := s.freeSlots(now)
+	if available == 0 {
 		return nil
 	}
-	starts := s.startsAhead(now)
-	free -= len(starts)
-	full := make(map[*job]bool)
-	for _, entry := range s.waiting(now) {
-		if free <= 0 {
+	starts := s.speculativeStarts(now)
+	available -= len(starts)
+	noSampler := make(map[*job]bool)
+	for _, entry := range s.readyItems(now) {
+		if available <= 0 {
 			break
 		}
-		if full[entry.job] {
+		if noSampler[entry.job] {
 			continue
 		}
-		chosen, candidates := s.choose(entry, now)
+		chosen, candidates := s.selectSampler(entry, now)
 		if chosen == nil {
-			// The other items of the job find no sampler either, unless each has
-			// a version of its own, or this one waits for a sampler of its own.
-			full[entry.job] = !entry.job.policy.SingleVersion && !s.suspect(entry)
+			// No sampler is available to the other items of the job either, unless each
+			// item is bound to its own version, or this one is a suspect and needs a
+			// sampler without another suspect.
+			noSampler[entry.job] = !entry.job.policy.SingleVersion && !s.suspect(entry)
 			continue
 		}
 		starts = append(starts, s.start(entry, chosen, candidates, now))
-		free--
+		available--
 	}
 	return starts
 }
 
-// waiting lists the items that may begin, by the time at which each must begin to
-// be complete when its job is due: a long item of a later job may go before a short
-// one of an earlier.
-func (s *Scheduler) waiting(now time.Time) []*item {
-	var waiting []*item
+// readyItems lists the items that may start, ordered by the latest time at which each can
+// start and still complete before its job is due. A long item of a later job may therefore
+// precede a short item of an earlier one.
+func (s *Scheduler) readyItems(now time.Time) []*item {
+	var ready []*item
 	for _, open := range s.jobs {
-		if open.held {
+		if open.paused {
 			continue
 		}
 		for _, entry := range open.items {
-			if entry.phase == pending && !now.Before(entry.notBefore) && !s.held(entry, now) {
+			if entry.phase == pending && !now.Before(entry.notBefore) && !s.quarantined(entry, now) {
 				entry.latestStart = s.latestStart(entry)
-				waiting = append(waiting, entry)
+				ready = append(ready, entry)
 			}
 		}
 	}
-	slices.SortFunc(waiting, func(a, b *item) int {
+	slices.SortFunc(ready, func(a, b *item) int {
 		return cmp.Or(a.latestStart.Compare(b.latestStart), cmp.Compare(a.key.Job, b.key.Job), cmp.Compare(a.rank, b.rank))
 	})
-	return waiting
+	return ready
 }
 
+// latestStart returns the latest time to start an item so that it completes before its job is
+// due. The item's priority and a resubmitted group shift it.
 func (s *Scheduler) latestStart(entry *item) time.Time {
-	needed := time.Duration(s.lengths.remaining(entry) * float64(s.fleetPace))
-	if entry.carried {
-		needed += carriedLead
+	needed := time.Duration(s.estimator.remainingEvents(entry) * float64(s.fleetPace))
+	if entry.resubmitted {
+		needed += resubmittedLead
 	}
 	needed -= time.Duration(entry.job.policy.Priority) * priorityLead
 	return entry.job.policy.Due.Add(-needed)
 }
 
-// priorityLead is how much earlier an item begins than one of a job that ranks
-// one behind.
+// priorityLead is how much earlier an item starts than an equal item of a job whose
+// priority is one rank lower.
 const priorityLead = time.Second
 
-// carriedLead is how much earlier than others an item begins whose group an
-// earlier job brought already: the job waits for it whichever others are complete.
-const carriedLead = 2 * time.Second
+// resubmittedLead is how much earlier than others an item of a resubmitted group starts:
+// the job waits for such a group, no matter which other groups are complete.
+const resubmittedLead = 2 * time.Second
 
-// freeSlots counts the items that all samplers may take on. In a large fleet it only tells
-// whether there is room at all: to count took 0.3 ms at 10,000 samplers at each of up to 250
-// looks a second, and each choice finds out for itself.
+// freeSlots counts the items that all samplers together can accept. In a large fleet it
+// returns math.MaxInt if there is any free slot: counting takes 0.3 ms for 10,000 samplers,
+// is needed up to 250 times a second, and selectSampler checks each sampler anyway.
 func (s *Scheduler) freeSlots(now time.Time) int {
-	free := 0
+	total := 0
 	for _, state := range s.ordered {
-		free += state.room(s.fleetPace, now)
-		if free > 0 && len(s.ordered) > mostCandidates {
+		total += state.capacity(s.fleetPace, now)
+		if total > 0 && len(s.ordered) > maxCandidates {
 			return math.MaxInt
 		}
 	}
-	return free
+	return total
 }
 
-func (s *Scheduler) byDue() []*job {
+// jobsByDueTime lists the open jobs, the one that is due first at the front.
+func (s *Scheduler) jobsByDueTime() []*job {
 	ordered := slices.Collect(maps.Values(s.jobs))
 	slices.SortFunc(ordered, func(a, b *job) int {
 		return cmp.Or(a.policy.Due.Compare(b.policy.Due), cmp.Compare(a.id, b.id))
@@ -117,32 +122,32 @@
 	return ordered
 }
 
-// mostCandidates bounds the samplers that one choice compares: the cost of a choice
-// stays flat as the fleet grows, and the best of so many is hardly worse than the
-// best of all. Fleets of up to so many samplers are looked at in full.
-const mostCandidates = 128
+// maxCandidates limits the samplers that one selection compares, so that its cost does not
+// grow with the fleet; the best of this many is hardly worse than the best of all. In
+// fleets of up to this size, all samplers are compared.
+const maxCandidates = 128
 
-// choose returns the sampler that is expected to finish the item first among those
-// it looked at, nil if none of all may run it now, and the number that might.
-func (s *Scheduler) choose(entry *item, now time.Time) (*samplerState, int) {
-	found := comparison{scheduler: s, entry: entry, suspect: s.suspect(entry), now: now}
-	if len(s.ordered) <= mostCandidates {
-		found.look(s.ordered, 0)
-		return found.best, found.candidates
+// selectSampler returns the sampler with the lowest estimated cost for the item among those
+// compared, or nil if no sampler can run it now, and the number of samplers compared.
+func (s *Scheduler) selectSampler(entry *item, now time.Time) (*samplerState, int) {
+	selection := samplerSelection{scheduler: s, entry: entry, suspect: s.suspect(entry), now: now}
+	if len(s.ordered) <= maxCandidates {
+		selection.scan(s.ordered, 0)
+		return selection.best, selection.candidates
 	}
 	model := entry.job.spec.Model
-	from := s.serving.lookFrom[model]
-	for _, list := range s.serving.from(model, entry.job.spec.MinVersion) {
-		if next, full := found.look(list, from); full {
-			s.serving.lookFrom[model] = next
+	start := s.serving.nextIndex[model]
+	for _, list := range s.serving.servingAtLeast(model, entry.job.spec.MinVersion) {
+		if next, full := selection.scan(list, start); full {
+			s.serving.nextIndex[model] = next
 			break
 		}
 	}
-	return found.best, found.candidates
+	return selection.best, selection.candidates
 }
 
-// comparison is one choice of a sampler for an item.
-type comparison struct {
+// samplerSelection is the state of one selection of a sampler for an item.
+type samplerSelection struct {
 	scheduler  *Scheduler
 	entry      *item
 	suspect    bool
@@ -152,46 +157,48 @@
 	candidates int
 }
 
-// look compares the samplers of a list, those from a place on first. It reports whether as
-// many were compared as one choice may, and where the next goes on.
-func (c *comparison) look(list []*samplerState, from int) (next int, full bool) {
+// scan compares the samplers of a list, beginning at index start and wrapping around. full
+// reports whether maxCandidates is reached; next is then the index at which the next
+// selection begins.
+func (c *samplerSelection) scan(list []*samplerState, start int) (next int, full bool) {
 	pace := c.scheduler.fleetPace
 	for i := range list {
-		place := (from + i) % len(list)
-		state := list[place]
-		if state.room(pace, c.now) == 0 || !c.scheduler.serves(state, c.entry) || c.suspect && state.suspects > 0 {
+		index := (start + i) % len(list)
+		state := list[index]
+		if state.capacity(pace, c.now) == 0 || !c.scheduler.serves(state, c.entry) || c.suspect && state.suspects > 0 {
 			continue
 		}
-		cost := state.cost(c.entry.spec.Group, pace, c.now) * c.entry.reluctance(state.Incarnation())
+		cost := state.cost(c.entry.spec.Group, pace, c.now) * c.entry.costFactor(state.Incarnation())
 		if c.best == nil || cost < c.bestCost {
 			c.best, c.bestCost = state, cost
 		}
-		if c.candidates++; c.candidates == mostCandidates {
-			return place + 1, true
+		if c.candidates++; c.candidates == maxCandidates {
+			return index + 1, true
 		}
 	}
 	return 0, false
 }
 
 const (
-	// avoidance is how much dearer the sampler of the last run is that did not end well,
-	// failedAvoidance one that ran the item and failed (chosen).
-	avoidance       = 2.0
-	failedAvoidance = 8.0
+	// lastSamplerCostFactor multiplies the cost of the sampler of the item's last run,
+	// failedSamplerCostFactor that of a sampler that ran the item and failed.
+	lastSamplerCostFactor   = 2.0
+	failedSamplerCostFactor = 8.0
 )
 
-// reluctance is how much dearer a sampler is for an item than for others.
-func (i *item) reluctance(sampler Incarnation) float64 {
+// costFactor returns the factor by which the history of the item raises the cost of a
+// sampler.
+func (i *item) costFactor(sampler Incarnation) float64 {
 	if _, failed := i.failedAt[sampler]; failed {
-		return failedAvoidance
+		return failedSamplerCostFactor
 	}
-	if sampler == i.avoid {
-		return avoidance
+	if sampler == i.lastSampler {
+		return lastSamplerCostFactor
 	}
 	return 1
 }
 
-// serves reports whether a sampler's place, service and weights fit an item.
+// serves reports whether a sampler's region, service and weights suit an item.
 func (s *Scheduler) serves(state *samplerState, entry *item) bool {
 	if !entry.job.policy.allows(&state.Sampler) {
 		return false
@@ -206,10 +213,11 @@
 	return true
 }
 
+// start assigns an item to a sampler and returns the run to begin.
 func (s *Scheduler) start(entry *item, chosen *samplerState, candidates int, now time.Time) Start {
 	s.runs++
 	entry.phase, entry.sampler, entry.run = running, chosen, s.runs
-	entry.milestones.sent(chosen.ID, entry.lastEvent, now)
+	entry.milestones.recordStart(chosen.ID, entry.lastEvent, now)
 	entry.startedAt, entry.lastEvent = now, now
 	started := Start{
 		Key: entry.key, Run: s.runs, Sampler: chosen.Sampler, Job: entry.job.spec, Item: entry.spec,
@@ -220,12 +228,12 @@
 		chosen.suspects++
 	}
 	chosen.budget.Sent(now)
-	chosen.groups[entry.spec.Group] = now
+	chosen.promptReadAt[entry.spec.Group] = now
 	return started
 }
 
-// free takes an item off its sampler.
-func (s *Scheduler) free(entry *item) {
+// release removes an item's run from its sampler.
+func (s *Scheduler) release(entry *item) {
 	if entry.sampler == nil {
 		return
 	}
--- a/internal/schedule/remote.go
+++ b/internal/schedule/remote.go
@@ -6,13 +6,13 @@
 	"github.com/pathbend/pathbend/internal/locality"
 )
 
-// The runs of a job whose policy is Remote are carried by a worker, which holds the items'
-// bodies and texts. The scheduler places and counts them as it does others.
+// The runs of a job whose policy is Remote are executed by a worker, which holds the items'
+// bodies and texts. The scheduler assigns and tracks them like other runs.
 
-// Resumed records how many events the text has that a run goes on from, as its worker
-// holds it. It reports false if the run is not wanted any more.
+// Resumed records the length and versions of the text that a run continues from, as held
+// by its worker. It reports false if the run is no longer current.
 func (s *Scheduler) Resumed(key Key, run, events uint64, versions []uint64) bool {
-	entry := s.current(key, run)
+	entry := s.currentRun(key, run)
 	if entry == nil {
 		return false
 	}
@@ -20,23 +20,24 @@
 	return true
 }
 
-// Seen records the version that made an event of a run, also of one that was not wanted.
+// Seen records the version that made an event of a run, even if the event was rejected.
 func (s *Scheduler) Seen(key Key, run, version uint64) {
-	entry := s.current(key, run)
+	entry := s.currentRun(key, run)
 	if entry != nil && version > 0 && version != entry.sampler.Versions[entry.job.spec.Model] {
 		s.setVersion(entry.sampler, entry.job.spec.Model, version)
 	}
 }
 
-// Advanced records the events that a run made since the last word of it. They are taken to
-// have come evenly. It reports false if the run is not wanted any more.
+// Advanced records the total events of a run and the versions that made them. The events
+// since the last report are assumed to be evenly spaced. It reports false if the run is no
+// longer current or an event is rejected.
 func (s *Scheduler) Advanced(key Key, run, events uint64, versions []uint64, now time.Time) bool {
-	entry := s.current(key, run)
+	entry := s.currentRun(key, run)
 	if entry == nil {
 		return false
 	}
-	made := events - entry.events
-	if events <= entry.events || made > mostMade {
+	added := events - entry.events
+	if events <= entry.events || added > maxReportedEvents {
 		return s.Resumed(key, run, events, versions)
 	}
 	since := entry.lastEvent
@@ -44,8 +45,8 @@
 	if len(versions) > 0 {
 		version = versions[len(versions)-1]
 	}
-	for i := range made {
-		at := since.Add(now.Sub(since) * time.Duration(i+1) / time.Duration(made))
+	for i := range added {
+		at := since.Add(now.Sub(since) * time.Duration(i+1) / time.Duration(added))
 		event := Event{ID: entry.events + 1, Version: version}
 		if !s.Progress(key, run, event, at) {
 			return false
@@ -55,8 +56,8 @@
 	return true
 }
 
-// Regions returns those by whose samplers the items of a job may be generated, false if
-// the job is not known.
+// Regions returns the regions whose samplers may generate the items of a job, or false if
+// the job is unknown.
 func (s *Scheduler) Regions(jobID string) (locality.Regions, bool) {
 	open, known := s.jobs[jobID]
 	if !known {
@@ -65,27 +66,30 @@
 	return open.policy.Regions, true
 }
 
-// mostMade bounds the events of one report: more are another text's.
-const mostMade = 1000
+// maxReportedEvents limits the new events of one report. A larger number means that the
+// report is about another text, which replaces the known one.
+const maxReportedEvents = 1000
 
-// Reopen makes an item pending again whose complete text its worker does not hold.
+// Reopen discards the complete text of an item and makes the item pending again. It is used
+// if the worker does not hold that text.
 func (s *Scheduler) Reopen(key Key) {
 	if entry, ok := s.items[key]; ok && entry.phase == scoring {
 		entry.Restart()
-		entry.aheadComplete = false
+		entry.speculativeComplete = false
 		entry.phase = pending
 	}
 }
 
-// Hold keeps the items of a job from being started, or lets them be started again.
+// Hold pauses the start of a job's items if held is set, and resumes it otherwise. Current
+// runs continue.
 func (s *Scheduler) Hold(jobID string, held bool) {
 	if open, ok := s.jobs[jobID]; ok {
-		open.held = held
+		open.paused = held
 	}
 }
 
-// WorkerLost takes back what the worker of a job had under way: its runs, also those
-// ahead, and its texts that wait for their scores.
+// WorkerLost resets the state that the lost worker of a job held: items that were running
+// or waiting for their scores become pending, and the job's speculative runs are dropped.
 func (s *Scheduler) WorkerLost(jobID string) {
 	open, ok := s.jobs[jobID]
 	if !ok {
@@ -93,15 +97,15 @@
 	}
 	for _, entry := range open.items {
 		if entry.phase == running || entry.phase == scoring {
-			s.free(entry)
+			s.release(entry)
 			entry.phase = pending
 		}
 	}
-	for itemID, copied := range s.ahead {
-		if copied.remote && copied.key.Job == jobID {
-			s.free(copied)
-			delete(s.items, copied.key)
-			delete(s.ahead, itemID)
+	for itemID, speculativeItem := range s.speculativeItems {
+		if speculativeItem.remote && speculativeItem.key.Job == jobID {
+			s.release(speculativeItem)
+			delete(s.items, speculativeItem.key)
+			delete(s.speculativeItems, itemID)
 		}
 	}
 }
--- a/internal/schedule/runs.go
+++ b/internal/schedule/runs.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// itemPause is how long an item rests after a refused or broken run.
-	itemPause = 30 * time.Millisecond
-	// maxItemPause bounds the growing pause of an item that is refused again
-	// and again.
-	maxItemPause = 500 * time.Millisecond
+	// itemRetryDelay is the delay before an item is retried after its first refused, failed
+	// or broken run. It doubles with each further one.
+	itemRetryDelay = 30 * time.Millisecond
+	// maxItemRetryDelay is the upper bound of that delay.
+	maxItemRetryDelay = 500 * time.Millisecond
 )
 
-// Progress records an event of a run. It reports false if the run is not
-// wanted any more.
+// Progress records an event of a run. It reports false if the run is no longer
+// current, or the event is out of sequence or made by a version that is not accepted.
 func (s *Scheduler) Progress(key Key, run uint64, event Event, now time.Time) bool {
-	entry := s.current(key, run)
+	entry := s.currentRun(key, run)
 	if entry == nil || event.ID != entry.events+1 {
 		return false
 	}
@@ -26,14 +26,14 @@
 		s.setVersion(entry.sampler, entry.job.spec.Model, event.Version)
 		return false
 	}
-	if !entry.take(event) {
+	if !entry.appendEvent(event) {
 		return false
 	}
 	first := entry.lastEvent.Equal(entry.startedAt)
-	entry.milestones.Spent.gap(now.Sub(entry.lastEvent), first)
-	entry.sampler.dark = false
+	entry.milestones.Spent.addGap(now.Sub(entry.lastEvent), first)
+	entry.sampler.unresponsive = false
 	if first {
-		s.firstGap += time.Duration(fleetWeight * float64(now.Sub(entry.lastEvent)-s.firstGap))
+		s.firstGap += time.Duration(fleetPaceWeight * float64(now.Sub(entry.lastEvent)-s.firstGap))
 	}
 	if entry.lastEvent != entry.startedAt {
 		s.observe(entry.sampler, now.Sub(entry.lastEvent))
@@ -45,20 +45,24 @@
 	return true
 }
 
-// take adds an event to the item's text, or counts it where a worker holds the text.
-func (i *item) take(event Event) bool {
+// appendEvent adds an event to the item's text, or only counts it if a worker holds the
+// text.
+func (i *item) appendEvent(event Event) bool {
 	if i.job.policy.Remote {
-		return i.count(event, i.job.accepted())
+		return i.advance(event, i.job.acceptance())
 	}
-	return i.Take(event, i.job.accepted())
+	return i.Take(event, i.job.acceptance())
 }
 
+// observe adds the time between two events to the pace of the sampler and of the fleet.
 func (s *Scheduler) observe(state *samplerState, gap time.Duration) {
 	state.observe(gap, s.fleetPace)
-	s.fleetPace += time.Duration(fleetWeight * float64(gap-s.fleetPace))
+	s.fleetPace += time.Duration(fleetPaceWeight * float64(gap-s.fleetPace))
 }
 
-func (s *Scheduler) current(key Key, run uint64) *item {
+// currentRun returns the item of a run, or nil if the item is not running or has a newer
+// run.
+func (s *Scheduler) currentRun(key Key, run uint64) *item {
 	entry, ok := s.items[key]
 	if !ok || entry.phase != running || entry.run != run {
 		return nil
@@ -70,47 +74,49 @@
 type Finished struct {
 	Key  Key
 	Text []byte
-	// Kept names the text in the log, in place of Text, if an earlier job listed
+	// Kept locates the text in the log, in place of Text, if an earlier job already listed
 	// it.
 	Kept     *pathbendv1.Blob
 	Versions []uint64
 	Reward   *pathbendv1.RewardCall
-	// Tenant is who submitted the job.
+	// Tenant is the tenant that submitted the job.
 	Tenant string
 	// Remote is set if the job's worker holds the text.
 	Remote bool
-	// Acceptance tells which versions the text may have.
+	// Acceptance holds the versions that may make the text.
 	Acceptance
-	// Score is set if the text was scored by the same call before.
+	// Score is the result of the same reward call for an earlier job, empty if there is
+	// none.
 	Score string
 }
 
-// Unscored reports whether a text that wants a score has none and was not given up: its job
-// was dropped while the call was under way.
+// Unscored reports whether the text needs a score but has none, although its item was not
+// given up. That is the case if the job was dropped during the reward call.
 func (f *Finished) Unscored(stamp string, alive bool) bool {
 	return alive && stamp == "" && f.Reward != nil
 }
 
+// finished describes the item as one whose text is complete.
 func (i *item) finished() Finished {
-	return Finished{Key: i.key, Text: i.text, Versions: i.versions, Reward: i.spec.Reward, Tenant: i.job.spec.Tenant, Remote: i.job.policy.Remote, Acceptance: i.job.accepted()}
+	return Finished{Key: i.key, Text: i.text, Versions: i.versions, Reward: i.spec.Reward, Tenant: i.job.spec.Tenant, Remote: i.job.policy.Remote, Acceptance: i.job.acceptance()}
 }
 
-// Ending is how a run ended.
+// Ending is the outcome of a run.
 type Ending int
 
 // Endings of a run.
 const (
 	// Complete means that the stream ended as complete.
 	Complete Ending = iota + 1
-	// Refused means that the sampler did not begin.
+	// Refused means that the sampler did not start the item.
 	Refused
 	// WrongSampler means that the address belongs to another sampler.
 	WrongSampler
 	// Failed means that the sampler ran the item and failed.
 	Failed
-	// Impossible means that the item can never be done.
+	// Impossible means that no sampler can ever complete the item.
 	Impossible
-	// Broken means that the stream ended early or made no sense.
+	// Broken means that the stream ended early or was malformed.
 	Broken
 	// Stopped means that the executor stopped the run.
 	Stopped
@@ -124,88 +130,92 @@
 // String implements fmt.Stringer.
 func (e Ending) String() string { return endingNames[e] }
 
-// Verdict is what follows from the end of a run.
+// Verdict is the state of an item after the end of a run. In its zero value the item is
+// neither complete nor given up.
 type Verdict struct {
-	// Finished is set if the text is complete and wants its score.
+	// Finished is set if the text is complete and needs its score.
 	Finished *Finished
-	// Dead is set if the item is given up.
+	// Dead is set if the item was given up.
 	Dead bool
 	// Failures counts the failed runs of the item.
 	Failures int
 }
 
-// RunEnded records the end of a run.
+// RunEnded records the end of a run. It returns the zero Verdict if the run is not current
+// or is speculative.
 func (s *Scheduler) RunEnded(key Key, run uint64, ending Ending, now time.Time) Verdict {
-	entry := s.current(key, run)
+	entry := s.currentRun(key, run)
 	if entry == nil {
 		return Verdict{}
 	}
 	if key.Ahead {
-		s.endAhead(entry, ending)
+		s.endSpeculative(entry, ending)
 		return Verdict{}
 	}
 	sampler := entry.sampler
-	s.free(entry)
+	s.release(entry)
 	entry.phase = pending
-	entry.avoid = sampler.Incarnation()
+	entry.lastSampler = sampler.Incarnation()
 	switch ending {
 	case Complete:
-		sampler.completed()
+		sampler.runCompleted()
 		if entry.events == 0 {
-			entry.notBefore = now.Add(itemPause)
+			entry.notBefore = now.Add(itemRetryDelay)
 			return Verdict{}
 		}
 		entry.phase = scoring
 		entry.milestones.Completed, entry.milestones.Events = now, entry.events
-		s.noteLength(entry.events)
-		s.lengths.note(entry.spec.ExpectedTokens, entry.events)
+		s.recordLength(entry.events)
+		s.estimator.observe(entry.spec.ExpectedTokens, entry.events)
 		completed := entry.finished()
 		return Verdict{Finished: &completed}
 	case Impossible:
 		entry.phase = settled
 		return Verdict{Dead: true}
 	case Failed:
-		sampler.failed(now)
-		return s.failed(entry, sampler.Incarnation(), now)
+		sampler.runFailed(now)
+		return s.recordFailure(entry, sampler.Incarnation(), now)
 	case WrongSampler:
 		sampler.Leaving = true
 	case Refused:
-		sampler.pause(now)
-		entry.rest(now)
+		sampler.backOff(now)
+		entry.backOff(now)
 	case Broken:
-		sampler.lost(now)
-		entry.rest(now)
+		sampler.connectionLost(now)
+		entry.backOff(now)
 	}
 	return Verdict{}
 }
 
-// failed records that a sampler ran an item and failed.
-func (s *Scheduler) failed(entry *item, at Incarnation, now time.Time) Verdict {
+// recordFailure records that a sampler ran an item and failed.
+func (s *Scheduler) recordFailure(entry *item, at Incarnation, now time.Time) Verdict {
 	entry.failures++
 	if entry.failedAt == nil {
 		entry.failedAt = make(map[Incarnation]struct{})
 	}
 	entry.failedAt[at] = struct{}{}
-	if s.hopeless(entry) {
+	if s.exhausted(entry) {
 		entry.phase = settled
 		return Verdict{Dead: true, Failures: entry.failures}
 	}
-	entry.rest(now)
+	entry.backOff(now)
 	return Verdict{Failures: entry.failures}
 }
 
-// doubtfulFailures is how many times the operator's number of failures an item may have
-// while the fault may be that of its samplers (chosen; the users' bound is three).
-const doubtfulFailures = 2
+// maxFailuresFactor multiplies Policy.MaxFailures to give the number of failures after which
+// an item is given up even if its samplers may be at fault. Users allow a factor of up to
+// three.
+const maxFailuresFactor = 2
 
-// hopeless reports whether an item failed often enough to be given up: at as many
-// samplers as it may fail, at all that could run it, or too often all the same.
-func (s *Scheduler) hopeless(entry *item) bool {
-	most := entry.job.policy.MaxFailures
+// exhausted reports whether an item that failed at least MaxFailures times is to be given
+// up: it failed at that many samplers, at all samplers that can run it, or
+// maxFailuresFactor times as often as allowed.
+func (s *Scheduler) exhausted(entry *item) bool {
+	maxFailures := entry.job.policy.MaxFailures
 	switch {
-	case entry.failures < most:
+	case entry.failures < maxFailures:
 		return false
-	case len(entry.failedAt) >= most || entry.failures >= most*doubtfulFailures:
+	case len(entry.failedAt) >= maxFailures || entry.failures >= maxFailures*maxFailuresFactor:
 		return true
 	}
 	return !slices.ContainsFunc(s.ordered, func(state *samplerState) bool {
@@ -214,12 +224,14 @@
 	})
 }
 
-func (i *item) rest(now time.Time) {
-	i.notBefore = now.Add(min(itemPause<<min(i.refusals, 5), maxItemPause))
+// backOff delays the next run of the item. The delay grows exponentially.
+func (i *item) backOff(now time.Time) {
+	i.notBefore = now.Add(min(itemRetryDelay<<min(i.refusals, 5), maxItemRetryDelay))
 	i.refusals++
 }
 
-// Scored records that an item's result waits for its place in the log.
+// Scored records that an item has its score and its result is about to be appended to the
+// log. It reports false if the item is unknown.
 func (s *Scheduler) Scored(key Key, now time.Time) bool {
 	entry, ok := s.items[key]
 	if !ok {
--- a/internal/schedule/samplers.go
+++ b/internal/schedule/samplers.go
@@ -10,8 +10,8 @@
 	"github.com/pathbend/pathbend/internal/warmup"
 )
 
-// SetLimits applies what cold samplers bear, by service. Services that it does not name
-// have no such bound.
+// SetLimits sets the request limits of cold samplers by service. Services that are absent
+// from the map have no limit.
 func (s *Scheduler) SetLimits(limits map[string]warmup.Limits) {
 	s.limits = limits
 	for _, state := range s.samplers {
@@ -19,44 +19,45 @@
 	}
 }
 
-// Samplers applies the list of samplers. What is known of each is kept, of its incarnation
-// that is: one that started again is a new sampler. One that is new since the first list may
-// have just started, whatever its entry says, which is some seconds old.
+// Samplers applies the current list of samplers. State of known incarnations is kept; a
+// sampler that restarted counts as new. A sampler that appears after the first list is
+// treated as possibly cold, regardless of its entry, which is some seconds old.
 func (s *Scheduler) Samplers(listed []Sampler, now time.Time) {
 	first := len(s.samplers) == 0
-	s.listings++
-	came := false
+	s.listingCount++
+	anyNew := false
 	for i := range listed {
-		state, isNew := s.takeListed(&listed[i], now)
-		state.listing = s.listings
+		state, isNew := s.applyEntry(&listed[i], now)
+		state.lastListing = s.listingCount
 		if isNew && !first {
 			state.budget.Doubt(now)
 		}
-		came = came || isNew
+		anyNew = anyNew || isNew
 	}
-	if s.dropUnlisted() || came {
+	if s.removeUnlisted() || anyNew {
 		s.ordered = slices.Collect(maps.Values(s.samplers))
 		slices.SortFunc(s.ordered, func(a, b *samplerState) int { return cmp.Compare(a.ID, b.ID) })
-		s.lookFrom = 0
+		s.nextIndex = 0
 	}
 }
 
-// takeListed takes one entry of the list. It reports whether the sampler is new. An entry
-// that was taken before changes nothing but for a cold sampler, whose time is told anew:
-// of 10,000 entries few differ from one list to the next.
-func (s *Scheduler) takeListed(sampler *Sampler, now time.Time) (state *samplerState, isNew bool) {
+// applyEntry applies one entry of the list and reports whether the sampler is new. Entries of
+// previous incarnations are ignored. An entry with a known revision is skipped, since few of
+// 10,000 entries differ from one list to the next, unless the sampler is cold: then its
+// remaining warm-up time is updated.
+func (s *Scheduler) applyEntry(sampler *Sampler, now time.Time) (state *samplerState, isNew bool) {
 	state, known := s.samplers[sampler.ID]
 	switch {
 	case known && sampler.Born < state.Born:
 		return state, false
 	case known && sampler.Born > state.Born:
-		s.serving.remove(state)
-		state.ended, state.Leaving, known = true, true, false
-	case known && sampler.Revision > 0 && sampler.Revision == state.Revision && sampler.ColdFor == 0 && state.listing == s.listings-1:
+		s.serving.removeAll(state)
+		state.superseded, state.Leaving, known = true, true, false
+	case known && sampler.Revision > 0 && sampler.Revision == state.Revision && sampler.ColdFor == 0 && state.lastListing == s.listingCount-1:
 		return state, false
 	}
 	if !known {
-		state = &samplerState{pace: s.fleetPace, groups: make(map[string]time.Time), loading: make(map[string]struct{})}
+		state = &samplerState{pace: s.fleetPace, promptReadAt: make(map[string]time.Time), loading: make(map[string]struct{})}
 		s.samplers[sampler.ID] = state
 	}
 	served := state.Versions
@@ -64,21 +65,21 @@
 	state.evacuated = s.evacuated.Has(sampler.Zone)
 	state.budget.SetLimits(s.limits[sampler.Service])
 	state.budget.Told(sampler.ColdFor, now)
-	state.Versions = newest(served, sampler.Versions)
-	s.serving.change(state, served)
+	state.Versions = mergeNewest(served, sampler.Versions)
+	s.serving.update(state, served)
 	return state, !known
 }
 
-// dropUnlisted lets the samplers leave that are not in the list, and forgets those of them
-// that have no run. It reports whether it forgot any.
-func (s *Scheduler) dropUnlisted() (dropped bool) {
+// removeUnlisted marks the samplers that are not in the list as leaving, and removes those of
+// them that have no run. It reports whether it removed any.
+func (s *Scheduler) removeUnlisted() (dropped bool) {
 	for id, state := range s.samplers {
-		if state.listing == s.listings {
+		if state.lastListing == s.listingCount {
 			continue
 		}
 		state.Leaving = true
 		if state.running == 0 {
-			s.serving.remove(state)
+			s.serving.removeAll(state)
 			delete(s.samplers, id)
 			dropped = true
 		}
@@ -86,8 +87,8 @@
 	return dropped
 }
 
-// Evacuate applies the list of evacuated zones: their samplers get no new run. Runs
-// that they have go on.
+// Evacuate sets the evacuated zones. Their samplers get no new runs; current runs continue.
+// Samplers of a zone that is no longer evacuated are treated as possibly cold.
 func (s *Scheduler) Evacuate(zones evacuation.Zones, now time.Time) {
 	s.evacuated = zones
 	for _, state := range s.samplers {
@@ -98,7 +99,8 @@
 	}
 }
 
-func newest(known, listed map[string]uint64) map[string]uint64 {
+// mergeNewest returns the newer version of each model. It modifies neither map.
+func mergeNewest(known, listed map[string]uint64) map[string]uint64 {
 	merged := maps.Clone(listed)
 	if merged == nil {
 		merged = make(map[string]uint64)
@@ -109,15 +111,16 @@
 	return merged
 }
 
-// SetVersion records the version that a sampler was found to serve. What a former
-// incarnation served tells nothing of the one that came in its place.
+// SetVersion records the version that a sampler was observed to serve. Observations of a
+// previous incarnation are ignored.
 func (s *Scheduler) SetVersion(of Incarnation, model string, version uint64) {
 	if state, ok := s.samplers[of.ID]; ok && state.Born == of.Born {
 		s.setVersion(state, model, version)
 	}
 }
 
-// SetLoading records whether a sampler changes the weights of a model.
+// SetLoading records whether a sampler is loading weights of a model. Reports about a
+// previous incarnation are ignored.
 func (s *Scheduler) SetLoading(of Incarnation, model string, loading bool) {
 	state, ok := s.samplers[of.ID]
 	switch {
@@ -129,7 +132,7 @@
 	}
 }
 
-// Sampler returns a sampler by id.
+// Sampler returns the sampler with an id, or false if it is unknown.
 func (s *Scheduler) Sampler(id string) (Sampler, bool) {
 	state, ok := s.samplers[id]
 	if !ok {
@@ -138,17 +141,18 @@
 	return state.Sampler, true
 }
 
-// Cold tells how cold the samplers are.
+// Cold counts cold samplers and the work that they hold back.
 type Cold struct {
-	// Listed counts the samplers that take work, Cold those of them that are cold, or may
-	// be. Sent counts the requests that these got in the last second.
+	// Listed counts the samplers that are not leaving, Cold those of them that are, or may
+	// be, cold. Sent counts the requests sent to the latter in the last second.
 	Listed, Cold, Sent int
-	// Kept counts the samplers with free slots that got all that they may get in a second,
-	// Waiting the items that could run meanwhile; 0 unless both are positive.
+	// Kept counts the samplers with free slots that have reached their request limit of
+	// this second, Waiting the items that are ready to start. Both are 0 unless both are
+	// positive.
 	Kept, Waiting int
 }
 
-// Cold tells how cold the samplers are now.
+// Cold returns the current counts of cold samplers.
 func (s *Scheduler) Cold(now time.Time) Cold {
 	var status Cold
 	for _, state := range s.ordered {
@@ -167,30 +171,31 @@
 	if status.Kept == 0 {
 		return status
 	}
-	if status.Waiting = len(s.waiting(now)); status.Waiting == 0 {
+	if status.Waiting = len(s.readyItems(now)); status.Waiting == 0 {
 		status.Kept = 0
 	}
 	return status
 }
 
-// Load tells how loaded a sampler is.
+// Load describes the load of a sampler.
 type Load struct {
 	ID string
-	// Born is the start of its incarnation.
+	// Born is the start time of the incarnation in Unix milliseconds.
 	Born    int64
 	Running int
-	// Slots is the number of items that it generates at once.
-	Slots   int
+	// Slots is the number of items that the sampler generates concurrently.
+	Slots int
+	// Pace is the moving average of the time between two events of an item.
 	Pace    time.Duration
 	Leaving bool
 	// Evacuated is set while the sampler's zone is evacuated.
 	Evacuated bool
-	// Versions maps a model to the version that it serves. It is the scheduler's own
-	// and changes with it.
+	// Versions maps a model to the version that the sampler serves. It is the scheduler's
+	// own map: callers must not modify it or use it after the scheduler changes.
 	Versions map[string]uint64
 }
 
-// Loads lists the samplers by id.
+// Loads returns the loads of all samplers, ordered by id.
 func (s *Scheduler) Loads() []Load {
 	loads := make([]Load, 0, len(s.samplers))
 	for _, state := range s.ordered {
@@ -199,7 +204,7 @@
 	return loads
 }
 
-// Load returns the load of a sampler.
+// Load returns the load of a sampler, or false if it is unknown.
 func (s *Scheduler) Load(id string) (Load, bool) {
 	state, known := s.samplers[id]
 	if !known {
@@ -208,9 +213,10 @@
 	return state.load(), true
 }
 
-// Size counts the samplers.
+// Size returns the number of known samplers.
 func (s *Scheduler) Size() int { return len(s.samplers) }
 
+// load returns the exported description of the sampler's load.
 func (s *samplerState) load() Load {
 	return Load{
 		ID: s.ID, Born: s.Born, Running: s.running, Slots: s.slots(), Pace: s.pace, Leaving: s.Leaving,
--- a/internal/schedule/saved.go
+++ b/internal/schedule/saved.go
@@ -8,26 +8,27 @@
 )
 
 const (
-	// confirmTimeout is how long a saved part may take to be read back.
+	// confirmTimeout is how long a saved part may take to be read back from the log.
 	confirmTimeout = 2 * time.Second
 )
 
-// Saved tells which part of an item's text the log holds last.
+// Saved provides the last part of an item's text that was read back from the log.
 type Saved interface {
+	// Progress returns false if the log holds no part of the item's text.
 	Progress(itemID string) (ledger.Progress, bool)
 }
 
-// Part is a part of an item's text that the log does not hold yet. Where its
-// text lies is filled in by who puts it there.
+// Part is a part of an item's text to append to the log. The caller that stores Text sets its
+// location in Progress.
 type Part struct {
 	Progress *pathbendv1.ItemProgress
 	Text     []byte
 }
 
-// Unsaved returns the text that the log does not keep yet of every running
-// item that has made at least minEvents events since, and counts it as sent. A
-// part that was not read back in time is sent again with all that is before it:
-// the log may have lost it, or another executor may have started the item anew.
+// Unsaved returns, by job, the unsaved text of each running item that made at least
+// minEvents events since its last saved part, and marks it as sent. If a part is not
+// read back in time, the whole text is sent again: the log may have lost the part, or
+// another executor may have restarted the item.
 func (s *Scheduler) Unsaved(minEvents uint64, log Saved, now time.Time) map[string][]Part {
 	unsaved := make(map[string][]Part)
 	for _, key := range s.runningKeys() {
@@ -42,8 +43,9 @@
 	return unsaved
 }
 
-// settle reports whether a further part may be sent.
-func (t *savedText) settle(log Saved, itemID string, now time.Time) bool {
+// canSendNext reports whether the next part may be sent. It resets t if the last part was
+// lost, so that the whole text is sent again.
+func (t *savedText) canSendNext(log Saved, itemID string, now time.Time) bool {
 	if t.id == 0 {
 		return true
 	}
--- a/internal/schedule/scheduler.go
+++ b/internal/schedule/scheduler.go
@@ -12,117 +12,122 @@
 	"github.com/pathbend/pathbend/internal/warmup"
 )
 
-// Scheduler holds the open jobs and the samplers. It is not safe for
+// Scheduler assigns the items of the open jobs to samplers. It is not safe for
 // concurrent use.
 type Scheduler struct {
 	jobs     map[string]*job
 	items    map[Key]*item
 	samplers map[string]*samplerState
-	// limits are what cold samplers bear, by service.
+	// limits are the request limits of cold samplers, by service.
 	limits map[string]warmup.Limits
-	// ordered lists the samplers by id. The next choice among more than it compares
-	// begins at lookFrom.
-	ordered  []*samplerState
-	lookFrom int
-	serving  servingIndex
-	// listings counts the lists of samplers that were taken.
-	listings uint64
-	// brisk is the pace of briskPace as of briskAt.
-	brisk   time.Duration
-	briskAt time.Time
-	// evacuated are the zones whose samplers get nothing new.
+	// ordered lists the samplers by id. nextIndex is reset when ordered changes; selections
+	// use servingIndex.nextIndex.
+	ordered   []*samplerState
+	nextIndex int
+	serving   servingIndex
+	// listingCount counts the lists of samplers that were applied.
+	listingCount uint64
+	// cachedFastPace is the result of computeFastPace at cachedFastPaceAt.
+	cachedFastPace   time.Duration
+	cachedFastPaceAt time.Time
+	// evacuated holds the zones whose samplers get no new runs.
 	evacuated evacuation.Zones
-	// seenGroups tells when a job last brought a group.
-	seenGroups map[string]time.Time
-	// fleetPace is a moving average of the time to one event at any sampler.
+	// groupLastSeen maps a group to the last time that a job submitted it.
+	groupLastSeen map[string]time.Time
+	// fleetPace is a moving average of the time between two events at any sampler.
 	fleetPace time.Duration
 	// firstGap is a moving average of the time to the first event of a run.
 	firstGap time.Duration
 	runs     uint64
 	newID    func() uint64
 
-	// named is the newest version of each model, slack what its latest job allows.
-	named map[string]uint64
-	slack map[string]jobSlack
-	// carries tells of which models jobs bring groups of earlier jobs again.
-	carries map[string]bool
-	// ahead holds text of unfinished items for later jobs, by item id.
-	ahead   map[string]*item
-	demand  demand
-	lengths lengths
-	// usualEvents is a moving average of the length of complete texts.
-	usualEvents float64
-	holds       Holds
+	// newestVersions holds the newest announced version of each model, versionLags how far
+	// behind it the versions accepted by the model's latest job may be.
+	newestVersions map[string]uint64
+	versionLags    map[string]versionLag
+	// resubmitsGroups is set for models whose jobs resubmit groups of earlier jobs.
+	resubmitsGroups map[string]bool
+	// speculativeItems holds speculative runs and kept texts of unfinished items for later jobs,
+	// by item id.
+	speculativeItems map[string]*item
+	demand           demand
+	estimator        lengthEstimator
+	// averageEvents is a moving average of the length of complete texts.
+	averageEvents float64
+	quarantine    Holds
 }
 
-// Holds tells of items under which samplers ended.
+// Holds provides the quarantine state of items that are suspected of crashing samplers.
 type Holds interface {
-	// HeldUntil is when an item may go to a sampler again, the zero time if it may now.
+	// HeldUntil returns the time until which an item must not be sent to a sampler, the zero
+	// time if it is not quarantined.
 	HeldUntil(itemID string) time.Time
-	// Suspect reports whether samplers ended under an item again and again, and none survived it
-	// since.
+	// Suspect reports whether samplers repeatedly crashed while running an item, and none
+	// has run it without a crash since.
 	Suspect(itemID string) bool
 }
 
-// SetHolds names what tells of items under which samplers ended; without it there are none.
-func (s *Scheduler) SetHolds(holds Holds) { s.holds = holds }
+// SetHolds sets the source of the quarantine state. Without it, no item is quarantined.
+func (s *Scheduler) SetHolds(quarantine Holds) { s.quarantine = quarantine }
 
-// suspect reports whether samplers ended under an item again and again. Suspects run at a sampler each: one of
-// them may be the cause, and samplers suit the items of a group alike, so that those beside it
-// would be there at every end.
+// suspect reports whether an item is suspected of crashing samplers. Each sampler runs at most
+// one suspect: items of a group tend to be assigned to the same sampler, so that otherwise
+// the harmless ones would be present at each crash that one of them causes.
 func (s *Scheduler) suspect(entry *item) bool {
-	return s.holds != nil && s.holds.Suspect(entry.key.Item)
+	return s.quarantine != nil && s.quarantine.Suspect(entry.key.Item)
 }
 
-// held reports whether an item must not go to a sampler now.
-func (s *Scheduler) held(entry *item, now time.Time) bool {
-	return s.holds != nil && now.Before(s.holds.HeldUntil(entry.key.Item))
+// quarantined reports whether an item must not be sent to a sampler now.
+func (s *Scheduler) quarantined(entry *item, now time.Time) bool {
+	return s.quarantine != nil && now.Before(s.quarantine.HeldUntil(entry.key.Item))
 }
 
-// New returns an empty scheduler. newID draws ids that no other executor draws.
+// New returns an empty scheduler. newID must return ids that are unique across executors.
 func New(newID func() uint64) *Scheduler {
 	return &Scheduler{
-		newID:      newID,
-		fleetPace:  initialPace,
-		firstGap:   silenceLimit / silenceFirsts,
-		lengths:    newLengths(),
-		jobs:       make(map[string]*job),
-		items:      make(map[Key]*item),
-		samplers:   make(map[string]*samplerState),
-		serving:    newServingIndex(),
-		seenGroups: make(map[string]time.Time),
-		named:      make(map[string]uint64),
-		slack:      make(map[string]jobSlack),
-		carries:    make(map[string]bool),
-		ahead:      make(map[string]*item),
+		newID:            newID,
+		fleetPace:        initialPace,
+		firstGap:         maxSilenceTimeout / silenceTimeoutFirstGaps,
+		estimator:        newLengthEstimator(),
+		jobs:             make(map[string]*job),
+		items:            make(map[Key]*item),
+		samplers:         make(map[string]*samplerState),
+		serving:          newServingIndex(),
+		groupLastSeen:    make(map[string]time.Time),
+		newestVersions:   make(map[string]uint64),
+		versionLags:      make(map[string]versionLag),
+		resubmitsGroups:  make(map[string]bool),
+		speculativeItems: make(map[string]*item),
 	}
 }
 
-// Kept finds text of items from earlier runs.
+// Kept provides texts of items from earlier runs.
 type Kept interface {
-	// Partial returns the text of an item that was not finished.
+	// Partial returns the text of an unfinished item, or false if there is none.
 	Partial(itemID string) (Partial, bool)
+	// Finished returns the result of a finished item, or false if there is none.
 	Finished(itemID string) (ledger.Result, bool)
 }
 
-// Partial is the kept text of an item that was not finished.
+// Partial is the stored text of an unfinished item.
 type Partial struct {
-	// ID names the last part of the text in the log.
+	// ID identifies the last part of the text in the log.
 	ID       uint64
 	Events   uint64
 	Text     []byte
 	Versions []uint64
 }
 
-// AddJob records an open job with its items. It returns the items whose text is
-// whole already, which need only their score, and the runs to stop.
+// AddJob adds an open job with its items. It returns the items whose text is already
+// complete, which need only their score, and the speculative runs to stop. A known job is
+// ignored.
 func (s *Scheduler) AddJob(open *ledger.Job, items []*pathbendv1.BatchItem, policy Policy, kept Kept) (finished []Finished, stopped []Key) {
 	if _, known := s.jobs[open.ID]; known {
 		return nil, nil
 	}
 	added := &job{id: open.ID, spec: open.Spec, policy: policy}
 	s.jobs[open.ID] = added
-	s.noteSlack(added)
+	s.recordVersionLag(added)
 	for _, spec := range items {
 		key := Key{Job: open.ID, Item: spec.Id}
 		if open.Listed(spec.Id) || s.items[key] != nil {
@@ -135,32 +140,33 @@
 		if reused {
 			finished = append(finished, completed)
 		}
-		stopped = append(stopped, s.takeAhead(entry)...)
-		if !reused && entry.aheadComplete {
+		stopped = append(stopped, s.adoptSpeculative(entry)...)
+		if !reused && entry.speculativeComplete {
 			entry.phase = scoring
 			finished = append(finished, entry.finished())
 		}
 	}
 	s.rank(added)
-	s.noteGroups(items, open.ReceivedAt)
+	s.recordGroups(items, open.ReceivedAt)
 	return finished, stopped
 }
 
-// carryTime is how long a group may take to come again in a later job.
-const carryTime = 2 * time.Minute
+// groupResubmitTimeout is how long after its last job a group can be resubmitted.
+const groupResubmitTimeout = 2 * time.Minute
 
-// noteGroups remembers the groups of a job and forgets those that were not
-// brought for long.
-func (s *Scheduler) noteGroups(items []*pathbendv1.BatchItem, now time.Time) {
-	maps.DeleteFunc(s.seenGroups, func(_ string, seen time.Time) bool { return now.Sub(seen) > carryTime })
+// recordGroups records the groups of a job and removes those that were not submitted
+// within groupResubmitTimeout.
+func (s *Scheduler) recordGroups(items []*pathbendv1.BatchItem, now time.Time) {
+	maps.DeleteFunc(s.groupLastSeen, func(_ string, seen time.Time) bool { return now.Sub(seen) > groupResubmitTimeout })
 	for _, spec := range items {
-		s.seenGroups[spec.Group] = now
+		s.groupLastSeen[spec.Group] = now
 	}
 }
 
-// reuse takes over text of an earlier run, in full or in part.
+// reuse adopts the complete or partial text of an earlier run. It returns true if the text
+// is complete.
 func (i *item) reuse(kept Kept) (Finished, bool) {
-	if done, ok := kept.Finished(i.key.Item); ok && i.job.fits(done.Versions) && len(done.Versions) > 0 {
+	if done, ok := kept.Finished(i.key.Item); ok && i.job.accepts(done.Versions) && len(done.Versions) > 0 {
 		i.versions = done.Versions
 		i.phase = scoring
 		completed := i.finished()
@@ -171,27 +177,27 @@
 		return completed, true
 	}
 	if partial, ok := kept.Partial(i.key.Item); ok {
-		i.Resume(partial, i.job.accepted())
+		i.Resume(partial, i.job.acceptance())
 	}
 	return Finished{}, false
 }
 
-// rank orders a job's items: groups that came before, then long ones first.
+// rank orders a job's items: resubmitted groups first, then those with the longest item.
 func (s *Scheduler) rank(added *job) {
 	longest := make(map[string]uint64)
 	for _, entry := range added.items {
 		longest[entry.spec.Group] = max(longest[entry.spec.Group], entry.spec.ExpectedTokens)
 	}
 	ordered := slices.Clone(added.items)
-	carried := func(entry *item) int {
-		if _, seen := s.seenGroups[entry.spec.Group]; seen {
+	resubmitted := func(entry *item) int {
+		if _, seen := s.groupLastSeen[entry.spec.Group]; seen {
 			return 0
 		}
 		return 1
 	}
 	slices.SortStableFunc(ordered, func(a, b *item) int {
 		return cmp.Or(
-			cmp.Compare(carried(a), carried(b)),
+			cmp.Compare(resubmitted(a), resubmitted(b)),
 			cmp.Compare(longest[b.spec.Group], longest[a.spec.Group]),
 			cmp.Compare(a.spec.Group, b.spec.Group),
 			cmp.Compare(b.spec.ExpectedTokens, a.spec.ExpectedTokens),
@@ -199,15 +205,16 @@
 	})
 	for rank, entry := range ordered {
 		entry.rank = rank
-		entry.carried = carried(entry) == 0
-		if entry.carried {
-			s.carries[added.spec.Model] = true
+		entry.resubmitted = resubmitted(entry) == 0
+		if entry.resubmitted {
+			s.resubmitsGroups[added.spec.Model] = true
 		}
 	}
 	added.items = ordered
 }
 
-// DropJob forgets a job and returns the runs to stop.
+// DropJob removes a job and returns the runs to stop. Texts of unfinished items are kept for
+// a later job.
 func (s *Scheduler) DropJob(id string, now time.Time) []Key {
 	dropped, ok := s.jobs[id]
 	if !ok {
@@ -218,17 +225,17 @@
 		if entry.phase == running {
 			stopped = append(stopped, entry.key)
 		}
-		s.leave(entry, now)
-		s.free(entry)
+		s.keepUnfinishedText(entry, now)
+		s.release(entry)
 		delete(s.items, entry.key)
 	}
 	delete(s.jobs, id)
 	return stopped
 }
 
-// Settled forgets an item whose result is listed. It returns what is known of
-// the item's way and the runs of it to stop.
-func (s *Scheduler) Settled(key Key) (passed Milestones, stopped []Key) {
+// Settled removes an item whose result is in the log. It returns the item's milestones and
+// its runs to stop.
+func (s *Scheduler) Settled(key Key) (milestones Milestones, stopped []Key) {
 	entry, ok := s.items[key]
 	if !ok {
 		return Milestones{}, nil
@@ -236,26 +243,26 @@
 	if entry.phase == running {
 		stopped = append(stopped, key)
 	}
-	if ahead, wasRunning := s.dropAhead(key.Item); wasRunning {
-		stopped = append(stopped, ahead)
+	if speculativeKey, wasRunning := s.dropSpeculative(key.Item); wasRunning {
+		stopped = append(stopped, speculativeKey)
 	}
-	s.free(entry)
+	s.release(entry)
 	delete(s.items, key)
 	entry.job.items = slices.DeleteFunc(entry.job.items, func(other *item) bool { return other == entry })
-	passed = entry.milestones
-	passed.Group, passed.Carried, passed.ExpectedTokens = entry.spec.Group, entry.carried, entry.spec.ExpectedTokens
+	milestones = entry.milestones
+	milestones.Group, milestones.Carried, milestones.ExpectedTokens = entry.spec.Group, entry.resubmitted, entry.spec.ExpectedTokens
 	for _, other := range entry.job.items {
 		if other.spec.Group == entry.spec.Group {
-			passed.GroupOpen++
+			milestones.GroupOpen++
 		}
 	}
-	return passed, stopped
+	return milestones, stopped
 }
 
-// HasJob reports whether a job is known.
+// HasJob reports whether a job was added and not dropped.
 func (s *Scheduler) HasJob(id string) bool { return s.jobs[id] != nil }
 
-// SingleVersion reports whether an open job of a model wants each text made by
+// SingleVersion reports whether an open job of a model requires each text to be made by
 // one version.
 func (s *Scheduler) SingleVersion(model string) bool {
 	for _, open := range s.jobs {
--- a/internal/schedule/size_test.go
+++ b/internal/schedule/size_test.go
@@ -9,8 +9,8 @@
 	"github.com/pathbend/pathbend/internal/ledger"
 )
 
-// largeFleet is a scheduler of a fleet whose samplers serve eight models each, of which one
-// in sixteen follows the versions of a model; the others have the first.
+// largeFleet returns a scheduler of a fleet whose samplers serve eight models each. Of these,
+// one in sixteen serves a newer version of a given model; the others serve its first version.
 func largeFleet(samplers int) (*Scheduler, []Sampler, time.Time) {
 	now := time.Unix(100, 0)
 	s := New(func() uint64 { return 1 })
@@ -38,18 +38,16 @@
 		spec.ItemIds = append(spec.ItemIds, items[i].Id)
 	}
 	open := &ledger.Job{ID: fmt.Sprint("job", number), Spec: spec, ReceivedAt: now}
-	s.AddJob(open, items, Policy{Services: []string{"llm"}, MaxFailures: 3, Due: now.Add(7 * time.Second)}, noKept{})
+	s.AddJob(open, items, Policy{Services: []string{"llm"}, MaxFailures: 3, Due: now.Add(7 * time.Second)}, noStoredTexts{})
 }
 
-type noKept struct{}
+type noStoredTexts struct{}
 
-func (noKept) Partial(string) (Partial, bool)        { return Partial{}, false }
-func (noKept) Finished(string) (ledger.Result, bool) { return ledger.Result{}, false }
+func (noStoredTexts) Partial(string) (Partial, bool)        { return Partial{}, false }
+func (noStoredTexts) Finished(string) (ledger.Result, bool) { return ledger.Result{}, false }
 
-// BenchmarkStarts is what the starts of a job's 128 items cost an executor: 35 ms at 8,000
-// samplers when each choice looked for the few that serve a version among all, 2.1 ms now.
-// BenchmarkIdleLook is what a look costs that finds nothing to start: 1.05 ms when it counted
-// all free slots and sorted all paces, 0.02 ms now.
+// BenchmarkStarts measures the start of a job's 128 items. With 8,000 samplers it takes 2.1 ms,
+// against 35 ms if each selection searches all samplers for the few that serve a version.
 func BenchmarkStarts(b *testing.B) {
 	for _, samplers := range []int{1000, 8000} {
 		b.Run(fmt.Sprint(samplers), func(b *testing.B) {
@@ -66,7 +64,10 @@
 	}
 }
 
-func BenchmarkIdleLook(b *testing.B) {
+// BenchmarkIdleStartsAndMoves measures calls of Starts and Moves that find nothing to do. With
+// 8,000 samplers it takes 0.02 ms, against 1.05 ms if they count all free slots and sort all
+// paces.
+func BenchmarkIdleStartsAndMoves(b *testing.B) {
 	for _, samplers := range []int{1000, 8000} {
 		b.Run(fmt.Sprint(samplers), func(b *testing.B) {
 			s, _, now := largeFleet(samplers)
@@ -80,9 +81,9 @@
 	}
 }
 
-// BenchmarkRelist is what one changed entry costs: 25 ms at 8,000 samplers when each entry was
-// taken in anew, 0.8 ms now.
-func BenchmarkRelist(b *testing.B) {
+// BenchmarkSamplersWithOneChange measures a list of samplers with one changed entry. With 8,000
+// samplers it takes 0.8 ms, against 25 ms if every entry is applied.
+func BenchmarkSamplersWithOneChange(b *testing.B) {
 	for _, samplers := range []int{1000, 8000} {
 		b.Run(fmt.Sprint(samplers), func(b *testing.B) {
 			s, listed, now := largeFleet(samplers)
