--- a/internal/scaling/doc.go
+++ b/internal/scaling/doc.go
@@ -1,7 +1,7 @@
-// Package scaling decides how many samplers of a service the platform is asked for, by
-// zone and kind. Ordinary samplers are the operator's: their number is left as it is.
-// Spot samplers cost a part of the price and may be taken away, all of a zone together:
-// they are a reserve for work that would be late otherwise.
+// Package scaling decides how many spot samplers of a service to order from the platform in
+// each zone. The number of ordinary samplers is set by the operator and left unchanged.
+// Spot samplers cost a fraction of the price of ordinary ones and may be preempted, all of a
+// zone together. They serve as a reserve for work that would otherwise be late.
 //
-// The package is pure.
+// The package does no I/O, starts no goroutines and does not read the clock.
 package scaling
--- a/internal/scaling/plan_test.go
+++ b/internal/scaling/plan_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-var began = time.Unix(1000, 0)
+var startTime = time.Unix(1000, 0)
 
 func fleetOf(ordinary, spot int) Service {
 	return Service{
@@ -28,76 +28,76 @@
 	return byZone
 }
 
-func taken(p *Planner, orders []Order, now time.Time) {
+func acceptAll(p *Planner, orders []Order, now time.Time) {
 	for _, order := range orders {
 		p.Taken(order, now)
 	}
 }
 
-func TestReserveGivesEachItemOfThePeakASlot(t *testing.T) {
-	p := NewPlanner(began)
-	orders := p.Plan(began, fleetOf(12, 0), 461)
+func TestReserveProvidesASlotForEachItemOfThePeak(t *testing.T) {
+	p := NewPlanner(startTime)
+	orders := p.Plan(startTime, fleetOf(12, 0), 461)
 	require.Equal(t, 77-36, p.Reserve(), "461 items in slots of 6, less the ordinary samplers")
-	require.Equal(t, map[string]int{"a": 12, "b": 12, "c": 12}, desired(orders), "the limits of the zones bind")
-	require.Empty(t, NewPlanner(began).Plan(began, fleetOf(12, 0), 200), "the ordinary samplers are enough")
-	p = NewPlanner(began)
-	require.Equal(t, map[string]int{"a": 4, "b": 5, "c": 5}, desired(p.Plan(began, fleetOf(12, 0), 300)), "evenly, the cheapest zone first")
+	require.Equal(t, map[string]int{"a": 12, "b": 12, "c": 12}, desired(orders), "the limits of the zones apply")
+	require.Empty(t, NewPlanner(startTime).Plan(startTime, fleetOf(12, 0), 200), "the ordinary samplers are enough")
+	p = NewPlanner(startTime)
+	require.Equal(t, map[string]int{"a": 4, "b": 5, "c": 5}, desired(p.Plan(startTime, fleetOf(12, 0), 300)), "evenly, the cheapest zone first")
 }
 
-func TestNothingIsOrderedWhereSpotIsDearOrThereIsNone(t *testing.T) {
-	for _, price := range []float64{0, dearestSpot + 0.1} {
+func TestNoOrdersIfSpotIsExpensiveOrUnavailable(t *testing.T) {
+	for _, price := range []float64{0, maxSpotPrice + 0.1} {
 		service := fleetOf(12, 0)
 		service.SpotPrice = price
-		require.Empty(t, NewPlanner(began).Plan(began, service, 900), "price %v", price)
+		require.Empty(t, NewPlanner(startTime).Plan(startTime, service, 900), "price %v", price)
 	}
 }
 
-func TestOrdersDoNotFlap(t *testing.T) {
-	p := NewPlanner(began)
-	taken(p, p.Plan(began, fleetOf(12, 0), 330), began)
+func TestSmallChangesOfThePeakGiveNoOrders(t *testing.T) {
+	p := NewPlanner(startTime)
+	acceptAll(p, p.Plan(startTime, fleetOf(12, 0), 330), startTime)
 	require.Equal(t, 19, p.Reserve())
-	now := began.Add(time.Second)
+	now := startTime.Add(time.Second)
 	for _, peak := range []int{340, 320, 310, 348} {
 		require.Empty(t, p.Plan(now, fleetOf(12, 6), peak), "peak %d", peak)
 	}
 	require.NotEmpty(t, p.Plan(now, fleetOf(12, 6), 400), "more work")
 }
 
-// A new holder knows neither the orders nor the peaks of the former one.
-func TestNewHolderKeepsWhatItFindsAtFirst(t *testing.T) {
-	p := NewPlanner(began)
-	orders := p.Plan(began, fleetOf(12, 10), 0)
+// A new planner knows neither the orders nor the peaks of the previous one.
+func TestNewPlannerKeepsExistingSamplersAtFirst(t *testing.T) {
+	p := NewPlanner(startTime)
+	orders := p.Plan(startTime, fleetOf(12, 10), 0)
 	require.Equal(t, 30, p.Reserve())
-	require.Equal(t, map[string]int{"a": 10, "b": 10, "c": 10}, desired(orders), "what is there is ordered by this holder too")
-	taken(p, orders, began)
-	require.Empty(t, p.Plan(began.Add(keepAfterStart-1), fleetOf(12, 10), 0))
-	require.Equal(t, map[string]int{"a": 0, "b": 0, "c": 0}, desired(p.Plan(began.Add(keepAfterStart), fleetOf(12, 10), 0)))
+	require.Equal(t, map[string]int{"a": 10, "b": 10, "c": 10}, desired(orders), "existing samplers are ordered by this planner too")
+	acceptAll(p, orders, startTime)
+	require.Empty(t, p.Plan(startTime.Add(minReserveHold-1), fleetOf(12, 10), 0))
+	require.Equal(t, map[string]int{"a": 0, "b": 0, "c": 0}, desired(p.Plan(startTime.Add(minReserveHold), fleetOf(12, 10), 0)))
 }
 
-func TestZoneThatHasNoneIsLeftAloneAndTheOthersTakeItsShare(t *testing.T) {
-	p := NewPlanner(began)
-	for _, order := range p.Plan(began, fleetOf(12, 0), 300) {
+func TestOtherZonesTakeTheShareOfAZoneThatRefused(t *testing.T) {
+	p := NewPlanner(startTime)
+	for _, order := range p.Plan(startTime, fleetOf(12, 0), 300) {
 		if order.Zone == "a" {
-			p.Refused(order, began)
+			p.Refused(order, startTime)
 		} else {
-			p.Taken(order, began)
+			p.Taken(order, startTime)
 		}
 	}
-	later := began.Add(dryPause / 2)
+	later := startTime.Add(refusedZoneDelay / 2)
 	require.Equal(t, map[string]int{"b": 7, "c": 7}, desired(p.Plan(later, fleetOf(12, 0), 300)))
-	later = began.Add(dryPause)
-	require.Contains(t, desired(p.Plan(later, fleetOf(12, 0), 300)), "a", "asked again")
+	later = startTime.Add(refusedZoneDelay)
+	require.Contains(t, desired(p.Plan(later, fleetOf(12, 0), 300)), "a", "the order is given again")
 }
 
-func TestOrderWhoseSamplersAreMissingIsGivenAgain(t *testing.T) {
-	p := NewPlanner(began)
+func TestOrderIsRepeatedIfItsSamplersAreMissing(t *testing.T) {
+	p := NewPlanner(startTime)
 	service := fleetOf(12, 0)
-	taken(p, p.Plan(began, service, 300), began)
-	require.Empty(t, p.Plan(began.Add(service.Boot+missingAfter), service, 300), "they may boot")
-	require.Len(t, p.Plan(began.Add(service.Boot+missingAfter+1), service, 300), 3)
+	acceptAll(p, p.Plan(startTime, service, 300), startTime)
+	require.Empty(t, p.Plan(startTime.Add(service.Boot+missingTimeout), service, 300), "the samplers may still boot")
+	require.Len(t, p.Plan(startTime.Add(service.Boot+missingTimeout+1), service, 300), 3)
 }
 
-func TestOrdersKeepTheLimits(t *testing.T) {
+func TestOrdersRespectTheLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		service := Service{
 			Max: rapid.IntRange(1, 30).Draw(t, "max"), Slots: rapid.IntRange(1, 8).Draw(t, "slots"),
@@ -109,8 +109,8 @@
 			ordinary[name] = zone.Ordinary
 			service.Zones = append(service.Zones, zone)
 		}
-		p := NewPlanner(began)
-		now := began
+		p := NewPlanner(startTime)
+		now := startTime
 		for range 10 {
 			now = now.Add(time.Duration(rapid.IntRange(0, 40).Draw(t, "seconds")) * time.Second)
 			for _, order := range p.Plan(now, service, rapid.IntRange(0, 2000).Draw(t, "peak")) {
@@ -126,35 +126,35 @@
 	})
 }
 
-// A zone that is evacuated is left out of the zones; its samplers are replaced in the
-// others and given back once it is there again.
-func TestSamplersOfAnEvacuatedZoneAreReplacedForAsLong(t *testing.T) {
-	for _, price := range []float64{0.2, dearestSpot + 0.1} {
-		whole, p := fleetOf(12, 0), NewPlanner(began)
-		whole.SpotPrice = price
-		require.Empty(t, p.Plan(began, whole, 200))
-		out := whole
-		out.Zones, out.Evacuated = whole.Zones[1:], 12
-		now := began.Add(keepAfterStart)
-		orders := p.Plan(now, out, 200)
+// An evacuated zone is absent from Service.Zones. Its samplers are replaced in the other
+// zones, and the replacements are released once the zone returns.
+func TestSamplersOfAnEvacuatedZoneAreReplacedUntilItReturns(t *testing.T) {
+	for _, price := range []float64{0.2, maxSpotPrice + 0.1} {
+		allZones, p := fleetOf(12, 0), NewPlanner(startTime)
+		allZones.SpotPrice = price
+		require.Empty(t, p.Plan(startTime, allZones, 200))
+		withoutZoneA := allZones
+		withoutZoneA.Zones, withoutZoneA.Evacuated = allZones.Zones[1:], 12
+		now := startTime.Add(minReserveHold)
+		orders := p.Plan(now, withoutZoneA, 200)
 		require.Equal(t, map[string]int{"b": 5, "c": 5}, desired(orders), "200 items in slots of 6, less 24 samplers")
-		taken(p, orders, now)
-		back := whole
-		back.Zones = []Zone{whole.Zones[0], {Name: "b", Ordinary: 12, Spot: 5}, {Name: "c", Ordinary: 12, Spot: 5}}
-		require.Equal(t, map[string]int{"b": 0, "c": 0}, desired(p.Plan(now.Add(time.Minute), back, 200)))
+		acceptAll(p, orders, now)
+		afterEvacuation := allZones
+		afterEvacuation.Zones = []Zone{allZones.Zones[0], {Name: "b", Ordinary: 12, Spot: 5}, {Name: "c", Ordinary: 12, Spot: 5}}
+		require.Equal(t, map[string]int{"b": 0, "c": 0}, desired(p.Plan(now.Add(time.Minute), afterEvacuation, 200)))
 	}
 }
 
-// A zone came back from its evacuation and got a share of the reserve at once: four
-// samplers booted there while four others were given back.
-func TestZoneThatComesBackMovesNoSamplers(t *testing.T) {
-	whole, p := fleetOf(12, 0), NewPlanner(began)
-	require.Empty(t, p.Plan(began, whole, 200))
-	out := whole
-	out.Zones, out.Evacuated = whole.Zones[1:], 12
-	now := began.Add(time.Second)
-	taken(p, p.Plan(now, out, 200), now)
-	back := whole
-	back.Zones = []Zone{whole.Zones[0], {Name: "b", Ordinary: 12, Spot: 5}, {Name: "c", Ordinary: 12, Spot: 5}}
-	require.Empty(t, p.Plan(now.Add(time.Second), back, 200), "the reserve stays for a while after the start")
+// Guards against a zone that gets a share of the reserve as soon as its evacuation ends: four
+// samplers were booted there while four others were released.
+func TestReturningZoneMovesNoSamplers(t *testing.T) {
+	allZones, p := fleetOf(12, 0), NewPlanner(startTime)
+	require.Empty(t, p.Plan(startTime, allZones, 200))
+	withoutZoneA := allZones
+	withoutZoneA.Zones, withoutZoneA.Evacuated = allZones.Zones[1:], 12
+	now := startTime.Add(time.Second)
+	acceptAll(p, p.Plan(now, withoutZoneA, 200), now)
+	afterEvacuation := allZones
+	afterEvacuation.Zones = []Zone{allZones.Zones[0], {Name: "b", Ordinary: 12, Spot: 5}, {Name: "c", Ordinary: 12, Spot: 5}}
+	require.Empty(t, p.Plan(now.Add(time.Second), afterEvacuation, 200), "the reserve is not lowered shortly after the start")
 }
