--- a/internal/platformsim/mutants_test.go
+++ b/internal/platformsim/mutants_test.go
@@ -93,7 +93,7 @@
 		mutation.Replace("internal/schedule/item.go", "if p.Regions.Bound() && !p.Regions.Allow(p.Topology.Region(sampler.Zone)) {", "if false {"),
 	}},
 	{Promise: "UNASKED: a run ahead is its tenant's", Test: "TestSpeculativeRunContinuesInTheJobThatResubmitsTheItem", Package: "./internal/schedule", Edits: []mutation.Edit{
-		mutation.Replace("internal/schedule/ahead.go", "\t\tTenant: i.job.spec.Tenant,\n", ""),
+		mutation.Replace("internal/schedule/speculative.go", "\t\tTenant: i.job.spec.Tenant,\n", ""),
 	}},
 	{Promise: "Duty: a request counts once", Test: "TestSumIsThatOfTheNewestEntriesWhateverIsRepeated", Package: "./internal/metering", Edits: []mutation.Edit{
 		mutation.Replace("internal/metering/book.go", "known.Sequence < counts.Sequence {", "known.Sequence > 0 {"),
