--- a/internal/dispatch/departures.go
+++ b/internal/dispatch/departures.go
@@ -9,85 +9,92 @@
 )
 
 const (
-	// departureWindow is how long after an attempt was given up the end of its back end may
-	// still be put down to it: until the next attempt at that back end finds it ended, which
-	// at a few requests a second takes about one (chosen).
-	departureWindow = 3 * time.Second
-	// survivalTime is how long a back end must go on answering for a departure to be harmless:
-	// several times as long as a request runs (chosen).
-	survivalTime = time.Second
-	// mostDepartures bounds what is kept for each back end.
-	mostDepartures = 64
+	// crashAttributionWindow is how long after an attempt was abandoned a crash of its back end
+	// may still be attributed to it. Only the next attempt at that back end detects the crash,
+	// which at a few requests per second takes about one second.
+	crashAttributionWindow = 3 * time.Second
+	// survivalPeriod is how long after an abandoned attempt a back end must still answer for
+	// the attempt to be considered harmless. It is several times the duration of a request.
+	survivalPeriod = time.Second
+	// maxAbandonedPerBackEnd limits the abandoned attempts that are kept per back end.
+	maxAbandonedPerBackEnd = 64
 )
 
-// departures are attempts that were given up while their back end ran the request: the time
-// for an attempt was over, its caller left, or the answer was lost. Nobody sees whether the
-// back end ends under them, until another attempt finds that it did. It is safe for
-// concurrent use.
-type departures struct {
+// abandonedAttempts records attempts that were abandoned while their back end may have been
+// running the request: the attempt timed out, its caller disconnected, or the answer was lost.
+// A crash of the back end caused by such a request is only detected by a later attempt. It is
+// safe for concurrent use.
+type abandonedAttempts struct {
 	mutex sync.Mutex
-	left  map[string][]departure
-	// sweptAt is when back ends without departures were forgotten last.
+	// byBackEnd holds the attempts by the id of their back end, oldest first.
+	byBackEnd map[string][]abandonedAttempt
+	// sweptAt is the time of the last sweep.
 	sweptAt time.Time
 }
 
-type departure struct {
+// abandonedAttempt is one attempt that was abandoned.
+type abandonedAttempt struct {
 	digest quarantine.Digest
-	at     time.Time
+	// at is when the attempt was abandoned.
+	at time.Time
 }
 
-func newDepartures() *departures { return &departures{left: make(map[string][]departure)} }
+func newAbandonedAttempts() *abandonedAttempts {
+	return &abandonedAttempts{byBackEnd: make(map[string][]abandonedAttempt)}
+}
 
-// note records that an attempt at a back end was given up.
-func (d *departures) note(backEnd string, digest quarantine.Digest, now time.Time) {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	kept := d.since(backEnd, now.Add(-departureWindow))
-	if len(kept) >= mostDepartures {
+// add records that an attempt at a back end was abandoned.
+func (a *abandonedAttempts) add(backEnd string, digest quarantine.Digest, now time.Time) {
+	a.mutex.Lock()
+	defer a.mutex.Unlock()
+	kept := a.since(backEnd, now.Add(-crashAttributionWindow))
+	if len(kept) >= maxAbandonedPerBackEnd {
 		kept = kept[1:]
 	}
-	d.left[backEnd] = append(kept, departure{digest: digest, at: now})
-	d.sweep(now)
+	a.byBackEnd[backEnd] = append(kept, abandonedAttempt{digest: digest, at: now})
+	a.sweep(now)
 }
 
-// sweep forgets the back ends without departures, now and then: there may be hundreds. It is
-// called under the lock.
-func (d *departures) sweep(now time.Time) {
-	if now.Sub(d.sweptAt) < departureWindow {
+// sweep removes the back ends without recent attempts, of which there may be hundreds, at most
+// once per crashAttributionWindow. The caller must hold the mutex.
+func (a *abandonedAttempts) sweep(now time.Time) {
+	if now.Sub(a.sweptAt) < crashAttributionWindow {
 		return
 	}
-	d.sweptAt = now
-	for backEnd := range d.left {
-		if len(d.since(backEnd, now.Add(-departureWindow))) == 0 {
-			delete(d.left, backEnd)
+	a.sweptAt = now
+	for backEnd := range a.byBackEnd {
+		if len(a.since(backEnd, now.Add(-crashAttributionWindow))) == 0 {
+			delete(a.byBackEnd, backEnd)
 		}
 	}
 }
 
-// since returns the departures at a back end from a time on. It is called under the lock.
-func (d *departures) since(backEnd string, from time.Time) []departure {
-	return slices.DeleteFunc(slices.Clone(d.left[backEnd]), func(one departure) bool { return one.at.Before(from) })
+// since returns the attempts at a back end that were abandoned at or after a time. The caller
+// must hold the mutex.
+func (a *abandonedAttempts) since(backEnd string, from time.Time) []abandonedAttempt {
+	return slices.DeleteFunc(slices.Clone(a.byBackEnd[backEnd]), func(attempt abandonedAttempt) bool { return attempt.at.Before(from) })
 }
 
-// answered records that a back end lives: what left it longer ago did not end it.
-func (d *departures) answered(backEnd string, now time.Time) {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	if _, known := d.left[backEnd]; !known {
+// backEndAnswered records that a back end answered, and removes the attempts that it has
+// survived for longer than survivalPeriod.
+func (a *abandonedAttempts) backEndAnswered(backEnd string, now time.Time) {
+	a.mutex.Lock()
+	defer a.mutex.Unlock()
+	if _, found := a.byBackEnd[backEnd]; !found {
 		return
 	}
-	d.left[backEnd] = d.since(backEnd, now.Add(-survivalTime))
+	a.byBackEnd[backEnd] = a.since(backEnd, now.Add(-survivalPeriod))
 }
 
-// ended returns the requests under which a back end may have ended that was found so now, and
-// forgets them.
-func (d *departures) ended(backEnd string, now time.Time) []quarantine.Digest {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
+// takeSuspects returns and removes the digests of the requests that may have crashed a back end
+// whose crash was detected now.
+func (a *abandonedAttempts) takeSuspects(backEnd string, now time.Time) []quarantine.Digest {
+	a.mutex.Lock()
+	defer a.mutex.Unlock()
 	var digests []quarantine.Digest
-	for _, one := range d.since(backEnd, now.Add(-departureWindow)) {
-		digests = append(digests, one.digest)
+	for _, attempt := range a.since(backEnd, now.Add(-crashAttributionWindow)) {
+		digests = append(digests, attempt.digest)
 	}
-	delete(d.left, backEnd)
+	delete(a.byBackEnd, backEnd)
 	return digests
 }
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -29,31 +29,32 @@
 	"github.com/pathbend/pathbend/internal/routing"
 )
 
-// listBalancer offers addresses in turn, each once per request.
-type listBalancer struct {
-	// evacuated is set where only evacuations keep back ends from work.
+// sequentialBalancer picks its endpoints in order, each at most once per request.
+type sequentialBalancer struct {
+	// evacuated is the result of Evacuated.
 	evacuated bool
 	mutex     sync.Mutex
 	endpoints []*routing.Endpoint
 	leaving   []string
-	// asked are the regions of each request for an endpoint.
-	asked    []locality.Regions
+	// regions are the allowed regions of each call of Pick.
+	regions  []locality.Regions
 	inFlight atomic.Int64
-	// roomAgain is when cold endpoints have room, zero if none is cold.
+	// roomAgain is the result of RoomAgain; zero if no endpoint is cold.
 	roomAgain time.Time
 }
 
-func balancerOf(addresses ...string) *listBalancer {
-	balancer := &listBalancer{}
+// newBalancer returns a balancer over endpoints b0, b1 and so on at the given addresses.
+func newBalancer(addresses ...string) *sequentialBalancer {
+	balancer := &sequentialBalancer{}
 	for i, address := range addresses {
 		balancer.endpoints = append(balancer.endpoints, &routing.Endpoint{ID: fmt.Sprint("b", i), Address: address})
 	}
 	return balancer
 }
 
-func (b *listBalancer) Pick(request *routing.Request) *routing.Endpoint {
+func (b *sequentialBalancer) Pick(request *routing.Request) *routing.Endpoint {
 	b.mutex.Lock()
-	b.asked = append(b.asked, request.Regions)
+	b.regions = append(b.regions, request.Regions)
 	b.mutex.Unlock()
 	if len(request.Excluded) >= len(b.endpoints) {
 		return nil
@@ -62,37 +63,39 @@
 	return b.endpoints[len(request.Excluded)]
 }
 
-func (b *listBalancer) RoomAgain(*routing.Request) (time.Time, bool) {
+func (b *sequentialBalancer) RoomAgain(*routing.Request) (time.Time, bool) {
 	return b.roomAgain, !b.roomAgain.IsZero()
 }
 
-func (b *listBalancer) Report(*routing.Endpoint, Report) { b.inFlight.Add(-1) }
+func (b *sequentialBalancer) Report(*routing.Endpoint, Report) { b.inFlight.Add(-1) }
 
-func (b *listBalancer) MarkLeaving(endpoint *routing.Endpoint) {
+func (b *sequentialBalancer) MarkLeaving(endpoint *routing.Endpoint) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.leaving = append(b.leaving, endpoint.ID)
 }
 
-func (b *listBalancer) Evacuated(string) bool { return b.evacuated }
+func (b *sequentialBalancer) Evacuated(string) bool { return b.evacuated }
 
-func dispatcherOver(t *testing.T, balancer *listBalancer) *Dispatcher {
+// newTestDispatcher returns a dispatcher whose guard has no other nodes to inform.
+func newTestDispatcher(t *testing.T, balancer *sequentialBalancer) *Dispatcher {
 	t.Helper()
 	exchanger := NewExchanger(network.TCP{})
 	t.Cleanup(exchanger.Close)
 	var ids atomic.Int64
 	guard := quarantine.NewGuard(quarantine.Requests(), event.Discard())
-	guard.SetTeller(&ownLog{guard: guard})
+	guard.SetTeller(&loopbackLog{guard: guard})
 	return NewDispatcher(exchanger, OwnProtocol{}, balancer, guard, "zone", func() string { return fmt.Sprint("id-", ids.Add(1)) }, event.Discard())
 }
 
-// ownLog is a log with one reader and one writer.
-type ownLog struct{ guard *quarantine.Guard }
+// loopbackLog applies each record to the guard that wrote it.
+type loopbackLog struct{ guard *quarantine.Guard }
 
-func (l *ownLog) Tell(_ context.Context, record quarantine.Record) { l.guard.Merge(record) }
+func (l *loopbackLog) Tell(_ context.Context, record quarantine.Record) { l.guard.Merge(record) }
 
-// backEnd starts a back end and returns its address and execution count.
-func backEnd(t *testing.T, handler http.HandlerFunc) (string, *atomic.Int64) {
+// startBackEnd starts a back end that echoes request ids, and returns its address and the number
+// of requests that it ran.
+func startBackEnd(t *testing.T, handler http.HandlerFunc) (string, *atomic.Int64) {
 	t.Helper()
 	var runs atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
@@ -104,6 +107,7 @@
 	return strings.TrimPrefix(server.URL, "http://"), &runs
 }
 
+// unusedAddress returns an address that refuses connections.
 func unusedAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -112,7 +116,8 @@
 	return listener.Addr().String()
 }
 
-func requestOf(atMostOnce bool) *Request {
+// newTestRequest returns a request with three attempts and a deadline in five seconds.
+func newTestRequest(atMostOnce bool) *Request {
 	return &Request{
 		Tenant: "shop", Pool: "p", Method: http.MethodPost, Path: "/pay?x=1", Buffered: []byte("body"), Length: 4,
 		Header: http.Header{"Connection": {"close"}, "X-Own": {"kept"}, "Idempotency-Key": {"k"}}, IdempotencyKey: "k",
@@ -120,11 +125,12 @@
 	}
 }
 
-func do(t *testing.T, balancer *listBalancer, request *Request) (*Answer, error) {
+// do sends a request through a new dispatcher and reads the answer to its end.
+func do(t *testing.T, balancer *sequentialBalancer, request *Request) (*Answer, error) {
 	t.Helper()
 	ctx, cancel := context.WithDeadline(context.Background(), request.Deadline)
 	defer cancel()
-	answer, err := dispatcherOver(t, balancer).Do(ctx, request)
+	answer, err := newTestDispatcher(t, balancer).Do(ctx, request)
 	if answer != nil {
 		_, readErr := io.Copy(io.Discard, answer.Body)
 		answer.Body.Close()
@@ -132,48 +138,51 @@
 			return nil, readErr
 		}
 	}
-	require.Zero(t, balancer.inFlight.Load(), "every started attempt must be reported")
+	require.Zero(t, balancer.inFlight.Load(), "every picked endpoint must be reported")
 	return answer, err
 }
 
-func ok(writer http.ResponseWriter, request *http.Request) {
+// echoRequest echoes the parts of the request that reach the back end.
+func echoRequest(writer http.ResponseWriter, request *http.Request) {
 	body, _ := io.ReadAll(request.Body)
 	fmt.Fprintf(writer, "%s %s %s own=%s conn=%q", request.Method, request.URL, body, request.Header.Get("X-Own"), request.Header.Get("Connection"))
 }
 
-func cutOff(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+// abortAnswer closes the connection without an answer.
+func abortAnswer(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-func refuse(writer http.ResponseWriter, _ *http.Request) {
+// refuseRequest answers that the request was not run.
+func refuseRequest(writer http.ResponseWriter, _ *http.Request) {
 	writer.Header().Set(HeaderRun, "not_run")
 	writer.Header().Set("Retry-After", "2")
 	writer.WriteHeader(http.StatusServiceUnavailable)
 }
 
-func TestRequestPassesThroughUntouched(t *testing.T) {
-	address, _ := backEnd(t, ok)
-	answer, err := do(t, balancerOf(address), requestOf(true))
+func TestRequestIsForwardedUnchanged(t *testing.T) {
+	address, _ := startBackEnd(t, echoRequest)
+	answer, err := do(t, newBalancer(address), newTestRequest(true))
 	require.NoError(t, err)
 	require.Equal(t, `POST /pay?x=1 body own=kept conn=""`, string(answer.Buffered))
 }
 
-func TestAtMostOnceIsNotSentAgainAfterALostAnswer(t *testing.T) {
-	broken, runs := backEnd(t, cutOff)
-	healthy, healthyRuns := backEnd(t, ok)
-	_, err := do(t, balancerOf(broken, healthy), requestOf(true))
+func TestAtMostOnceRequestIsNotRetriedAfterLostAnswer(t *testing.T) {
+	broken, runs := startBackEnd(t, abortAnswer)
+	healthy, healthyRuns := startBackEnd(t, echoRequest)
+	_, err := do(t, newBalancer(broken, healthy), newTestRequest(true))
 	require.True(t, result.Is(err, result.AnswerLost), "%v", err)
 	require.Equal(t, result.Unknown, result.From(err).Run())
-	require.Equal(t, int64(1), runs.Load(), "the transport must not replay by itself")
+	require.Equal(t, int64(1), runs.Load(), "the transport must not retry on its own")
 	require.Zero(t, healthyRuns.Load())
 
-	answer, err := do(t, balancerOf(broken, healthy), requestOf(false))
+	answer, err := do(t, newBalancer(broken, healthy), newTestRequest(false))
 	require.NoError(t, err)
 	require.Equal(t, 2, answer.Attempts)
 }
 
-// TestConnectionThatDiedIdleIsNotReplayed closes connections after one answer
-// without saying so, which is when net/http replays requests that carry an
-// idempotency key.
-func TestConnectionThatDiedIdleIsNotReplayed(t *testing.T) {
+// net/http retries requests with an idempotency key on its own if a reused connection turns out
+// to be closed. The back end here closes each connection after one answer without announcing
+// it, and no request may be sent twice.
+func TestRequestOnClosedIdleConnectionIsNotReplayed(t *testing.T) {
 	var served atomic.Int64
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -184,12 +193,12 @@
 			if err != nil {
 				return
 			}
-			go answerOnceThenSwallow(connection, &served)
+			go answerFirstRequestOnly(connection, &served)
 		}
 	}()
-	dispatcher := dispatcherOver(t, balancerOf(listener.Addr().String()))
+	dispatcher := newTestDispatcher(t, newBalancer(listener.Addr().String()))
 	for range 5 {
-		request := requestOf(true)
+		request := newTestRequest(true)
 		before := served.Load()
 		ctx, cancel := context.WithDeadline(context.Background(), request.Deadline)
 		_, err := dispatcher.Do(ctx, request)
@@ -198,9 +207,9 @@
 	}
 }
 
-// answerOnceThenSwallow answers the first request and reads the second one
-// before it closes the connection.
-func answerOnceThenSwallow(connection net.Conn, served *atomic.Int64) {
+// answerFirstRequestOnly answers the first request on a connection, then reads the second one and
+// closes the connection without an answer.
+func answerFirstRequestOnly(connection net.Conn, served *atomic.Int64) {
 	defer connection.Close()
 	buffer := make([]byte, 4096)
 	n, err := connection.Read(buffer)
@@ -220,41 +229,42 @@
 	}
 }
 
-func TestUnsentAndRefusedRequestsGoToAnother(t *testing.T) {
-	refusing, _ := backEnd(t, refuse)
-	healthy, runs := backEnd(t, ok)
-	answer, err := do(t, balancerOf(unusedAddress(t), refusing, healthy), requestOf(true))
+func TestUnsentAndRefusedRequestsAreRetriedElsewhere(t *testing.T) {
+	refusing, _ := startBackEnd(t, refuseRequest)
+	healthy, runs := startBackEnd(t, echoRequest)
+	answer, err := do(t, newBalancer(unusedAddress(t), refusing, healthy), newTestRequest(true))
 	require.NoError(t, err)
 	require.Equal(t, 3, answer.Attempts)
 	require.Equal(t, int64(1), runs.Load())
 
-	_, err = do(t, balancerOf(unusedAddress(t)), requestOf(true))
+	_, err = do(t, newBalancer(unusedAddress(t)), newTestRequest(true))
 	require.Equal(t, result.NotRun, result.From(err).Run())
-	_, err = do(t, balancerOf(refusing), requestOf(true))
+	_, err = do(t, newBalancer(refusing), newTestRequest(true))
 	require.True(t, result.Is(err, result.NoBackEnd), "%v", err)
 	require.Positive(t, result.From(err).RetryAfter)
 }
 
-func TestColdBackEndsAreRefusedAtOnceWithTheTimeOfTheirRoom(t *testing.T) {
-	balancer := balancerOf()
+func TestRequestToColdBackEndsIsRefusedWithRetryAfter(t *testing.T) {
+	balancer := newBalancer()
 	balancer.roomAgain = time.Now().Add(3 * time.Second)
-	_, err := do(t, balancer, requestOf(true))
+	_, err := do(t, balancer, newTestRequest(true))
 	require.True(t, result.Is(err, result.SamplersCold), "%v", err)
 	require.Equal(t, result.NotRun, result.From(err).Run())
 	require.InDelta(t, 3, result.From(err).RetryAfter.Seconds(), 0.5)
 }
 
-func TestRefusalAfterALostAnswerIsNotCalledNotRun(t *testing.T) {
-	broken, _ := backEnd(t, cutOff)
-	refusing, _ := backEnd(t, refuse)
-	for _, balancer := range []*listBalancer{balancerOf(broken, refusing), balancerOf(broken), balancerOf(broken, unusedAddress(t))} {
-		_, err := do(t, balancer, requestOf(false))
+func TestRefusalAfterLostAnswerDoesNotClaimNotRun(t *testing.T) {
+	broken, _ := startBackEnd(t, abortAnswer)
+	refusing, _ := startBackEnd(t, refuseRequest)
+	for _, balancer := range []*sequentialBalancer{newBalancer(broken, refusing), newBalancer(broken), newBalancer(broken, unusedAddress(t))} {
+		_, err := do(t, balancer, newTestRequest(false))
 		require.Equal(t, result.Unknown, result.From(err).Run(), "%v", err)
 	}
 }
 
-// endingBackEnd is a back end that ends under the first request that it reads.
-func endingBackEnd(t *testing.T) string {
+// startCrashingBackEnd starts a back end that stops listening and drops the connection once it
+// has read its first request, and returns its address.
+func startCrashingBackEnd(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -271,30 +281,31 @@
 	return listener.Addr().String()
 }
 
-// attemptLine is what a log line tells of a failed attempt.
-type attemptLine struct {
+// attemptLogEntry holds the fields of a log line about a failed attempt.
+type attemptLogEntry struct {
 	Message string `json:"msg"`
 	Digest  string `json:"digest"`
 	BackEnd string `json:"back_end"`
 	Ended   bool   `json:"ended"`
 }
 
-// Lines of an incident could not tell tries of one request that ended its back ends from
-// requests that lost their answers.
-func TestLinesJoinTheTriesOfARequestAndTellBackEndsThatEnded(t *testing.T) {
-	dropping, _ := backEnd(t, cutOff)
+// Log lines of failed attempts must show which tries belong to the same request and whether the
+// back end crashed. Without both, repeated tries of a request that crashes back ends cannot be
+// told from requests that only lost their answers.
+func TestAttemptLogHasRequestDigestAndBackEndCrash(t *testing.T) {
+	dropping, _ := startBackEnd(t, abortAnswer)
 	var lines bytes.Buffer
-	balancer := balancerOf(endingBackEnd(t), dropping, unusedAddress(t))
-	dispatcher := dispatcherOver(t, balancer)
+	balancer := newBalancer(startCrashingBackEnd(t), dropping, unusedAddress(t))
+	dispatcher := newTestDispatcher(t, balancer)
 	dispatcher.logger = event.NewLogger(&lines, slog.LevelInfo)
-	request := requestOf(false)
+	request := newTestRequest(false)
 	ctx, cancel := context.WithDeadline(context.Background(), request.Deadline)
 	defer cancel()
 	_, err := dispatcher.Do(ctx, request)
 	require.Error(t, err)
-	var attempts []attemptLine
+	var attempts []attemptLogEntry
 	for decoder := json.NewDecoder(&lines); ; {
-		var line attemptLine
+		var line attemptLogEntry
 		if decoder.Decode(&line) != nil {
 			break
 		}
@@ -304,21 +315,21 @@
 	}
 	require.Len(t, attempts, 3)
 	require.Equal(t, []bool{true, false, false}, []bool{attempts[0].Ended, attempts[1].Ended, attempts[2].Ended})
-	again := requestOf(false)
-	again.ID = "another try"
+	repeated := newTestRequest(false)
+	repeated.ID = "another try"
 	for _, attempt := range attempts {
-		require.Equal(t, again.digest().String(), attempt.Digest)
+		require.Equal(t, repeated.digest().String(), attempt.Digest)
 	}
 }
 
-// doAgain sends further tries of a request through one dispatcher, each at back ends of its
-// own, and returns how the last ended.
-func doAgain(t *testing.T, dispatcher *Dispatcher, tries ...*listBalancer) error {
+// doTries sends the same request through one dispatcher once per balancer, and returns the error
+// of the last try.
+func doTries(t *testing.T, dispatcher *Dispatcher, tries ...*sequentialBalancer) error {
 	t.Helper()
-	var last error
+	var lastErr error
 	for _, balancer := range tries {
 		dispatcher.balancer = balancer
-		request := requestOf(false)
+		request := newTestRequest(false)
 		request.MaxAttempts = len(balancer.endpoints)
 		ctx, cancel := context.WithDeadline(context.Background(), request.Deadline)
 		answer, err := dispatcher.Do(ctx, request)
@@ -326,66 +337,67 @@
 		if answer != nil {
 			answer.Body.Close()
 		}
-		last = err
+		lastErr = err
 	}
-	return last
+	return lastErr
 }
 
-// named gives the back ends of a balancer ids of their own.
-func named(prefix string, balancer *listBalancer) *listBalancer {
+// withIDPrefix sets the ids of a balancer's endpoints to the prefix and their index.
+func withIDPrefix(prefix string, balancer *sequentialBalancer) *sequentialBalancer {
 	for i := range balancer.endpoints {
 		balancer.endpoints[i].ID = fmt.Sprint(prefix, i)
 	}
 	return balancer
 }
 
-// A request under new ids took down whatever ran it, however often it came.
-func TestRequestUnderWhichBackEndsEndedIsHeldBack(t *testing.T) {
-	healthy, runs := backEnd(t, ok)
-	dispatcher := dispatcherOver(t, balancerOf())
-	err := doAgain(t, dispatcher,
-		named("first", balancerOf(endingBackEnd(t), endingBackEnd(t))),
-		named("second", balancerOf(endingBackEnd(t), healthy)),
+// A request that crashes its back ends must be quarantined although each try of its caller has a
+// new id. Otherwise every try crashes further back ends.
+func TestRequestThatCrashesBackEndsIsQuarantined(t *testing.T) {
+	healthy, runs := startBackEnd(t, echoRequest)
+	dispatcher := newTestDispatcher(t, newBalancer())
+	err := doTries(t, dispatcher,
+		withIDPrefix("first", newBalancer(startCrashingBackEnd(t), startCrashingBackEnd(t))),
+		withIDPrefix("second", newBalancer(startCrashingBackEnd(t), healthy)),
 	)
-	require.True(t, result.Is(err, result.AnswerLost), "the try itself ran: %v", err)
-	require.Zero(t, runs.Load(), "the third end forbids another attempt of the same try")
-	err = doAgain(t, dispatcher, named("third", balancerOf(healthy)))
+	require.True(t, result.Is(err, result.AnswerLost), "the try was run: %v", err)
+	require.Zero(t, runs.Load(), "the third crash must stop the attempts of the same try")
+	err = doTries(t, dispatcher, withIDPrefix("third", newBalancer(healthy)))
 	require.True(t, result.Is(err, result.RequestQuarantined), "%v", err)
 	require.Equal(t, result.NotRun, result.From(err).Run())
 	require.Positive(t, result.From(err).RetryAfter)
 	require.Zero(t, runs.Load())
 
-	other := requestOf(false)
+	other := newTestRequest(false)
 	other.Buffered = []byte("another body")
 	other.Length = int64(len(other.Buffered))
-	dispatcher.balancer = balancerOf(healthy)
+	dispatcher.balancer = newBalancer(healthy)
 	_, err = dispatcher.Do(context.Background(), other)
 	require.NoError(t, err, "another request is served")
 }
 
-func TestBackEndThatSurvivesARequestClearsIt(t *testing.T) {
-	healthy, _ := backEnd(t, ok)
-	dropping, _ := backEnd(t, cutOff)
-	dispatcher := dispatcherOver(t, balancerOf())
+func TestAnsweredRequestIsNoLongerSuspected(t *testing.T) {
+	healthy, _ := startBackEnd(t, echoRequest)
+	dropping, _ := startBackEnd(t, abortAnswer)
+	dispatcher := newTestDispatcher(t, newBalancer())
 	for round := range 4 {
-		err := doAgain(t, dispatcher, named(fmt.Sprint("round", round), balancerOf(endingBackEnd(t), dropping, healthy)))
+		err := doTries(t, dispatcher, withIDPrefix(fmt.Sprint("round", round), newBalancer(startCrashingBackEnd(t), dropping, healthy)))
 		require.NoError(t, err, "round %d", round)
 	}
 }
 
-func TestAnswersThatAreLostAloneHoldNothingBack(t *testing.T) {
-	dropping, runs := backEnd(t, cutOff)
-	dispatcher := dispatcherOver(t, balancerOf())
+func TestLostAnswersWithoutCrashesDoNotQuarantine(t *testing.T) {
+	dropping, runs := startBackEnd(t, abortAnswer)
+	dispatcher := newTestDispatcher(t, newBalancer())
 	for range 5 {
-		err := doAgain(t, dispatcher, balancerOf(dropping))
+		err := doTries(t, dispatcher, newBalancer(dropping))
 		require.True(t, result.Is(err, result.AnswerLost), "%v", err)
 	}
 	require.EqualValues(t, 5, runs.Load())
 }
 
-// The HTTP transport sent a request without a body once more by itself, to whatever listened
-// at the address by then, when the back end ended on a connection that had been used before.
-func TestTransportReplaysNoRequestWithoutABody(t *testing.T) {
+// If a back end drops a reused connection, the HTTP transport on its own retries a request
+// without a body, at whatever listens at the address by then. The dispatcher must prevent that.
+func TestTransportDoesNotReplayRequestWithoutBody(t *testing.T) {
 	var read atomic.Int64
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -396,23 +408,24 @@
 			if err != nil {
 				return
 			}
-			go answerOnceThenSwallow(connection, &read)
+			go answerFirstRequestOnly(connection, &read)
 		}
 	}()
-	dispatcher := dispatcherOver(t, balancerOf(listener.Addr().String()))
+	dispatcher := newTestDispatcher(t, newBalancer(listener.Addr().String()))
 	for range 2 {
-		request := requestOf(false)
+		request := newTestRequest(false)
 		request.Method, request.Buffered, request.Length, request.MaxAttempts = http.MethodGet, nil, 0, 1
 		delete(request.Header, "Idempotency-Key")
 		ctx, cancel := context.WithDeadline(context.Background(), request.Deadline)
 		_, _ = dispatcher.Do(ctx, request)
 		cancel()
 	}
-	require.EqualValues(t, 2, read.Load(), "each was sent once")
+	require.EqualValues(t, 2, read.Load(), "each request must be sent once")
 }
 
-// A caller left before its request had crashed the back end: nobody was there to see it.
-func TestBackEndThatEndsAfterItsCallerLeftCounts(t *testing.T) {
+// If a caller disconnects before its request crashes the back end, a later attempt at that back
+// end must detect the crash and attribute it to the request.
+func TestCrashAfterCallerDisconnectedIsAttributed(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	began := make(chan struct{})
@@ -422,76 +435,77 @@
 	})}
 	go func() { _ = server.Serve(listener) }()
 	address := listener.Addr().String()
-	healthy, _ := backEnd(t, ok)
-	dispatcher := dispatcherOver(t, balancerOf(address))
+	healthy, _ := startBackEnd(t, echoRequest)
+	dispatcher := newTestDispatcher(t, newBalancer(address))
 	ctx, leave := context.WithCancel(context.Background())
 	go func() {
 		<-began
 		leave()
 	}()
-	_, err = dispatcher.Do(ctx, requestOf(true))
+	_, err = dispatcher.Do(ctx, newTestRequest(true))
 	require.True(t, result.Is(err, result.CallerGone), "%v", err)
 	require.Zero(t, dispatcher.guard.Counts().Ended)
 	_ = server.Close()
 
-	other := requestOf(false)
+	other := newTestRequest(false)
 	other.Path = "/other"
-	dispatcher.balancer = balancerOf(address, healthy)
+	dispatcher.balancer = newBalancer(address, healthy)
 	answer, err := dispatcher.Do(context.Background(), other)
 	require.NoError(t, err)
 	answer.Body.Close()
 	require.Eventually(t, func() bool { return dispatcher.guard.Counts().Ended == 1 }, time.Second, time.Millisecond)
-	require.True(t, dispatcher.guard.Suspected(requestOf(true).digest), "the request that had left")
+	require.True(t, dispatcher.guard.Suspected(newTestRequest(true).digest), "the request of the disconnected caller")
 	require.False(t, dispatcher.guard.Suspected(other.digest))
 }
 
-// A request that waited while its machine was suspended went on to a back end, long after its
-// caller had left.
-func TestRequestWhoseCallerLeftDuringASuspensionIsNotSent(t *testing.T) {
-	healthy, runs := backEnd(t, ok)
+// A request whose deadline expired while the machine was suspended must not reach a back end,
+// since its caller no longer waits.
+func TestRequestThatExpiredDuringSuspensionIsNotSent(t *testing.T) {
+	healthy, runs := startBackEnd(t, echoRequest)
 	slept := time.Duration(0)
 	defer clock.Simulate(func() time.Duration { return slept })()
-	request := requestOf(false)
+	request := newTestRequest(false)
 	request.Received = clock.Mark()
 	slept = time.Minute
-	_, err := do(t, balancerOf(healthy), request)
+	_, err := do(t, newBalancer(healthy), request)
 	require.True(t, result.Is(err, result.DeadlineInQueue), "%v", err)
 	require.Equal(t, result.NotRun, result.From(err).Run())
 	require.Zero(t, runs.Load())
 }
 
-func TestOldDeparturesEndNothing(t *testing.T) {
+func TestOldAbandonedAttemptsAreNotBlamedForCrash(t *testing.T) {
 	now := time.Unix(1000, 0)
-	left, digest := newDepartures(), requestOf(false).digest()
-	left.note("a", digest, now)
-	require.Empty(t, left.ended("a", now.Add(departureWindow+time.Millisecond)))
-	left.note("a", digest, now)
-	left.answered("a", now.Add(survivalTime/2))
-	require.Len(t, left.ended("a", now.Add(survivalTime)), 1, "it may still end under it")
-	require.Empty(t, left.ended("a", now.Add(survivalTime)), "once")
-	left.note("a", digest, now)
-	left.answered("a", now.Add(survivalTime+time.Millisecond))
-	require.Empty(t, left.ended("a", now.Add(2*survivalTime)), "it went on answering")
-	for i := range 2 * mostDepartures {
-		left.note("a", digest, now.Add(time.Duration(i)))
+	abandoned, digest := newAbandonedAttempts(), newTestRequest(false).digest()
+	abandoned.add("a", digest, now)
+	require.Empty(t, abandoned.takeSuspects("a", now.Add(crashAttributionWindow+time.Millisecond)))
+	abandoned.add("a", digest, now)
+	abandoned.backEndAnswered("a", now.Add(survivalPeriod/2))
+	require.Len(t, abandoned.takeSuspects("a", now.Add(survivalPeriod)), 1, "the back end may still crash because of the attempt")
+	require.Empty(t, abandoned.takeSuspects("a", now.Add(survivalPeriod)), "each attempt is reported once")
+	abandoned.add("a", digest, now)
+	abandoned.backEndAnswered("a", now.Add(survivalPeriod+time.Millisecond))
+	require.Empty(t, abandoned.takeSuspects("a", now.Add(2*survivalPeriod)), "the back end survived the attempt")
+	for i := range 2 * maxAbandonedPerBackEnd {
+		abandoned.add("a", digest, now.Add(time.Duration(i)))
 	}
-	require.Len(t, left.ended("a", now.Add(time.Millisecond)), mostDepartures)
+	require.Len(t, abandoned.takeSuspects("a", now.Add(time.Millisecond)), maxAbandonedPerBackEnd)
 }
 
-// The time for an attempt was over before a slow back end ended under it.
-func TestSuspectIsWaitedFor(t *testing.T) {
-	healthy, _ := backEnd(t, ok)
+// An attempt of a suspected request must not time out before a slow back end crashes because of
+// it.
+func TestAttemptTimeoutDoesNotApplyToSuspectedRequest(t *testing.T) {
+	healthy, _ := startBackEnd(t, echoRequest)
 	release := make(chan struct{})
-	slow, _ := backEnd(t, func(_ http.ResponseWriter, request *http.Request) {
+	slow, _ := startBackEnd(t, func(_ http.ResponseWriter, request *http.Request) {
 		select {
 		case <-release:
 		case <-request.Context().Done():
 		}
 	})
-	dispatcher := dispatcherOver(t, balancerOf(slow, healthy))
-	request := requestOf(false)
+	dispatcher := newTestDispatcher(t, newBalancer(slow, healthy))
+	request := newTestRequest(false)
 	request.AttemptTimeout = 20 * time.Millisecond
-	dispatcher.guard.Heard(request.digest(), "one that ended")
+	dispatcher.guard.Heard(request.digest(), "crashed back end")
 	time.AfterFunc(5*request.AttemptTimeout, func() { close(release) })
 	ctx, cancel := context.WithDeadline(context.Background(), request.Deadline)
 	defer cancel()
@@ -500,7 +514,7 @@
 	require.Equal(t, 1, answer.Attempts)
 }
 
-func TestStreamThatIsCutWhereItsBackEndEndedCounts(t *testing.T) {
+func TestCrashDuringStreamedAnswerIsReported(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	server := &http.Server{Handler: http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
@@ -512,8 +526,8 @@
 		panic(http.ErrAbortHandler)
 	})}
 	go func() { _ = server.Serve(listener) }()
-	dispatcher := dispatcherOver(t, balancerOf(listener.Addr().String()))
-	request := requestOf(false)
+	dispatcher := newTestDispatcher(t, newBalancer(listener.Addr().String()))
+	request := newTestRequest(false)
 	ctx, cancel := context.WithDeadline(context.Background(), request.Deadline)
 	defer cancel()
 	answer, err := dispatcher.Do(ctx, request)
@@ -524,50 +538,50 @@
 	require.Equal(t, 1, dispatcher.guard.Counts().Ended)
 }
 
-func TestCrossedAndTruncatedAnswersAreErrors(t *testing.T) {
-	crossed, _ := backEnd(t, func(writer http.ResponseWriter, _ *http.Request) {
+func TestMismatchedAndTruncatedAnswersAreErrors(t *testing.T) {
+	mismatched, _ := startBackEnd(t, func(writer http.ResponseWriter, _ *http.Request) {
 		writer.Header().Set(HeaderRequestID, "another")
-		fmt.Fprint(writer, "someone else's")
+		fmt.Fprint(writer, "answer to another request")
 	})
-	_, err := do(t, balancerOf(crossed), requestOf(true))
+	_, err := do(t, newBalancer(mismatched), newTestRequest(true))
 	require.True(t, result.Is(err, result.AnswerMismatch), "%v", err)
-	for _, size := range []int{100, 2 * bufferedAnswerBytes} {
-		truncated, _ := backEnd(t, func(writer http.ResponseWriter, _ *http.Request) {
+	for _, size := range []int{100, 2 * maxBufferedAnswerBytes} {
+		truncated, _ := startBackEnd(t, func(writer http.ResponseWriter, _ *http.Request) {
 			writer.Header().Set("Content-Length", fmt.Sprint(size))
 			_, _ = writer.Write(make([]byte, size/2))
 			_ = http.NewResponseController(writer).Flush()
-			cutOff(nil, nil)
+			abortAnswer(nil, nil)
 		})
-		_, err := do(t, balancerOf(truncated), requestOf(true))
+		_, err := do(t, newBalancer(truncated), newTestRequest(true))
 		isTruncated := result.Is(err, result.AnswerTruncated) || errors.Is(err, io.ErrUnexpectedEOF)
 		require.True(t, isTruncated, "%d bytes: %v", size, err)
 	}
 }
 
-func TestLeavingIsTakenFromTheAnswer(t *testing.T) {
-	address, _ := backEnd(t, func(writer http.ResponseWriter, _ *http.Request) {
+func TestLeavingHeaderOfAnswerIsReported(t *testing.T) {
+	address, _ := startBackEnd(t, func(writer http.ResponseWriter, _ *http.Request) {
 		writer.Header().Set(HeaderLeaving, "true")
 	})
-	balancer := balancerOf(address)
-	_, err := do(t, balancer, requestOf(true))
+	balancer := newBalancer(address)
+	_, err := do(t, balancer, newTestRequest(true))
 	require.NoError(t, err)
 	require.Equal(t, []string{"b0"}, balancer.leaving)
 }
 
-// TestPlanNeverRepeatsWhatMayHaveRun draws endings and checks every decision.
-func TestPlanNeverRepeatsWhatMayHaveRun(t *testing.T) {
+// A random sequence of endings must never lead to a retry that the request's limits forbid.
+func TestRetryPlanNeverRepeatsWhatMayHaveRun(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
-		plan := &Plan{
+		plan := &RetryPlan{
 			AtMostOnce: rapid.Bool().Draw(t, "at most once"), Replayable: rapid.Bool().Draw(t, "replayable"),
 			MaxAttempts: rapid.IntRange(1, 5).Draw(t, "attempts"), Deadline: now.Add(50 * time.Millisecond),
 		}
 		for {
 			ending := Ending(rapid.IntRange(int(Answered), int(Lost)).Draw(t, "ending"))
 			bodyRead := rapid.Bool().Draw(t, "body read")
-			step, pause := plan.Next(now, ending, bodyRead)
+			decision, pause := plan.Next(now, ending, bodyRead)
 			require.LessOrEqual(t, plan.Attempts(), plan.MaxAttempts)
-			if step == Stop {
+			if decision == Stop {
 				return
 			}
 			require.NotEqual(t, Answered, ending)
@@ -579,8 +593,8 @@
 	})
 }
 
-func TestBudgetBoundsRetriesInAnOutage(t *testing.T) {
-	budget := NewBudget()
+func TestRetryBudgetLimitsRetriesDuringOutage(t *testing.T) {
+	budget := NewRetryBudget()
 	retries := 0
 	const requests = 10_000
 	for range requests {
@@ -591,24 +605,25 @@
 			}
 		}
 	}
-	require.LessOrEqual(t, float64(retries), budgetMax+requests*budgetRatio+1)
+	require.LessOrEqual(t, float64(retries), maxAccumulatedRetries+requests*retriesPerRequest+1)
 }
 
-// failingProtocol is the own protocol but for answers of 500, which count as the
-// back end's own failure.
-type failingProtocol struct{ OwnProtocol }
+// failOn500Protocol is OwnProtocol, except that status 500 means that the back end ran the request
+// and failed.
+type failOn500Protocol struct{ OwnProtocol }
 
-func (p failingProtocol) Verdict(request *Request, endpoint *routing.Endpoint, requestID string, response *http.Response) Verdict {
+func (p failOn500Protocol) Verdict(request *Request, endpoint *routing.Endpoint, requestID string, response *http.Response) Verdict {
 	if response.StatusCode == http.StatusInternalServerError {
 		return Verdict{Ending: FailedByBackEnd}
 	}
 	return p.OwnProtocol.Verdict(request, endpoint, requestID, response)
 }
 
-func doFailing(t *testing.T, balancer *listBalancer, request *Request) (*Answer, error) {
+// doWithFailOn500 sends a request through a new dispatcher that speaks failOn500Protocol.
+func doWithFailOn500(t *testing.T, balancer *sequentialBalancer, request *Request) (*Answer, error) {
 	t.Helper()
-	dispatcher := dispatcherOver(t, balancer)
-	dispatcher.protocol = failingProtocol{}
+	dispatcher := newTestDispatcher(t, balancer)
+	dispatcher.protocol = failOn500Protocol{}
 	ctx, cancel := context.WithDeadline(context.Background(), request.Deadline)
 	defer cancel()
 	answer, err := dispatcher.Do(ctx, request)
@@ -618,50 +633,51 @@
 	return answer, err
 }
 
-// A failure without an error of its own made the dispatcher panic on the bench.
-func TestBackEndsOwnFailureIsTriedElsewhereOrPassedOn(t *testing.T) {
+// A failure answered by a back end carries no error, which once made the dispatcher panic. The
+// request must be retried elsewhere, or the failure returned if no retry is possible.
+func TestBackEndFailureIsRetriedOrReturned(t *testing.T) {
 	failing := func(writer http.ResponseWriter, _ *http.Request) { writer.WriteHeader(http.StatusInternalServerError) }
-	first, firstRuns := backEnd(t, failing)
-	second, secondRuns := backEnd(t, func(http.ResponseWriter, *http.Request) {})
+	first, firstRuns := startBackEnd(t, failing)
+	second, secondRuns := startBackEnd(t, func(http.ResponseWriter, *http.Request) {})
 
-	answer, err := doFailing(t, balancerOf(first, second), requestOf(false))
+	answer, err := doWithFailOn500(t, newBalancer(first, second), newTestRequest(false))
 	require.NoError(t, err)
 	require.Equal(t, http.StatusOK, answer.Status)
 	require.EqualValues(t, 1, firstRuns.Load())
 	require.EqualValues(t, 1, secondRuns.Load())
 
-	answer, err = doFailing(t, balancerOf(first, second), requestOf(true))
+	answer, err = doWithFailOn500(t, newBalancer(first, second), newTestRequest(true))
 	require.NoError(t, err)
-	require.Equal(t, http.StatusInternalServerError, answer.Status, "a request that must not be repeated gets the failure")
+	require.Equal(t, http.StatusInternalServerError, answer.Status, "an at-most-once request must get the failure")
 	require.EqualValues(t, 1, secondRuns.Load())
 
-	answer, err = doFailing(t, balancerOf(first, unusedAddress(t)), requestOf(false))
+	answer, err = doWithFailOn500(t, newBalancer(first, unusedAddress(t)), newTestRequest(false))
 	require.NoError(t, err)
-	require.Equal(t, http.StatusInternalServerError, answer.Status, "it ran, so no later refusal may say otherwise")
+	require.Equal(t, http.StatusInternalServerError, answer.Status, "the request was run, so a later refusal must not replace the failure")
 }
 
-func TestSilentBackEndIsLeftAfterTheAttemptTimeout(t *testing.T) {
+func TestUnresponsiveBackEndIsAbandonedAfterAttemptTimeout(t *testing.T) {
 	release := make(chan struct{})
-	silent, _ := backEnd(t, func(_ http.ResponseWriter, request *http.Request) {
+	unresponsive, _ := startBackEnd(t, func(_ http.ResponseWriter, request *http.Request) {
 		select {
 		case <-release:
 		case <-request.Context().Done():
 		}
 	})
 	t.Cleanup(func() { close(release) })
-	quick, _ := backEnd(t, func(http.ResponseWriter, *http.Request) {})
-	request := requestOf(false)
+	quick, _ := startBackEnd(t, func(http.ResponseWriter, *http.Request) {})
+	request := newTestRequest(false)
 	request.AttemptTimeout = 20 * time.Millisecond
-	answer, err := do(t, balancerOf(silent, quick), request)
+	answer, err := do(t, newBalancer(unresponsive, quick), request)
 	require.NoError(t, err)
 	require.Equal(t, 2, answer.Attempts)
 }
 
-func TestRequestWhosePoolIsEvacuatedIsRefusedAtOnce(t *testing.T) {
-	balancer := balancerOf()
+func TestRequestToEvacuatedPoolIsRefused(t *testing.T) {
+	balancer := newBalancer()
 	balancer.evacuated = true
-	_, err := do(t, balancer, requestOf(true))
+	_, err := do(t, balancer, newTestRequest(true))
 	require.True(t, result.Is(err, result.ZoneEvacuated))
 	require.Equal(t, result.NotRun, result.From(err).Run())
-	require.Equal(t, evacuationHint, result.From(err).RetryAfter)
+	require.Equal(t, evacuationRetryAfter, result.From(err).RetryAfter)
 }
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -19,66 +19,71 @@
 	"github.com/pathbend/pathbend/internal/wait"
 )
 
-// Request is an application request on its way to a back end.
+// Request is an application request to be sent to a back end.
 type Request struct {
 	Tenant string
+	// Pool is the name of the back-end pool that serves the request.
 	Pool   string
 	Method string
 	// Path is the path and query at the back end, starting with a slash.
 	Path string
-	// Host is the Host header; the back end's address if empty.
+	// Host is the value of the Host header; the back end's address if empty.
 	Host   string
 	Header http.Header
-	// Body is read once unless Buffered holds it whole.
-	Body     io.Reader
+	// Body is the body as a stream, which can be read once. It is ignored if Buffered is set.
+	Body io.Reader
+	// Buffered holds the whole body if it is in memory, so that it can be sent again.
 	Buffered []byte
 	// Length is the body's length in bytes, -1 if unknown.
-	Length         int64
+	Length int64
+	// IdempotencyKey is passed on to the back end unless it is empty.
 	IdempotencyKey string
-	AtMostOnce     bool
-	MaxAttempts    int
-	// Deadline is when the caller no longer waits, unless the machine is suspended before.
+	// AtMostOnce forbids sending the request again unless it provably was not run.
+	AtMostOnce bool
+	// MaxAttempts limits the attempts, including the first and hedged ones.
+	MaxAttempts int
+	// Deadline is when the caller stops waiting. If the machine is suspended meanwhile, that
+	// is earlier, see Remaining.
 	Deadline time.Time
-	// Received is when the request came; the zero moment if that does not matter.
+	// Received is when the request arrived. If it is zero, suspensions are not accounted for.
 	Received clock.Moment
-	// ID is the caller's id of the request; a node draws one per attempt if it
-	// is empty.
+	// ID is the caller's request id. If it is empty, the node generates one per attempt.
 	ID string
-	// AttemptTimeout bounds every attempt but the last of a request that may
-	// run again; 0 for no bound.
+	// AttemptTimeout limits the duration of every attempt but the last of a request that may
+	// run more than once; 0 for no limit.
 	AttemptTimeout time.Duration
-	// HedgeAfter is when a second attempt goes to another back end beside the first, if
-	// that has no answer yet; 0 for never.
+	// HedgeAfter is how long an attempt may go without an answer before a concurrent one is
+	// sent to another back end; 0 for never.
 	HedgeAfter time.Duration
-	// AnyZone leaves the zones of the back ends out of the choice.
+	// AnyZone disables the preference for back ends in the node's zone.
 	AnyZone bool
-	// Regions are those in which the request may be served.
+	// Regions are the regions in which the request may be served.
 	Regions locality.Regions
-	// Excluded are back ends that must not get the request.
+	// Excluded are the ids of back ends that must not receive the request.
 	Excluded []string
-	// Permitted is asked before every attempt but the first; an error ends the
-	// request. It may be nil.
+	// Permitted is called before every attempt but the first. If it returns an error, no
+	// further attempt is made. It may be nil.
 	Permitted func() error
-	// Began is told when an attempt was sent whose back end ran the request or may
-	// have. It may be nil.
+	// Began is called after each attempt whose back end ran the request or may have, with the
+	// time at which the request was sent. It may be nil.
 	Began func(sentAt time.Time)
 
-	// digestOnce keeps the digest, which costs as much as a hash of the body.
-	digestOnce sync.Once
-	digested   quarantine.Digest
+	// digestOnce guards the cached digest, whose computation hashes the whole body.
+	digestOnce   sync.Once
+	cachedDigest quarantine.Digest
 }
 
-// Remaining is for how long the caller still waits. A machine that was suspended meanwhile has
-// that much less: the caller went on waiting.
+// Remaining returns for how long the caller still waits, at least 0. Time during which the
+// machine was suspended is subtracted, because the caller went on waiting.
 func (r *Request) Remaining() time.Duration {
-	left := time.Until(r.Deadline)
+	remaining := time.Until(r.Deadline)
 	if !r.Received.IsZero() {
-		left -= r.Received.Slept()
+		remaining -= r.Received.Slept()
 	}
-	return max(left, 0)
+	return max(remaining, 0)
 }
 
-// permitted reports why no further attempt may be made, nil if one may.
+// permitted returns why no further attempt may be made, or nil if one may.
 func (r *Request) permitted() error {
 	if r.Permitted == nil {
 		return nil
@@ -86,68 +91,75 @@
 	return r.Permitted()
 }
 
-// noteBegan tells of an attempt whose back end ran the request or may have.
-func (r *Request) noteBegan(outcome *incoming) {
+// notifyBegan calls Began if the back end ran the request or may have.
+func (r *Request) notifyBegan(outcome *exchangeOutcome) {
 	mayHaveRun := outcome.ending == Answered || outcome.ending == FailedByBackEnd || outcome.ending == Lost
 	if mayHaveRun && r.Began != nil {
 		r.Began(outcome.sentAt)
 	}
 }
 
-// Balancer picks back ends and learns how attempts end.
+// Balancer picks back ends and is informed how attempts end.
 type Balancer interface {
-	// Pick returns nil if no back end may serve the request.
+	// Pick returns a back end and counts the attempt as in progress there until Report. It
+	// returns nil if no back end may serve the request.
 	Pick(request *routing.Request) *routing.Endpoint
-	// RoomAgain returns when a back end that is kept from a request because it is cold
-	// has room for one; false if none is kept for that.
+	// RoomAgain returns the earliest time at which a cold back end has budget for the request
+	// again. cold is false if no back end is unavailable for lack of budget.
 	RoomAgain(request *routing.Request) (at time.Time, cold bool)
+	// Report records how an attempt at a back end ended.
 	Report(endpoint *routing.Endpoint, report Report)
-	// MarkLeaving records that a back end said that it leaves.
+	// MarkLeaving records that a back end announced that it accepts no new work.
 	MarkLeaving(endpoint *routing.Endpoint)
-	// Evacuated reports whether a pool has no back end for new work only because the
-	// zones of all of them are evacuated.
+	// Evacuated reports whether a pool has no back ends for new work only because zones are
+	// evacuated.
 	Evacuated(pool string) bool
 }
 
-// Report tells the balancer how an attempt ended.
+// Report describes to the balancer how an attempt ended.
 type Report struct {
-	Ending  Ending
+	Ending Ending
+	// Latency is the time until the answer or the failure of the attempt.
 	Latency time.Duration
-	// Neutral is set if the ending says nothing about the back end's health.
+	// Neutral is set if the ending carries no information about the back end's health.
 	Neutral bool
 }
 
-// Dispatcher carries requests to back ends. It is safe for concurrent use.
+// Dispatcher sends requests to back ends and retries them where that is allowed. It is safe
+// for concurrent use.
 type Dispatcher struct {
 	exchanger *Exchanger
 	protocol  Protocol
 	balancer  Balancer
-	zone      string
-	newID     func() string
-	logger    *event.Logger
-	// guard keeps requests from back ends that ended under them.
-	guard      *quarantine.Guard
-	departures *departures
+	// zone is the zone of this node.
+	zone   string
+	newID  func() string
+	logger *event.Logger
+	// guard quarantines requests during which back ends crashed.
+	guard *quarantine.Guard
+	// abandoned holds recent attempts that may still turn out to have crashed a back end.
+	abandoned *abandonedAttempts
 
+	// mutex guards budget.
 	mutex  sync.Mutex
-	budget *Budget
+	budget *RetryBudget
 }
 
-// NewDispatcher returns a dispatcher for a node in a zone. newID returns unique
-// request ids.
+// NewDispatcher returns a dispatcher for a node in a zone. newID must return unique request
+// ids.
 func NewDispatcher(exchanger *Exchanger, protocol Protocol, balancer Balancer, guard *quarantine.Guard, zone string, newID func() string, logger *event.Logger) *Dispatcher {
 	return &Dispatcher{
-		exchanger: exchanger, protocol: protocol, balancer: balancer, guard: guard, zone: zone, newID: newID, logger: logger, budget: NewBudget(),
-		departures: newDepartures(),
+		exchanger: exchanger, protocol: protocol, balancer: balancer, guard: guard, zone: zone, newID: newID, logger: logger, budget: NewRetryBudget(),
+		abandoned: newAbandonedAttempts(),
 	}
 }
 
-// Do sends the request until it is answered or may not be sent again. The error
-// is a *result.Error whose code tells whether the request was run. ctx must end
-// at the request's deadline at the latest.
+// Do sends the request until it is answered or must not be sent again. The error is a
+// *result.Error whose code tells whether the request was run. ctx must end no later than the
+// request's deadline. The caller must close the answer's body.
 func (d *Dispatcher) Do(ctx context.Context, request *Request) (*Answer, error) {
-	d.earn()
-	plan := &Plan{
+	d.earnRetry()
+	plan := &RetryPlan{
 		AtMostOnce:  request.AtMostOnce,
 		Replayable:  request.Buffered != nil || request.Length == 0,
 		MaxAttempts: request.MaxAttempts,
@@ -158,68 +170,69 @@
 	if request.AnyZone {
 		route.Zone = ""
 	}
-	// ran is the outcome of an attempt that ran or may have: from then on no
-	// later refusal may claim that the request was not run.
-	var ran incoming
+	// lastRun is the outcome of the last attempt that ran or may have run. Once it is set, a
+	// later refusal must not claim that the request was not run.
+	var lastRun exchangeOutcome
 	var refusal error
 	for {
-		leave, err := d.enter(ctx, request)
+		release, err := d.admit(ctx, request)
 		if err != nil {
-			return d.giveUp(request, ran, err, plan.Attempts())
+			return d.giveUp(request, lastRun, err, plan.Attempts())
 		}
 		route.Now = time.Now()
 		endpoint := d.balancer.Pick(route)
 		if endpoint == nil {
-			leave()
-			return d.giveUp(request, ran, d.noBackEnd(route), plan.Attempts())
+			release()
+			return d.giveUp(request, lastRun, d.noBackEndError(route), plan.Attempts())
 		}
-		ended := d.tryHedged(ctx, request, route, endpoint, plan)
-		leave()
-		if i := slices.IndexFunc(ended, tried.answered); i >= 0 {
-			return d.served(request, plan, ended[i], received), nil
+		finished := d.attemptHedged(ctx, request, route, endpoint, plan)
+		release()
+		if i := slices.IndexFunc(finished, finishedAttempt.answered); i >= 0 {
+			return d.finishAnswered(request, plan, finished[i], received), nil
 		}
-		step, pause := TryAnother, time.Duration(0)
-		for _, failed := range ended {
+		decision, pause := RetryElsewhere, time.Duration(0)
+		for _, failed := range finished {
 			d.logAttempt(request, failed, plan.Attempts()+1)
 			if outcome := failed.outcome; outcome.ending == Lost || outcome.ending == FailedByBackEnd {
-				ran = failed.named(plan.Attempts() + 1)
+				lastRun = failed.annotated(plan.Attempts() + 1)
 			}
 			refusal = failed.outcome.err
-			step, pause = plan.Next(time.Now(), failed.outcome.ending, failed.outcome.bodyRead)
+			decision, pause = plan.Next(time.Now(), failed.outcome.ending, failed.outcome.bodyRead)
 			route.Excluded = append(route.Excluded, failed.endpoint.ID)
 		}
-		if step == Stop || !d.spend() || !wait.For(ctx, pause) {
-			return d.giveUp(request, ran, refusal, plan.Attempts())
+		if decision == Stop || !d.spendRetry() || !wait.For(ctx, pause) {
+			return d.giveUp(request, lastRun, refusal, plan.Attempts())
 		}
 		if err := request.permitted(); err != nil {
-			return d.giveUp(request, ran, err, plan.Attempts())
+			return d.giveUp(request, lastRun, err, plan.Attempts())
 		}
 	}
 }
 
-// named returns an attempt's outcome whose answer, if there is one, tells the number of
-// attempts and the back end.
-func (t tried) named(attempts int) incoming {
-	if t.outcome.answer != nil {
-		t.outcome.answer.Attempts, t.outcome.answer.BackEnd = attempts, t.endpoint.ID
+// annotated returns the attempt's outcome after setting the number of attempts and the back end
+// in its answer, if there is one.
+func (f finishedAttempt) annotated(attempts int) exchangeOutcome {
+	if f.outcome.answer != nil {
+		f.outcome.answer.Attempts, f.outcome.answer.BackEnd = attempts, f.endpoint.ID
 	}
-	return t.outcome
+	return f.outcome
 }
 
-func (d *Dispatcher) served(request *Request, plan *Plan, answered tried, received time.Time) *Answer {
-	answer := answered.named(plan.Attempts() + 1).answer
+// finishAnswered returns the answer of an answered attempt and logs it.
+func (d *Dispatcher) finishAnswered(request *Request, plan *RetryPlan, answered finishedAttempt, received time.Time) *Answer {
+	answer := answered.annotated(plan.Attempts() + 1).answer
 	d.logger.Log(event.RequestServed, "request_id", request.ID, "pool", request.Pool, "back_end", answer.BackEnd,
 		"status", answer.Status, "attempts", answer.Attempts, "took_ms", time.Since(received).Milliseconds())
 	return answer
 }
 
-// giveUp returns what the caller gets after the last attempt: the failure that a
-// back end answered, the error of an attempt that may have run, or the refusal.
-func (d *Dispatcher) giveUp(request *Request, ran incoming, refusal error, attempts int) (*Answer, error) {
-	if ran.answer != nil {
-		return ran.answer, nil
+// giveUp returns the caller's result after the last attempt: the failure answered by a back
+// end, the error of an attempt that may have run, or the refusal.
+func (d *Dispatcher) giveUp(request *Request, lastRun exchangeOutcome, refusal error, attempts int) (*Answer, error) {
+	if lastRun.answer != nil {
+		return lastRun.answer, nil
 	}
-	err := ran.err
+	err := lastRun.err
 	if err == nil {
 		err = notRunError(refusal)
 	}
@@ -229,7 +242,7 @@
 	return nil, err
 }
 
-func (d *Dispatcher) logAttempt(request *Request, failed tried, attempt int) {
+func (d *Dispatcher) logAttempt(request *Request, failed finishedAttempt, attempt int) {
 	outcome, detail := failed.outcome, ""
 	if outcome.err != nil {
 		detail = outcome.err.Error()
@@ -238,67 +251,68 @@
 		detail = "status " + strconv.Itoa(outcome.answer.Status)
 	}
 	d.logger.Log(event.AttemptFailed, "request_id", request.ID, "digest", request.digest().String(),
-		"back_end", failed.endpoint.ID, "attempt", attempt, "ending", outcome.ending.String(), "ended", outcome.ended, "took_ms", failed.took.Milliseconds(), "deadline_ms", request.Remaining().Milliseconds(), "detail", detail)
+		"back_end", failed.endpoint.ID, "attempt", attempt, "ending", outcome.ending.String(), "ended", outcome.ended, "took_ms", failed.duration.Milliseconds(), "deadline_ms", request.Remaining().Milliseconds(), "detail", detail)
 }
 
-// evacuationHint is when to come back to a pool whose zones are all evacuated: an
-// evacuation lasts from seconds to hours, and a caller that comes back sooner costs more
-// than it gains (chosen).
-const evacuationHint = 5 * time.Second
+// evacuationRetryAfter is the retry-after hint for a pool whose zones are all evacuated.
+// Evacuations last from seconds to hours, and more frequent retries cost more than they gain.
+const evacuationRetryAfter = 5 * time.Second
 
-// noBackEnd says why no back end may serve a request, and when it is worth coming back.
-func (d *Dispatcher) noBackEnd(route *routing.Request) error {
+// noBackEndError returns an error that says why no back end may serve a request and when to retry.
+func (d *Dispatcher) noBackEndError(route *routing.Request) error {
 	if d.balancer.Evacuated(route.Pool) {
-		return result.New(result.ZoneEvacuated, "the zones of all back ends in pool %q are evacuated", route.Pool).WithRetryAfter(evacuationHint)
+		return result.New(result.ZoneEvacuated, "the zones of all back ends in pool %q are evacuated", route.Pool).WithRetryAfter(evacuationRetryAfter)
 	}
 	if at, cold := d.balancer.RoomAgain(route); cold {
-		return result.New(result.SamplersCold, "the back ends of pool %q that live are cold and have their share", route.Pool).
-			WithRetryAfter(max(at.Sub(route.Now), retryHint))
+		return result.New(result.SamplersCold, "all live back ends in pool %q are cold and have no request budget left", route.Pool).
+			WithRetryAfter(max(at.Sub(route.Now), minRetryAfter))
 	}
 	if route.Regions.Bound() {
-		return result.New(result.RegionUnavailable, "no live back end in pool %q in %v", route.Pool, route.Regions).WithRetryAfter(retryHint)
+		return result.New(result.RegionUnavailable, "no live back end in pool %q in %v", route.Pool, route.Regions).WithRetryAfter(minRetryAfter)
 	}
-	return result.New(result.NoBackEnd, "no live back end in pool %q", route.Pool).WithRetryAfter(retryHint)
+	return result.New(result.NoBackEnd, "no live back end in pool %q", route.Pool).WithRetryAfter(minRetryAfter)
 }
 
-func (d *Dispatcher) earn() {
+func (d *Dispatcher) earnRetry() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.budget.Earn()
 }
 
-func (d *Dispatcher) spend() bool {
+func (d *Dispatcher) spendRetry() bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.budget.Spend()
 }
 
-func (d *Dispatcher) attempt(ctx context.Context, request *Request, endpoint *routing.Endpoint, last bool) incoming {
+// attempt sends the request to a back end once and reports how that ended to the balancer and
+// the guard. For a streamed answer it does so when the body is closed.
+func (d *Dispatcher) attempt(ctx context.Context, request *Request, endpoint *routing.Endpoint, last bool) exchangeOutcome {
 	requestID := request.ID
 	if requestID == "" {
 		requestID = d.newID()
 	}
-	began := time.Now()
-	// Whether a back end ends under a suspect is waited for.
+	started := time.Now()
+	// An attempt of a suspected request has no timeout, so that a crash of its back end is seen.
 	attemptCtx, cancel := attemptContext(ctx, request, last || d.guard.Suspected(request.digest))
-	outcome := d.exchanger.exchange(attemptCtx, outgoing{
+	outcome := d.exchanger.exchange(attemptCtx, exchangeRequest{
 		method: request.Method,
 		url:    "http://" + network.OfStart(endpoint.Address, endpoint.Born) + request.Path,
 		host:   request.Host,
 		header: d.protocol.Header(request, endpoint, requestID),
-		body:   bodyOf(request),
-		judge: func(response *http.Response) Verdict {
+		body:   newExchangeBody(request),
+		readVerdict: func(response *http.Response) Verdict {
 			return d.protocol.Verdict(request, endpoint, requestID, response)
 		},
 	})
-	d.watch(ctx, request, endpoint, &outcome)
+	d.observeBackEnd(ctx, request, endpoint, &outcome)
 	if outcome.leaving {
 		d.balancer.MarkLeaving(endpoint)
 	}
 	if outcome.err != nil && result.Is(outcome.err, result.AnswerMismatch) {
 		d.logger.Log(event.AnswerMismatched, "back_end", endpoint.ID, "request_id", requestID)
 	}
-	report := Report{Ending: outcome.ending, Latency: time.Since(began), Neutral: ctx.Err() != nil || outcome.leaving}
+	report := Report{Ending: outcome.ending, Latency: time.Since(started), Neutral: ctx.Err() != nil || outcome.leaving}
 	if outcome.answer == nil || outcome.answer.Buffered != nil {
 		if outcome.answer != nil {
 			d.guard.Served(ctx, request.digest)
@@ -307,17 +321,17 @@
 		d.balancer.Report(endpoint, report)
 		return outcome
 	}
-	// A streamed answer occupies the back end until its body is closed.
-	body := &watchedBody{ReadCloser: outcome.answer.Body}
+	// A streamed answer counts as in progress at the back end until its body is closed.
+	body := &errorRecordingBody{ReadCloser: outcome.answer.Body}
 	outcome.answer.Body = OnClose(body, func() {
-		d.streamEnded(ctx, request, endpoint, body)
+		d.observeStreamEnd(ctx, request, endpoint, body)
 		cancel()
 		d.balancer.Report(endpoint, report)
 	})
 	return outcome
 }
 
-// attemptContext bounds an attempt after which another one may follow.
+// attemptContext returns a context with the attempt timeout if another attempt may follow.
 func attemptContext(ctx context.Context, request *Request, last bool) (context.Context, context.CancelFunc) {
 	if last || request.AttemptTimeout <= 0 || request.AtMostOnce {
 		return context.WithCancel(ctx)
@@ -325,9 +339,9 @@
 	return context.WithTimeout(ctx, request.AttemptTimeout)
 }
 
-// isHopHeader reports whether a header, in canonical form, belongs to one
-// connection and is not passed on.
-func isHopHeader(name string) bool {
+// isHopByHopHeader reports whether a header, in canonical form, applies to a single connection and
+// must not be forwarded.
+func isHopByHopHeader(name string) bool {
 	switch name {
 	case "Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 		"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect":
@@ -336,8 +350,9 @@
 	return false
 }
 
-// isOwnHeader reports whether a caller's header speaks to pathbend alone.
-func isOwnHeader(name string) bool {
+// isPathbendHeader reports whether a caller's header is addressed to pathbend and must not be
+// forwarded.
+func isPathbendHeader(name string) bool {
 	switch name {
 	case HeaderPriority, HeaderAtMostOnce, HeaderRequestID, HeaderTenant, HeaderDeadline:
 		return true
@@ -345,28 +360,29 @@
 	return false
 }
 
-// CopyHeader copies the headers that are passed on from one side to the other.
-func CopyHeader(to, from http.Header) {
-	for name, values := range from {
-		if !isHopHeader(name) {
-			to[name] = values
+// CopyHeader copies all headers except hop-by-hop headers. The values are shared.
+func CopyHeader(destination, source http.Header) {
+	for name, values := range source {
+		if !isHopByHopHeader(name) {
+			destination[name] = values
 		}
 	}
 }
 
-// OnClose returns a body that runs done once, after it was closed.
-func OnClose(body io.ReadCloser, done func()) io.ReadCloser {
-	return &trackedBody{ReadCloser: body, done: done}
+// OnClose returns a body that calls callback once, after the first Close.
+func OnClose(body io.ReadCloser, callback func()) io.ReadCloser {
+	return &closeNotifyingBody{ReadCloser: body, callback: callback}
 }
 
-type trackedBody struct {
+// closeNotifyingBody is a body with a callback for its first Close.
+type closeNotifyingBody struct {
 	io.ReadCloser
-	once sync.Once
-	done func()
+	once     sync.Once
+	callback func()
 }
 
-func (b *trackedBody) Close() error {
+func (b *closeNotifyingBody) Close() error {
 	err := b.ReadCloser.Close()
-	b.once.Do(b.done)
+	b.once.Do(b.callback)
 	return err
 }
--- a/internal/dispatch/exchange.go
+++ b/internal/dispatch/exchange.go
@@ -18,7 +18,7 @@
 	"github.com/pathbend/pathbend/internal/result"
 )
 
-// Headers of the protocol between pathbend and back ends (docs/BACKENDS.md).
+// Headers of pathbend's native protocol with back ends, see docs/BACKENDS.md.
 const (
 	HeaderRequestID      = "Pathbend-Request-Id"
 	HeaderTenant         = "Pathbend-Tenant"
@@ -26,92 +26,95 @@
 	HeaderRun            = "Pathbend-Run"
 	HeaderLeaving        = "Pathbend-Leaving"
 	HeaderIdempotencyKey = "Idempotency-Key"
-	// HeaderPriority and HeaderAtMostOnce are the caller's and not passed on.
+	// HeaderPriority and HeaderAtMostOnce are set by callers and not forwarded.
 	HeaderPriority   = "Pathbend-Priority"
 	HeaderAtMostOnce = "Pathbend-At-Most-Once"
 )
 
 const (
-	// bufferedAnswerBytes is the largest answer that is checked whole before
-	// its first byte is passed on.
-	bufferedAnswerBytes = 256 << 10
-	maxIdlePerBackEnd   = 256
-	maxHeaderBytes      = 64 << 10
+	// maxBufferedAnswerBytes is the size up to which an answer is read completely before its
+	// first byte is forwarded.
+	maxBufferedAnswerBytes = 256 << 10
+	maxIdleConnsPerBackEnd = 256
+	// maxResponseHeaderBytes limits the size of an answer's headers.
+	maxResponseHeaderBytes = 64 << 10
 )
 
-// Exchanger performs single HTTP exchanges with back ends.
+// Exchanger is an HTTP client for back ends that sends each request without retries. It is safe
+// for concurrent use.
 type Exchanger struct {
 	transport *http.Transport
-	over      network.Network
+	dialer    network.Network
 }
 
-// NewExchanger returns an exchanger over a network.
-func NewExchanger(over network.Network) *Exchanger {
-	transport := network.NewTransport(meteredNetwork{over}, maxIdlePerBackEnd)
-	transport.MaxResponseHeaderBytes = maxHeaderBytes
-	return &Exchanger{transport: transport, over: over}
+// NewExchanger returns an exchanger that connects through the given network.
+func NewExchanger(dialer network.Network) *Exchanger {
+	transport := network.NewTransport(countingNetwork{dialer}, maxIdleConnsPerBackEnd)
+	transport.MaxResponseHeaderBytes = maxResponseHeaderBytes
+	return &Exchanger{transport: transport, dialer: dialer}
 }
 
-// Close releases idle connections.
+// Close closes idle connections.
 func (e *Exchanger) Close() { e.transport.CloseIdleConnections() }
 
-// endedPatience bounds the question whether a back end has ended: longer than a handshake
-// between regions takes, and short beside the objective of a request.
-const endedPatience = 250 * time.Millisecond
+// crashProbeTimeout is the timeout of the probe whether a back end still listens. It is longer
+// than a TCP handshake between regions and short compared with the latency objective of a
+// request.
+const crashProbeTimeout = 250 * time.Millisecond
 
-// BackEndEnded reports whether nothing listens at a back end's address any more: the machine
-// is there and refuses the connection. A back end that only dropped an answer accepts it. One
-// that started again within the time of a round trip is not told from that, nor is a machine
-// that says nothing.
+// BackEndEnded probes whether a back end has stopped listening at its address: its machine
+// refuses the connection. A back end that only dropped an answer accepts it. False is also
+// returned for a back end that restarted within a round-trip time and for a machine that does
+// not respond.
 func (e *Exchanger) BackEndEnded(ctx context.Context, address string) bool {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), endedPatience)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), crashProbeTimeout)
 	defer cancel()
-	connection, err := e.over.Dial(ctx, address)
+	connection, err := e.dialer.Dial(ctx, address)
 	if err != nil {
 		return errors.Is(err, syscall.ECONNREFUSED)
 	}
-	// Nothing was sent on it.
+	// Nothing was written, so an error on close does not matter.
 	_ = connection.Close()
 	return false
 }
 
-// meteredNetwork makes connections that count what is written.
-type meteredNetwork struct{ network.Network }
+// countingNetwork is a network whose connections count the bytes written.
+type countingNetwork struct{ network.Network }
 
 // Dial implements network.Network.
-func (m meteredNetwork) Dial(ctx context.Context, address string) (net.Conn, error) {
-	connection, err := m.Network.Dial(ctx, address)
+func (n countingNetwork) Dial(ctx context.Context, address string) (net.Conn, error) {
+	connection, err := n.Network.Dial(ctx, address)
 	if err != nil {
 		return nil, err
 	}
-	return &meteredConn{Conn: connection}, nil
+	return &countingConn{Conn: connection}, nil
 }
 
-// meteredConn counts the bytes written, to tell whether any were sent.
-type meteredConn struct {
+// countingConn counts the bytes written, to determine whether any part of a request was sent.
+type countingConn struct {
 	net.Conn
-	written atomic.Int64
+	bytesWritten atomic.Int64
 }
 
-// Close implements net.Conn. The transport closes a connection of this kind
-// when it is idle for long or its exchange was given up; in either case
-// nothing may be sent on it any more.
-func (c *meteredConn) Close() error { return network.Abort(c.Conn) }
+// Close implements net.Conn. The transport closes a connection that was idle for long or whose
+// exchange was abandoned. Close aborts it, since in neither case may anything more be sent.
+func (c *countingConn) Close() error { return network.Abort(c.Conn) }
 
-func (c *meteredConn) Write(buffer []byte) (int, error) {
-	// Counted before the write: a failed write may have sent some of it.
-	c.written.Add(int64(len(buffer)))
+func (c *countingConn) Write(buffer []byte) (int, error) {
+	// The bytes are counted before the write, because a failed write may have sent some.
+	c.bytesWritten.Add(int64(len(buffer)))
 	return c.Conn.Write(buffer)
 }
 
-// opaqueBody hides a streamed or empty body from the transport, which therefore
-// cannot rewind it and never sends the request a second time by itself.
-type opaqueBody struct {
+// nonRewindableBody wraps a streamed or empty body so that the transport cannot rewind it and
+// hence never retries the request on its own.
+type nonRewindableBody struct {
 	reader io.Reader
-	read   atomic.Bool
+	// read is set once any byte was read.
+	read atomic.Bool
 }
 
-func (b *opaqueBody) Read(buffer []byte) (int, error) {
+func (b *nonRewindableBody) Read(buffer []byte) (int, error) {
 	n, err := b.reader.Read(buffer)
 	if n > 0 {
 		b.read.Store(true)
@@ -119,92 +122,99 @@
 	return n, err
 }
 
-func (b *opaqueBody) Close() error { return nil }
+func (b *nonRewindableBody) Close() error { return nil }
 
-// outgoing is one attempt's request.
-type outgoing struct {
+// exchangeRequest is the request of one attempt.
+type exchangeRequest struct {
 	method string
 	url    string
-	// host is the Host header; the address of the URL if empty.
+	// host is the value of the Host header; the address in the URL if empty.
 	host   string
 	header http.Header
-	body   outgoingBody
-	judge  func(*http.Response) Verdict
+	body   exchangeBody
+	// readVerdict interprets the status and headers of the response.
+	readVerdict func(*http.Response) Verdict
 }
 
-// outgoingBody is a body in one of the forms that the transport never rewinds.
-type outgoingBody struct {
-	// reader is what the transport reads.
+// exchangeBody is a request body in a form that the transport cannot rewind.
+type exchangeBody struct {
+	// reader is the body that is handed to the transport.
 	reader io.ReadCloser
-	// opaque is set if the body is a stream, to tell whether it was read.
-	opaque *opaqueBody
-	length int64 // -1 if unknown
+	// streamed is set if the body is streamed or empty; it records whether the body was read.
+	streamed *nonRewindableBody
+	// length is the body's length in bytes, -1 if unknown.
+	length int64
 }
 
-// bodyOf chooses the form of a request's body. The transport replays a request
-// by itself if it has no body or one that it can get anew. A buffered body is
-// handed over as a plain reader without a way to get it anew, which the
-// transport sends together with the header. A repeatable request is no exception:
-// one that crashes its back end would run once more at the back end that comes in
-// its place, which nobody would count.
-func bodyOf(request *Request) outgoingBody {
+// newExchangeBody returns a request's body in a form that the transport cannot rewind. The
+// transport retries a request on its own if it has no body or if GetBody returns a new one. A
+// buffered body is passed as a plain reader without GetBody, which the transport sends together
+// with the headers. That holds for repeatable requests too: a retry by the transport would run
+// a request that crashed its back end again at the replacement back end, without being counted.
+func newExchangeBody(request *Request) exchangeBody {
 	switch {
 	case len(request.Buffered) > 0:
-		return outgoingBody{reader: io.NopCloser(bytes.NewReader(request.Buffered)), length: int64(len(request.Buffered))}
+		return exchangeBody{reader: io.NopCloser(bytes.NewReader(request.Buffered)), length: int64(len(request.Buffered))}
 	case request.Body == nil:
-		opaque := &opaqueBody{reader: http.NoBody}
-		return outgoingBody{reader: opaque, opaque: opaque}
+		streamed := &nonRewindableBody{reader: http.NoBody}
+		return exchangeBody{reader: streamed, streamed: streamed}
 	default:
-		opaque := &opaqueBody{reader: request.Body}
-		return outgoingBody{reader: opaque, opaque: opaque, length: request.Length}
+		streamed := &nonRewindableBody{reader: request.Body}
+		return exchangeBody{reader: streamed, streamed: streamed, length: request.Length}
 	}
 }
 
-func (b *outgoingBody) wasRead() bool { return b.opaque != nil && b.opaque.read.Load() }
+// wasRead reports whether part of a streamed body was read.
+func (b *exchangeBody) wasRead() bool { return b.streamed != nil && b.streamed.read.Load() }
 
-// incoming is the outcome of one exchange.
-type incoming struct {
-	ending   Ending
-	err      error
+// exchangeOutcome is the outcome of one exchange.
+type exchangeOutcome struct {
+	ending Ending
+	// err is the caller's error; it is nil if answer is set.
+	err error
+	// bodyRead is set if part of a streamed request body was read.
 	bodyRead bool
-	leaving  bool
-	// ended is set if the back end was found to have ended under the request.
-	ended  bool
+	// leaving is set if the back end announced that it accepts no new work.
+	leaving bool
+	// ended is set if the back end was found to have crashed during the request.
+	ended bool
+	// answer is set if ending is Answered or FailedByBackEnd.
 	answer *Answer
-	// sentAt is when the request had been handed to the connection, or when the
-	// exchange began if that is not known.
+	// sentAt is when the request was completely written, or when the exchange started if that
+	// is unknown.
 	sentAt time.Time
 }
 
-// Answer is a back end's answer. Body must be closed; a read error other than
-// io.EOF means that the answer is truncated.
+// Answer is a back end's answer. The caller must close Body; a read error other than io.EOF
+// means that the answer is truncated.
 type Answer struct {
 	Status int
 	Header http.Header
 	// Length is the body's length in bytes, -1 if it is not known in advance.
 	Length int64
 	Body   io.ReadCloser
-	// Buffered holds the whole body if it is small, else nil.
+	// Buffered holds the whole body if it was read in advance, otherwise nil.
 	Buffered []byte
-	// Attempts counts the back ends tried, BackEnd names the one that answered.
+	// Attempts is the number of attempts, including the answered one.
 	Attempts int
-	BackEnd  string
-	// Replayed is set if the answer is that of an earlier execution.
+	// BackEnd is the id of the back end that answered.
+	BackEnd string
+	// Replayed is set if the answer is the stored one of an earlier execution.
 	Replayed bool
 }
 
 // exchange sends the request once and classifies how it ended.
-func (e *Exchanger) exchange(ctx context.Context, out outgoing) incoming {
-	var connection *meteredConn
-	var writtenBefore int64
+func (e *Exchanger) exchange(ctx context.Context, outgoing exchangeRequest) exchangeOutcome {
+	var connection *countingConn
+	var bytesWrittenBefore int64
 	var sentAt atomic.Pointer[time.Time]
-	began := time.Now()
-	sentAt.Store(&began)
+	started := time.Now()
+	sentAt.Store(&started)
 	trace := &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
-			connection, _ = info.Conn.(*meteredConn)
+			connection, _ = info.Conn.(*countingConn)
 			if connection != nil {
-				writtenBefore = connection.written.Load()
+				bytesWrittenBefore = connection.bytesWritten.Load()
 			}
 		},
 		WroteRequest: func(httptrace.WroteRequestInfo) {
@@ -212,34 +222,36 @@
 			sentAt.Store(&now)
 		},
 	}
-	request, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), out.method, out.url, nil)
+	request, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), outgoing.method, outgoing.url, nil)
 	if err != nil {
-		return incoming{ending: NotSent, err: result.Wrap(result.MalformedRequest, err, "build request")}
+		return exchangeOutcome{ending: NotSent, err: result.Wrap(result.MalformedRequest, err, "build request")}
 	}
-	request.Host = out.host
-	request.Header = out.header
-	request.Body = out.body.reader
-	request.ContentLength = out.body.length
-	// The transport follows no redirects: the answer goes to the caller as it is.
+	request.Host = outgoing.host
+	request.Header = outgoing.header
+	request.Body = outgoing.body.reader
+	request.ContentLength = outgoing.body.length
+	// Unlike http.Client the transport follows no redirects; they are answers for the caller.
 	response, err := e.transport.RoundTrip(request)
 	if err != nil {
-		sent := connection != nil && connection.written.Load() > writtenBefore
-		failed := classifyFailure(ctx, err, sent, out.body.wasRead())
+		sent := connection != nil && connection.bytesWritten.Load() > bytesWrittenBefore
+		failed := classifyFailure(ctx, err, sent, outgoing.body.wasRead())
 		failed.sentAt = *sentAt.Load()
 		return failed
 	}
-	outcome := classifyResponse(ctx, response, out.judge(response), out.body.wasRead())
+	outcome := classifyResponse(ctx, response, outgoing.readVerdict(response), outgoing.body.wasRead())
 	outcome.sentAt = *sentAt.Load()
 	return outcome
 }
 
-// wasCut reports whether the connection ended before a whole answer had come.
-func (i *incoming) wasCut() bool {
-	return i.ending == Lost && (result.Is(i.err, result.AnswerLost) || result.Is(i.err, result.AnswerTruncated))
+// answerInterrupted reports whether the connection ended before the answer was complete.
+func (o *exchangeOutcome) answerInterrupted() bool {
+	return o.ending == Lost && (result.Is(o.err, result.AnswerLost) || result.Is(o.err, result.AnswerTruncated))
 }
 
-func classifyFailure(ctx context.Context, err error, sent, bodyRead bool) incoming {
-	failed := incoming{ending: Lost, bodyRead: bodyRead}
+// classifyFailure returns the outcome of an exchange without a complete answer. sent is set if
+// any byte of the request was written.
+func classifyFailure(ctx context.Context, err error, sent, bodyRead bool) exchangeOutcome {
+	failed := exchangeOutcome{ending: Lost, bodyRead: bodyRead}
 	switch {
 	case !sent:
 		failed.ending = NotSent
@@ -247,18 +259,20 @@
 	case errors.Is(context.Cause(ctx), context.DeadlineExceeded):
 		failed.err = result.New(result.DeadlineExceeded, "no answer before the deadline")
 	case ctx.Err() != nil:
-		failed.err = result.New(result.CallerGone, "the caller went away after the request was sent")
+		failed.err = result.New(result.CallerGone, "the caller disconnected after the request was sent")
 	default:
 		failed.err = result.Wrap(result.AnswerLost, err, "await answer")
 	}
 	return failed
 }
 
-func classifyResponse(ctx context.Context, response *http.Response, verdict Verdict, bodyRead bool) incoming {
-	outcome := incoming{bodyRead: bodyRead, leaving: verdict.Leaving, ending: verdict.Ending, err: verdict.Err}
+// classifyResponse returns the outcome of an exchange whose response head arrived, and reads
+// the body of a small answer.
+func classifyResponse(ctx context.Context, response *http.Response, verdict Verdict, bodyRead bool) exchangeOutcome {
+	outcome := exchangeOutcome{bodyRead: bodyRead, leaving: verdict.Leaving, ending: verdict.Ending, err: verdict.Err}
 	if verdict.Ending != Answered && verdict.Ending != FailedByBackEnd {
-		// Closing an unread body closes the connection, which then cannot
-		// deliver a crossed answer to another request.
+		// Closing an unread body closes the connection, so that a late or mismatched answer
+		// cannot reach another request.
 		response.Body.Close()
 		return outcome
 	}
@@ -276,8 +290,9 @@
 	return outcome
 }
 
-// retryAfterOf parses a Retry-After header in seconds.
-func retryAfterOf(header http.Header) time.Duration {
+// parseRetryAfter returns the delay of a Retry-After header in seconds, 0 if there is none or it
+// is invalid.
+func parseRetryAfter(header http.Header) time.Duration {
 	seconds, err := strconv.Atoi(header.Get("Retry-After"))
 	if err != nil || seconds < 0 {
 		return 0
@@ -285,11 +300,12 @@
 	return time.Duration(seconds) * time.Second
 }
 
-// readAnswer reads a small body whole. A larger one is left to be streamed.
+// readAnswer reads the body completely if it is small. Larger bodies and event streams are left
+// to be streamed.
 func readAnswer(response *http.Response) (*Answer, error) {
 	answer := &Answer{Status: response.StatusCode, Header: response.Header, Length: response.ContentLength}
-	streams := response.ContentLength < 0 && isEventStream(response.Header)
-	if streams || response.ContentLength > bufferedAnswerBytes {
+	streamed := response.ContentLength < 0 && isEventStream(response.Header)
+	if streamed || response.ContentLength > maxBufferedAnswerBytes {
 		answer.Body = response.Body
 		return answer, nil
 	}
@@ -297,12 +313,12 @@
 	if response.ContentLength > 0 {
 		buffer.Grow(int(response.ContentLength) + bytes.MinRead)
 	}
-	read, err := io.Copy(&buffer, io.LimitReader(response.Body, bufferedAnswerBytes+1))
+	read, err := io.Copy(&buffer, io.LimitReader(response.Body, maxBufferedAnswerBytes+1))
 	if err != nil {
 		return nil, err
 	}
-	if read > bufferedAnswerBytes {
-		answer.Body = &prefixedBody{Reader: io.MultiReader(&buffer, response.Body), closer: response.Body}
+	if read > maxBufferedAnswerBytes {
+		answer.Body = &partiallyReadBody{Reader: io.MultiReader(&buffer, response.Body), closer: response.Body}
 		return answer, nil
 	}
 	response.Body.Close()
@@ -316,9 +332,10 @@
 	return header.Get("Content-Type") == "text/event-stream"
 }
 
-type prefixedBody struct {
+// partiallyReadBody is a body of which the beginning was read in advance.
+type partiallyReadBody struct {
 	io.Reader
 	closer io.Closer
 }
 
-func (b *prefixedBody) Close() error { return b.closer.Close() }
+func (b *partiallyReadBody) Close() error { return b.closer.Close() }
--- a/internal/dispatch/hedge.go
+++ b/internal/dispatch/hedge.go
@@ -8,105 +8,106 @@
 	"github.com/pathbend/pathbend/internal/routing"
 )
 
-// tried is an attempt that has ended.
-type tried struct {
+// finishedAttempt is an attempt that has ended, with its outcome.
+type finishedAttempt struct {
 	endpoint *routing.Endpoint
-	outcome  incoming
-	took     time.Duration
+	outcome  exchangeOutcome
+	duration time.Duration
 }
 
-func (t tried) answered() bool { return t.outcome.ending == Answered }
+func (f finishedAttempt) answered() bool { return f.outcome.ending == Answered }
 
-// hedges reports whether a second attempt may go out beside the next one: the request
-// may run twice, and its route allows as many back ends.
-func (r *Request) hedges(plan *Plan) bool {
+// canHedge reports whether the next attempt may be hedged with a second one: the request may
+// run twice, its body is replayable, and its attempt limit allows two more back ends.
+func (r *Request) canHedge(plan *RetryPlan) bool {
 	return r.HedgeAfter > 0 && !r.AtMostOnce && plan.Replayable && plan.Attempts()+2 <= r.MaxAttempts
 }
 
-// tryHedged makes an attempt, and a second one at another back end if the first has no answer
-// in time. It returns the answer that came first, or all attempts if none was answered.
-// The other attempt of an answered request runs to its end: cutting it would waste what
-// its back end has done, and its end tells how the back end fares.
-func (d *Dispatcher) tryHedged(ctx context.Context, request *Request, route *routing.Request, endpoint *routing.Endpoint, plan *Plan) []tried {
+// attemptHedged makes an attempt, and a concurrent one at another back end if the first has no
+// answer within HedgeAfter. It returns the attempt that was answered first, or all attempts
+// if none was answered. The other attempt of an answered request runs to completion:
+// cancelling it would waste the back end's work and lose its health signal.
+func (d *Dispatcher) attemptHedged(ctx context.Context, request *Request, route *routing.Request, endpoint *routing.Endpoint, plan *RetryPlan) []finishedAttempt {
 	last := plan.Attempts()+1 >= request.MaxAttempts
-	if !request.hedges(plan) || d.guard.Suspected(request.digest) {
-		return []tried{d.try(ctx, request, endpoint, last)}
+	if !request.canHedge(plan) || d.guard.Suspected(request.digest) {
+		return []finishedAttempt{d.timedAttempt(ctx, request, endpoint, last)}
 	}
-	const most = 2
-	ends := make(chan tried, most)
-	releaseFirst := d.begin(ctx, request, endpoint, ends)
+	const maxConcurrent = 2
+	finished := make(chan finishedAttempt, maxConcurrent)
+	releaseFirst := d.startAttempt(ctx, request, endpoint, finished)
 	timer := time.NewTimer(request.HedgeAfter)
 	defer timer.Stop()
 	select {
-	case end := <-ends:
-		return []tried{end}
+	case attempt := <-finished:
+		return []finishedAttempt{attempt}
 	case <-timer.C:
 	}
-	other := d.hedgeAt(request, route, endpoint)
-	if other == nil {
-		return []tried{<-ends}
+	hedge := d.pickHedge(request, route, endpoint)
+	if hedge == nil {
+		return []finishedAttempt{<-finished}
 	}
-	d.logger.Log(event.AttemptHedged, "request_id", request.ID, "slow", endpoint.ID, "back_end", other.ID,
+	d.logger.Log(event.AttemptHedged, "request_id", request.ID, "slow", endpoint.ID, "back_end", hedge.ID,
 		"after_ms", request.HedgeAfter.Milliseconds())
-	releaseSecond := d.begin(ctx, request, other, ends)
-	end := <-ends
-	if !end.answered() {
-		return []tried{end, <-ends}
+	releaseSecond := d.startAttempt(ctx, request, hedge, finished)
+	attempt := <-finished
+	if !attempt.answered() {
+		return []finishedAttempt{attempt, <-finished}
 	}
 	releaseFirst()
 	releaseSecond()
-	go discard(ends)
-	return []tried{end}
+	go discard(finished)
+	return []finishedAttempt{attempt}
 }
 
-// discard drops the answer of an attempt that came second.
-func discard(ends <-chan tried) {
-	if late := <-ends; late.outcome.answer != nil {
+// discard waits for the slower attempt and closes its answer.
+func discard(finished <-chan finishedAttempt) {
+	if late := <-finished; late.outcome.answer != nil {
 		late.outcome.answer.Body.Close()
 	}
 }
 
-// hedgeAt returns a back end for a second attempt, nil if there is none, the retries of
-// this node are spent, the caller's permission has ended, or a back end ended under the
-// request.
-func (d *Dispatcher) hedgeAt(request *Request, route *routing.Request, first *routing.Endpoint) *routing.Endpoint {
-	beside := *route
-	beside.Now = time.Now()
-	beside.Excluded = append(append([]string(nil), route.Excluded...), first.ID)
-	other := d.balancer.Pick(&beside)
-	if other == nil {
+// pickHedge returns a back end for a hedged attempt. It returns nil if there is none, the node's
+// retry budget is exhausted, the caller is no longer permitted, or the request is suspected
+// of crashing a back end.
+func (d *Dispatcher) pickHedge(request *Request, route *routing.Request, first *routing.Endpoint) *routing.Endpoint {
+	hedgeRoute := *route
+	hedgeRoute.Now = time.Now()
+	hedgeRoute.Excluded = append(append([]string(nil), route.Excluded...), first.ID)
+	endpoint := d.balancer.Pick(&hedgeRoute)
+	if endpoint == nil {
 		return nil
 	}
-	if request.permitted() != nil || d.guard.Suspected(request.digest) || !d.spend() {
-		d.balancer.Report(other, Report{Ending: NotSent, Neutral: true})
+	if request.permitted() != nil || d.guard.Suspected(request.digest) || !d.spendRetry() {
+		d.balancer.Report(endpoint, Report{Ending: NotSent, Neutral: true})
 		return nil
 	}
-	return other
+	return endpoint
 }
 
-// begin makes an attempt in a goroutine. It ends with the request unless it is released
-// to run to its end, and at the request's deadline in any case.
-func (d *Dispatcher) begin(ctx context.Context, request *Request, endpoint *routing.Endpoint, ends chan<- tried) (release func() bool) {
-	bounded, stop := context.WithCancelCause(context.WithoutCancel(ctx))
-	own, cancel := context.WithDeadline(bounded, request.Deadline)
-	// The cause tells a request whose time is over from one whose caller left.
+// startAttempt runs an attempt in a goroutine and sends it to finished once it has ended. The
+// attempt is cancelled with ctx unless release is called first, and at the request's deadline
+// in any case.
+func (d *Dispatcher) startAttempt(ctx context.Context, request *Request, endpoint *routing.Endpoint, finished chan<- finishedAttempt) (release func() bool) {
+	cancellable, stop := context.WithCancelCause(context.WithoutCancel(ctx))
+	attemptCtx, cancel := context.WithDeadline(cancellable, request.Deadline)
+	// The cause distinguishes an expired deadline from a caller that disconnected.
 	release = context.AfterFunc(ctx, func() { stop(ctx.Err()) })
 	go func() {
-		end := d.try(own, request, endpoint, false)
-		if answer := end.outcome.answer; answer != nil && answer.Buffered == nil {
+		attempt := d.timedAttempt(attemptCtx, request, endpoint, false)
+		if answer := attempt.outcome.answer; answer != nil && answer.Buffered == nil {
 			answer.Body = OnClose(answer.Body, cancel)
 		} else {
 			cancel()
 		}
-		ends <- end
+		finished <- attempt
 	}()
 	return release
 }
 
-// try makes one attempt.
-func (d *Dispatcher) try(ctx context.Context, request *Request, endpoint *routing.Endpoint, last bool) tried {
-	began := time.Now()
+// timedAttempt makes one attempt and records its duration. last is set if no attempt may follow.
+func (d *Dispatcher) timedAttempt(ctx context.Context, request *Request, endpoint *routing.Endpoint, last bool) finishedAttempt {
+	started := time.Now()
 	outcome := d.attempt(ctx, request, endpoint, last)
-	request.noteBegan(&outcome)
-	return tried{endpoint: endpoint, outcome: outcome, took: time.Since(began)}
+	request.notifyBegan(&outcome)
+	return finishedAttempt{endpoint: endpoint, outcome: outcome, duration: time.Since(started)}
 }
--- a/internal/dispatch/plan.go
+++ b/internal/dispatch/plan.go
@@ -9,18 +9,18 @@
 // Ending is how an attempt ended.
 type Ending int
 
-// Endings of an attempt.
+// Ways in which an attempt ends.
 const (
-	// Answered means that a complete answer arrived, or began to be passed on.
+	// Answered means that a complete answer arrived, or that the head of a streamed one did.
 	Answered Ending = iota + 1
-	// NotSent means that no byte of the request left this node.
+	// NotSent means that no byte of the request was sent.
 	NotSent
-	// RefusedByBackEnd means that the back end said that it did not run it.
+	// RefusedByBackEnd means that the back end reported that it did not run the request.
 	RefusedByBackEnd
-	// Lost means that the request was sent and no usable answer came.
+	// Lost means that the request was sent and no usable answer arrived, so that it is unknown
+	// whether the back end ran it.
 	Lost
-	// FailedByBackEnd means that the back end ran the request and answered with
-	// a failure of its own.
+	// FailedByBackEnd means that the back end ran the request and answered with a failure.
 	FailedByBackEnd
 )
 
@@ -31,36 +31,40 @@
 // String implements fmt.Stringer.
 func (e Ending) String() string { return endingNames[e] }
 
-// Plan decides about the attempts of one request. It is a pure state machine.
-type Plan struct {
-	// AtMostOnce forbids a further attempt after Lost.
+// RetryPlan decides whether a request may be attempted again. It performs no I/O and reads no
+// clock.
+type RetryPlan struct {
+	// AtMostOnce forbids another attempt after Lost or FailedByBackEnd.
 	AtMostOnce bool
 	// Replayable is set if the body can be sent again.
-	Replayable  bool
+	Replayable bool
+	// MaxAttempts limits the attempts, including the first.
 	MaxAttempts int
-	Deadline    time.Time
+	// Deadline is the time before which the next attempt must begin.
+	Deadline time.Time
 
+	// attempts is the number of attempts that have ended.
 	attempts int
 }
 
-// Step is what to do after an attempt.
-type Step int
+// Decision is what to do after an attempt.
+type Decision int
 
-// Steps.
+// Decisions after an attempt.
 const (
-	// Stop gives the caller the result of the attempt.
-	Stop Step = iota + 1
-	// TryAnother sends the request to another back end.
-	TryAnother
+	// Stop ends the request with the result of its attempts.
+	Stop Decision = iota + 1
+	// RetryElsewhere sends the request to another back end after a pause.
+	RetryElsewhere
 )
 
-// backoffBase is the pause before the second attempt; it doubles afterwards.
-const backoffBase = 5 * time.Millisecond
+// initialBackoff is the pause before the second attempt. It doubles with each further attempt.
+const initialBackoff = 5 * time.Millisecond
 
-// Next decides after an attempt that ended at a time. pause is how long to wait
-// before the next attempt. bodyRead tells that the attempt consumed part of a
-// body that cannot be replayed.
-func (p *Plan) Next(now time.Time, ending Ending, bodyRead bool) (step Step, pause time.Duration) {
+// Next records an attempt that ended now and decides whether another one follows, after a
+// pause. bodyRead is set if the attempt consumed part of a streamed body, which can be sent
+// again only if the body is replayable.
+func (p *RetryPlan) Next(now time.Time, ending Ending, bodyRead bool) (decision Decision, pause time.Duration) {
 	p.attempts++
 	if ending == Answered || p.attempts >= p.MaxAttempts {
 		return Stop, 0
@@ -71,38 +75,38 @@
 	if bodyRead && !p.Replayable {
 		return Stop, 0
 	}
-	pause = backoffBase << (p.attempts - 1)
+	pause = initialBackoff << (p.attempts - 1)
 	if !now.Add(pause).Before(p.Deadline) {
 		return Stop, 0
 	}
-	return TryAnother, pause
+	return RetryElsewhere, pause
 }
 
-// Attempts counts the attempts so far.
-func (p *Plan) Attempts() int { return p.attempts }
+// Attempts returns the number of attempts that have ended.
+func (p *RetryPlan) Attempts() int { return p.attempts }
 
-// Budget bounds retries over all requests of a node: each request earns a
-// fraction of a retry, so that an outage of the back ends cannot multiply the
-// load on them. It is not safe for concurrent use.
-type Budget struct {
+// RetryBudget limits the retries of all requests of a node with a token bucket: each request adds
+// a fraction of a retry, so that an outage of the back ends cannot multiply the load on
+// them. It is not safe for concurrent use.
+type RetryBudget struct {
 	tokens float64
 }
 
 const (
-	// budgetRatio is the retries earned by one request.
-	budgetRatio = 0.2
-	// budgetMax bounds the retries saved up.
-	budgetMax = 100
+	// retriesPerRequest is the number of retries that each request adds.
+	retriesPerRequest = 0.2
+	// maxAccumulatedRetries limits the retries that accumulate.
+	maxAccumulatedRetries = 100
 )
 
-// NewBudget returns a full budget.
-func NewBudget() *Budget { return &Budget{tokens: budgetMax} }
+// NewRetryBudget returns a full budget.
+func NewRetryBudget() *RetryBudget { return &RetryBudget{tokens: maxAccumulatedRetries} }
 
-// Earn records a request.
-func (b *Budget) Earn() { b.tokens = min(budgetMax, b.tokens+budgetRatio) }
+// Earn adds the fraction of a retry that a request contributes.
+func (b *RetryBudget) Earn() { b.tokens = min(maxAccumulatedRetries, b.tokens+retriesPerRequest) }
 
-// Spend takes one retry if there is one.
-func (b *Budget) Spend() bool {
+// Spend takes one retry from the budget and reports whether there was one.
+func (b *RetryBudget) Spend() bool {
 	if b.tokens < 1 {
 		return false
 	}
@@ -110,15 +114,15 @@
 	return true
 }
 
-// retryHint is the hint given with refusals that depend on back ends.
-const retryHint = 250 * time.Millisecond
+// minRetryAfter is the minimum retry-after hint of refusals that depend on the state of back ends.
+const minRetryAfter = 250 * time.Millisecond
 
-// notRunError is the caller's error when no attempt ran. A caller whose key was taken
-// away is not asked to come back.
+// notRunError returns the caller's error for a request of which no attempt ran. It carries a
+// retry-after hint unless the caller's key was revoked.
 func notRunError(last error) error {
 	typed := result.From(last)
 	if typed.Code == result.Unauthenticated {
 		return typed
 	}
-	return typed.WithRetryAfter(max(typed.RetryAfter, retryHint))
+	return typed.WithRetryAfter(max(typed.RetryAfter, minRetryAfter))
 }
--- a/internal/dispatch/protocol.go
+++ b/internal/dispatch/protocol.go
@@ -8,35 +8,35 @@
 	"github.com/pathbend/pathbend/internal/routing"
 )
 
-// Protocol is what is spoken with back ends: it writes an attempt's headers and
-// reads from an answer's head what the back end says of the request. It decides
-// nothing about further attempts.
+// Protocol is the application protocol between pathbend and back ends. It writes the headers
+// of an attempt and interprets the status and headers of its answer. It does not decide about
+// further attempts.
 type Protocol interface {
 	// Header returns the headers of one attempt.
 	Header(request *Request, endpoint *routing.Endpoint, requestID string) http.Header
-	// Verdict reads the head of an answer to the attempt.
+	// Verdict interprets the status and headers of the answer to an attempt.
 	Verdict(request *Request, endpoint *routing.Endpoint, requestID string, response *http.Response) Verdict
 }
 
-// Verdict is what the head of an answer says.
+// Verdict is the interpretation of an answer's status and headers.
 type Verdict struct {
 	// Ending is Answered, FailedByBackEnd, RefusedByBackEnd or Lost.
 	Ending Ending
-	// Leaving is set if the back end takes no new work.
+	// Leaving is set if the back end announced that it accepts no new work.
 	Leaving bool
-	// Err is the caller's error unless Ending is Answered or FailedByBackEnd.
+	// Err is the caller's error. It is nil if Ending is Answered or FailedByBackEnd.
 	Err error
 }
 
-// OwnProtocol is the product's own protocol, docs/BACKENDS.md.
+// OwnProtocol is pathbend's native protocol, see docs/BACKENDS.md.
 type OwnProtocol struct{}
 
 // Header implements Protocol.
 func (OwnProtocol) Header(request *Request, _ *routing.Endpoint, requestID string) http.Header {
-	const added = 4
-	header := make(http.Header, len(request.Header)+added)
+	const addedHeaders = 4
+	header := make(http.Header, len(request.Header)+addedHeaders)
 	for name, values := range request.Header {
-		if !isHopHeader(name) && !isOwnHeader(name) {
+		if !isHopByHopHeader(name) && !isPathbendHeader(name) {
 			header[name] = values
 		}
 	}
@@ -61,7 +61,7 @@
 	case response.Header.Get(HeaderRun) == string(result.NotRun):
 		verdict.Ending = RefusedByBackEnd
 		verdict.Err = result.New(result.BackEndRefused, "back end answered %d and did not run the request", response.StatusCode).
-			WithRetryAfter(retryAfterOf(response.Header))
+			WithRetryAfter(parseRetryAfter(response.Header))
 	}
 	return verdict
 }
--- a/internal/dispatch/watch.go
+++ b/internal/dispatch/watch.go
@@ -13,90 +13,94 @@
 	"github.com/pathbend/pathbend/internal/routing"
 )
 
-// callerHeaders are those by which a back end may tell callers apart.
-var callerHeaders = []string{"Authorization", "Cookie"}
+// callerIdentityHeaders are the headers by which a back end may distinguish callers.
+var callerIdentityHeaders = []string{"Authorization", "Cookie"}
 
-// digest returns the digest of what all tries of the request have in common.
+// digest returns a digest of the content that all tries of a request share, also when its
+// caller repeats it under another id.
 func (r *Request) digest() quarantine.Digest {
 	r.digestOnce.Do(func() {
 		caller := []string{r.Tenant}
-		for _, name := range callerHeaders {
+		for _, name := range callerIdentityHeaders {
 			caller = append(caller, r.Header[name]...)
 		}
-		r.digested = quarantine.Content{
+		r.cachedDigest = quarantine.Content{
 			Caller: caller, Method: r.Method, Host: r.Host, Path: r.Path, Body: r.Buffered, Length: r.Length,
 		}.Digest()
 	})
-	return r.digested
+	return r.cachedDigest
 }
 
-// enter lets an attempt begin, or returns why none may.
-func (d *Dispatcher) enter(ctx context.Context, request *Request) (leave func(), err error) {
+// admit admits an attempt, or returns why it must not start. The caller must call release when
+// the attempt has ended.
+func (d *Dispatcher) admit(ctx context.Context, request *Request) (release func(), err error) {
 	if request.Remaining() == 0 {
-		return nil, result.New(result.DeadlineInQueue, "the caller no longer waits: the machine was held up or suspended").WithRetryAfter(retryHint)
+		return nil, result.New(result.DeadlineInQueue, "the deadline expired before the attempt: the machine was paused or suspended").WithRetryAfter(minRetryAfter)
 	}
 	return d.guard.Enter(ctx, request.digest)
 }
 
-// watch finds out whether a back end ended under an attempt, or before it under others.
-func (d *Dispatcher) watch(ctx context.Context, request *Request, endpoint *routing.Endpoint, outcome *incoming) {
+// observeBackEnd determines whether a back end crashed during an attempt, or earlier during
+// abandoned attempts.
+func (d *Dispatcher) observeBackEnd(ctx context.Context, request *Request, endpoint *routing.Endpoint, outcome *exchangeOutcome) {
 	switch {
 	case outcome.ending == Answered || outcome.ending == FailedByBackEnd:
-		d.departures.answered(endpoint.ID, time.Now())
-	case outcome.wasCut():
-		outcome.ended = d.endedUnder(ctx, request, endpoint)
+		d.abandoned.backEndAnswered(endpoint.ID, time.Now())
+	case outcome.answerInterrupted():
+		outcome.ended = d.detectCrash(ctx, request, endpoint)
 	case outcome.ending == Lost:
-		d.departures.note(endpoint.ID, request.digest(), time.Now())
+		d.abandoned.add(endpoint.ID, request.digest(), time.Now())
 	case outcome.ending == NotSent && errors.Is(outcome.err, syscall.ECONNREFUSED), outcome.ending == RefusedByBackEnd && outcome.leaving:
-		// Nothing listens there any more, or another back end does.
-		d.endedBefore(ctx, endpoint)
+		// The address is closed, or another back end listens there.
+		d.reportAbandoned(ctx, endpoint)
 	}
 }
 
-// endedUnder finds out whether a back end that cut a connection has ended, and tells of it.
-func (d *Dispatcher) endedUnder(ctx context.Context, request *Request, endpoint *routing.Endpoint) bool {
+// detectCrash determines whether a back end that dropped a connection has crashed, and if so
+// reports that to the guard. Otherwise the attempt counts as abandoned.
+func (d *Dispatcher) detectCrash(ctx context.Context, request *Request, endpoint *routing.Endpoint) bool {
 	if ctx.Err() != nil || !d.exchanger.BackEndEnded(ctx, endpoint.Address) {
-		d.departures.note(endpoint.ID, request.digest(), time.Now())
+		d.abandoned.add(endpoint.ID, request.digest(), time.Now())
 		return false
 	}
 	d.guard.Ended(ctx, request.digest(), endpoint.ID)
-	d.endedBefore(ctx, endpoint)
+	d.reportAbandoned(ctx, endpoint)
 	return true
 }
 
-// endedBefore tells of a back end that was found to have ended, after requests at it had been
-// given up.
-func (d *Dispatcher) endedBefore(ctx context.Context, endpoint *routing.Endpoint) {
-	for _, digest := range d.departures.ended(endpoint.ID, time.Now()) {
-		// They are other requests, which this one does not wait for.
+// reportAbandoned reports to the guard the abandoned attempts that may have crashed a back end.
+func (d *Dispatcher) reportAbandoned(ctx context.Context, endpoint *routing.Endpoint) {
+	for _, digest := range d.abandoned.takeSuspects(endpoint.ID, time.Now()) {
+		// These are other requests; the current one does not wait for the reports.
 		go d.guard.Ended(context.WithoutCancel(ctx), digest, endpoint.ID)
 	}
 }
 
-// streamEnded tells what the end of a streamed answer says of its request.
-func (d *Dispatcher) streamEnded(ctx context.Context, request *Request, endpoint *routing.Endpoint, body *watchedBody) {
+// observeStreamEnd handles the end of a streamed answer, which may be complete, cut off by the
+// back end, or closed early by the caller.
+func (d *Dispatcher) observeStreamEnd(ctx context.Context, request *Request, endpoint *routing.Endpoint, body *errorRecordingBody) {
 	switch {
-	case errors.Is(body.ended, io.EOF):
+	case errors.Is(body.readErr, io.EOF):
 		d.guard.Served(ctx, request.digest)
-	case body.ended != nil:
-		d.endedUnder(ctx, request, endpoint)
+	case body.readErr != nil:
+		d.detectCrash(ctx, request, endpoint)
 	default:
-		d.departures.note(endpoint.ID, request.digest(), time.Now())
+		d.abandoned.add(endpoint.ID, request.digest(), time.Now())
 	}
 }
 
-// watchedBody keeps how the reading of a body ended.
-type watchedBody struct {
+// errorRecordingBody records the error with which reading a body ended.
+type errorRecordingBody struct {
 	io.ReadCloser
-	// ended is the first error of a read, nil while there was none.
-	ended error
+	// readErr is the first read error, io.EOF after a complete body, nil before that.
+	readErr error
 }
 
 // Read implements io.Reader.
-func (b *watchedBody) Read(buffer []byte) (int, error) {
+func (b *errorRecordingBody) Read(buffer []byte) (int, error) {
 	n, err := b.ReadCloser.Read(buffer)
-	if err != nil && b.ended == nil {
-		b.ended = err
+	if err != nil && b.readErr == nil {
+		b.readErr = err
 	}
 	return n, err
 }
