--- a/internal/routing/random_subset.go
+++ b/internal/routing/random_subset.go
@@ -17,7 +17,7 @@
 // It suits endpoints that report their load.
 type RandomSubset struct{}
 
-// Select implements Subset.
+// Select implements SubsetSelector.
 func (RandomSubset) Select(destination []*Endpoint, random *rand.Rand, pool *endpointPool, request *Request) []*Endpoint {
 	if request.PrefixHash != 0 {
 		destination = pool.appendRingSuccessors(destination, request.PrefixHash, affinitySubsetSize)
--- a/internal/routing/rendezvous_subset.go
+++ b/internal/routing/rendezvous_subset.go
@@ -25,7 +25,7 @@
 // once; three hardly ever do.
 const maxIdleEndpoints = 3
 
-// Select implements Subset.
+// Select implements SubsetSelector.
 func (s RendezvousSubset) Select(destination []*Endpoint, _ *rand.Rand, pool *endpointPool, request *Request) []*Endpoint {
 	idle, allowed := 0, AllowedRegion{s.Place.Topology}
 	for _, endpoint := range pool.preferenceOrder(s.Place, request.Zone) {
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -13,7 +13,8 @@
 
 var now = time.Unix(1000, 0)
 
-// newTestTable returns a table with one pool of endpoints, distributed round-robin over three zones.
+// newTestTable returns a table with one pool of endpoints, distributed round-robin over three
+// zones.
 func newTestTable(size int) *Table {
 	var machines []Machine
 	for i := range size {
