--- a/internal/hosted/admission.go
+++ b/internal/hosted/admission.go
@@ -87,20 +87,20 @@
 
 // configurationAge is how long ago the configuration was last known to be the newest.
 func (n *Node) configurationAge() time.Duration {
-	if n.configuredFor == nil {
+	if n.configurationAgeFunc == nil {
 		return 0
 	}
-	return n.configuredFor()
+	return n.configurationAgeFunc()
 }
 
 // WatchConfiguration names what tells how long ago the node surely had the newest
 // configuration. It must be called before Start; without it the node takes its
 // configuration for the newest always.
-func (n *Node) WatchConfiguration(age func() time.Duration) { n.configuredFor = age }
+func (n *Node) WatchConfiguration(age func() time.Duration) { n.configurationAgeFunc = age }
 
 // permits returns a check whether a caller's key is still its tenant's, to be made
 // before a request is sent once more.
-func (n *Node) permits(admitted Admitted, key string) func() error {
+func (n *Node) keyCheck(admitted Admitted, key string) func() error {
 	return func() error {
 		current := n.catalog.Load()
 		tenant, err := current.Admit(admitted.Route, key)
--- a/internal/hosted/admission_test.go
+++ b/internal/hosted/admission_test.go
@@ -16,7 +16,7 @@
 )
 
 // closedCatalog has one route that needs a key.
-func closedCatalog(t *testing.T, version uint64, keys ...string) *catalog.Catalog {
+func catalogWithKeys(t *testing.T, version uint64, keys ...string) *catalog.Catalog {
 	t.Helper()
 	built := catalogOf(t, version)
 	built.Keys = credential.NewKeyring([]credential.Grant{
@@ -25,30 +25,30 @@
 	return built
 }
 
-func closedNode(t *testing.T) *Node {
+func nodeWithKeys(t *testing.T) *Node {
 	t.Helper()
 	node := newTestNode()
-	node.TakeCatalog(closedCatalog(t, 1, "of-t"))
+	node.TakeCatalog(catalogWithKeys(t, 1, "of-t"))
 	node.TakeSamplers([]schedule.Sampler{})
 	return node
 }
 
-func TestKeyThatWasTakenAwayIsDeniedBeforeTheNextAttempt(t *testing.T) {
-	node := closedNode(t)
+func TestRevokedKeyIsDeniedBeforeTheNextAttempt(t *testing.T) {
+	node := nodeWithKeys(t)
 	admitted, err := node.Admit(t.Context(), "h", "/x", "of-t")
 	require.NoError(t, err)
 	require.Equal(t, "T", admitted.Tenant.Name)
-	permits := node.permits(admitted, "of-t")
+	permits := node.keyCheck(admitted, "of-t")
 	require.NoError(t, permits())
-	node.TakeCatalog(closedCatalog(t, 2))
+	node.TakeCatalog(catalogWithKeys(t, 2))
 	require.True(t, result.Is(permits(), result.Unauthenticated))
 	_, err = node.Admit(t.Context(), "h", "/x", "of-t")
 	require.True(t, result.Is(err, result.Unauthenticated))
 }
 
-func TestNodeThatMayBeOutOfDateDeniesNothing(t *testing.T) {
+func TestStaleNodeDeniesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		node := closedNode(t)
+		node := nodeWithKeys(t)
 		knownAt := time.Now()
 		node.WatchConfiguration(func() time.Duration { return time.Since(knownAt) })
 		for _, path := range []struct{ host, key string }{{"h", "new-key"}, {"other", "of-t"}} {
@@ -69,8 +69,8 @@
 	})
 }
 
-func TestJobsAreTheirTenantsOnly(t *testing.T) {
-	node := closedNode(t)
+func TestJobsAreAccessibleOnlyToTheirTenant(t *testing.T) {
+	node := nodeWithKeys(t)
 	node.jobs.ledger = ledger.New()
 	put := func(id, tenant string) {
 		records, err := ledger.Encode(&pathbendv1.LedgerEntry{JobId: id, Fact: &pathbendv1.LedgerEntry_Submitted{
@@ -91,7 +91,7 @@
 	require.NoError(t, node.Submit(t.Context(), "job-of-t", &pathbendv1.BatchJob{Tenant: "T"}, nil))
 }
 
-func TestRouteRanksAfterItsTenant(t *testing.T) {
+func TestTenantPriorityPrecedesRoutePriority(t *testing.T) {
 	node := newTestNode()
 	built := catalogOf(t, 1)
 	built.Keys = credential.NewKeyring([]credential.Grant{
--- a/internal/hosted/cold.go
+++ b/internal/hosted/cold.go
@@ -46,16 +46,16 @@
 // noteCold tells, at a change, how many samplers are cold. It is called under the lock.
 func (e *executor) noteCold(now time.Time) {
 	status := e.scheduler.Cold(now)
-	e.node.metrics.cold(status)
+	e.node.metrics.recordCold(status)
 	if status.Cold != e.coldBefore {
 		e.coldBefore = status.Cold
 		e.node.logger.Log(event.SamplersCold, "cold", status.Cold, "listed", status.Listed)
 	}
-	if status.Kept > 0 && now.Sub(e.coldToldAt) >= coldTold {
+	if status.Kept > 0 && now.Sub(e.coldToldAt) >= coldWorkLogInterval {
 		e.coldToldAt = now
 		e.node.logger.Log(event.ColdWorkWaits, "waiting", status.Waiting, "samplers", status.Kept, "cold", status.Cold)
 	}
 }
 
 // coldTold is how often work that waits for cold samplers is told of.
-const coldTold = time.Second
+const coldWorkLogInterval = time.Second
--- a/internal/hosted/cold_test.go
+++ b/internal/hosted/cold_test.go
@@ -15,7 +15,7 @@
 	return &catalog.Catalog{Version: 1, Services: map[string]catalog.Service{"s": service}}
 }
 
-func TestRequestsSpareColdModelSamplers(t *testing.T) {
+func TestRequestsAvoidColdModelSamplers(t *testing.T) {
 	n := newTestNode()
 	n.settings.ColdOver, n.settings.ColdSlack = 1.5, 3
 	limits := n.requestLimits(coldCatalog("m"), schedule.Sampler{ID: "i", Service: "s"}, []string{n.settings.Name})
@@ -24,7 +24,7 @@
 	require.Equal(t, 6, limits.Cold)
 }
 
-func TestExecutorKeepsWithinHalfOfTheBound(t *testing.T) {
+func TestExecutorStaysWithinHalfOfTheColdLimit(t *testing.T) {
 	n := newTestNode()
 	n.settings.ColdOver, n.settings.ColdSlack = 1.5, 3
 	n.catalog.Store(coldCatalog("m"))
--- a/internal/hosted/evacuation_test.go
+++ b/internal/hosted/evacuation_test.go
@@ -19,7 +19,7 @@
 )
 
 // refusing starts a back end that runs nothing, and returns its address.
-func refusing(t *testing.T, asked func()) string {
+func startRefusingBackEnd(t *testing.T, asked func()) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 		asked()
@@ -30,12 +30,12 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-func TestFurtherAttemptHeedsAnEvacuation(t *testing.T) {
+func TestRetryAvoidsAnEvacuatedZone(t *testing.T) {
 	node := New(Settings{Name: "n", Zone: "a"}, Ports{Network: network.TCP{}, Protocol: dispatch.OwnProtocol{}}, event.Discard())
 	node.TakeCatalog(catalogOf(t, 1))
 	var askedThere atomic.Int64
-	here := refusing(t, func() { node.TakeEvacuations([]string{"b"}) })
-	there := refusing(t, func() { askedThere.Add(1) })
+	here := startRefusingBackEnd(t, func() { node.TakeEvacuations([]string{"b"}) })
+	there := startRefusingBackEnd(t, func() { askedThere.Add(1) })
 	node.TakeSamplers([]schedule.Sampler{
 		{ID: "here", Service: "s", Zone: "a", Address: here, Slots: 1}, {ID: "there", Service: "s", Zone: "b", Address: there, Slots: 1},
 	})
@@ -50,8 +50,8 @@
 	require.True(t, result.Is(err, result.ZoneEvacuated), "%v", err)
 }
 
-func TestEvacuatedSamplersAreNoReplicas(t *testing.T) {
-	e := holder("n", 1, emptyLog{})
+func TestEvacuatedSamplersGetNoWeightOrders(t *testing.T) {
+	e := newHolder("n", 1, emptyLog{})
 	e.scheduler = schedule.New(func() uint64 { return 1 })
 	versions := map[string]uint64{"m": 1}
 	var listed []schedule.Sampler
@@ -69,14 +69,14 @@
 	require.Equal(t, []string{"b1", "b2"}, ordered)
 }
 
-func TestNothingIsOrderedInAnEvacuatedZone(t *testing.T) {
+func TestNoSamplersAreOrderedInAnEvacuatedZone(t *testing.T) {
 	node := newTestNode()
 	service := catalog.Service{Name: "s", Scaling: &catalog.Scaling{ZonePrices: map[string]float64{"a": 1, "b": 1}}}
 	node.TakeSamplers([]schedule.Sampler{
 		{ID: "a1", Zone: "a", Service: "s"}, {ID: "a2", Zone: "a", Service: "s", Spot: true}, {ID: "b1", Zone: "b", Service: "s"},
 	})
 	node.TakeEvacuations([]string{"a"})
-	zones, evacuated := node.scaler.zones(service)
+	zones, evacuated := node.scaler.countByZone(service)
 	require.Len(t, zones, 1)
 	require.Equal(t, "b", zones[0].Name)
 	require.Equal(t, 1, evacuated, "the spot sampler is not an ordinary one")
--- a/internal/hosted/forward.go
+++ b/internal/hosted/forward.go
@@ -31,14 +31,14 @@
 
 const (
 	// assumedWait bounds a request whose client and route name no bound.
-	assumedWait = 30 * time.Second
+	defaultWait = 30 * time.Second
 	// attemptObjectives is how many objectives an attempt may take before
 	// another sampler is tried.
-	attemptObjectives = 2
+	attemptTimeoutObjectives = 2
 	// hedgePart is the part of the objective after which a request goes to a second back
 	// end too: what is left of it is enough there (chosen; at half of 150 ms some 1 % of
 	// requests of 25 ms have no answer).
-	hedgePart = 2
+	hedgeObjectiveDivisor = 2
 	// minAttemptTimeout bounds that from below.
 	minAttemptTimeout = 200 * time.Millisecond
 )
@@ -51,11 +51,11 @@
 	defer n.active.Add(-1)
 	received := clock.Mark()
 	began := received.Time()
-	deadline := began.Add(holdTime(route, in))
+	deadline := began.Add(requestTimeout(route, in))
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	if err := n.servable(admitted.Regions); err != nil {
 		cancel()
-		n.metrics.request(route.Name, nil, err, time.Since(began))
+		n.metrics.recordRequest(route.Name, nil, err, time.Since(began))
 		n.LogRefusal(in.ID, in.Host, in.Path, err)
 		return nil, err
 	}
@@ -63,12 +63,12 @@
 	request.Regions, request.Received = admitted.Regions, received
 	if err := n.awaitSampler(ctx, request); err != nil {
 		cancel()
-		n.metrics.request(route.Name, nil, err, time.Since(began))
+		n.metrics.recordRequest(route.Name, nil, err, time.Since(began))
 		n.LogRefusal(in.ID, in.Host, in.Path, err)
 		return nil, spread(err)
 	}
 	request.Tenant = admitted.Tenant.Name
-	request.Permitted = n.permits(admitted, in.Key)
+	request.Permitted = n.keyCheck(admitted, in.Key)
 	meter := n.usage.meter(admitted)
 	request.Began = meter.sent
 	answer, err := n.dispatcher.Do(ctx, request)
@@ -78,7 +78,7 @@
 	} else {
 		answer.Body = dispatch.OnClose(answer.Body, cancel)
 	}
-	n.metrics.request(route.Name, answer, err, time.Since(began))
+	n.metrics.recordRequest(route.Name, answer, err, time.Since(began))
 	return answer, spread(err)
 }
 
@@ -90,20 +90,20 @@
 		return nil
 	}
 	typed := result.From(err)
-	const least, width = 0.6, 0.8
-	typed.RetryAfter = time.Duration(float64(typed.RetryAfter) * (least + width*rand.Float64()))
+	const minFactor, factorRange = 0.6, 0.8
+	typed.RetryAfter = time.Duration(float64(typed.RetryAfter) * (minFactor + factorRange*rand.Float64()))
 	return typed
 }
 
-func holdTime(route *catalog.Route, in *Inbound) time.Duration {
-	hold := in.Wait
-	if hold <= 0 {
-		hold = assumedWait
+func requestTimeout(route *catalog.Route, in *Inbound) time.Duration {
+	timeout := in.Wait
+	if timeout <= 0 {
+		timeout = defaultWait
 	}
 	if route.Timeout > 0 {
-		hold = min(hold, route.Timeout)
+		timeout = min(timeout, route.Timeout)
 	}
-	return hold
+	return timeout
 }
 
 func requestOf(route *catalog.Route, in *Inbound, deadline time.Time) *dispatch.Request {
@@ -118,8 +118,8 @@
 		MaxAttempts:    route.MaxAttempts,
 		Deadline:       deadline,
 		ID:             in.ID,
-		HedgeAfter:     route.Objective / hedgePart,
-		AttemptTimeout: max(attemptObjectives*route.Objective, minAttemptTimeout),
+		HedgeAfter:     route.Objective / hedgeObjectiveDivisor,
+		AttemptTimeout: max(attemptTimeoutObjectives*route.Objective, minAttemptTimeout),
 	}
 }
 
--- a/internal/hosted/listen.go
+++ b/internal/hosted/listen.go
@@ -13,7 +13,7 @@
 
 // listenPause is the pause before the ports for calls of other nodes are tried again: a
 // former process of the machine may have held them for up to two seconds.
-const listenPause = 500 * time.Millisecond
+const listenRetryDelay = 500 * time.Millisecond
 
 // takesCalls reports whether other nodes can call this one: to carry work that is bound to a
 // region, or to hear of samplers. The first port of the range is that for calls to the log
@@ -26,12 +26,12 @@
 	if !n.settings.takesCalls() {
 		return
 	}
-	server := peer.NewServer(peerCalls{n}, n.logger)
+	server := peer.NewServer(peerHandler{n}, n.logger)
 	for ctx.Err() == nil {
 		listener, err := n.listenInRange()
 		if err != nil {
 			n.logger.Log(event.PeerPortsTaken, "first", n.settings.PeerPorts[0], "last", n.settings.PeerPorts[1], "detail", err.Error())
-			wait.For(ctx, listenPause)
+			wait.For(ctx, listenRetryDelay)
 			continue
 		}
 		address := listener.Addr().String()
@@ -50,13 +50,13 @@
 }
 
 func (n *Node) listenInRange() (net.Listener, error) {
-	var failed error
+	var lastErr error
 	for port := n.settings.PeerPorts[0] + 1; port <= n.settings.PeerPorts[1]; port++ {
 		listener, err := n.ports.Network.Listen(net.JoinHostPort(n.settings.IP, strconv.Itoa(port)))
 		if err == nil {
 			return listener, nil
 		}
-		failed = err
+		lastErr = err
 	}
-	return nil, failed
+	return nil, lastErr
 }
--- a/internal/hosted/node.go
+++ b/internal/hosted/node.go
@@ -72,7 +72,7 @@
 	entries      *feed.Server
 
 	// rejections bounds the lines about records that cannot be read.
-	rejections event.Limiter
+	rejectionLimiter event.Limiter
 
 	// fleetMutex keeps an older list of samplers from following a newer one.
 	fleetMutex sync.Mutex
@@ -96,7 +96,7 @@
 	informedOnce sync.Once
 
 	// configuredFor tells how long ago the configuration surely was the newest.
-	configuredFor func() time.Duration
+	configurationAgeFunc func() time.Duration
 
 	draining atomic.Bool
 	active   atomic.Int64
@@ -132,7 +132,7 @@
 	n.readers = &readers{node: n}
 	n.ownership = ownership.New(settings.member(), n.log, n.directory, n.readers,
 		ownership.Callbacks{HandOver: n.executor.flush, Changed: n.executor.wake}, logger)
-	n.shareTopics(ports.Topics)
+	n.createFeeds(ports.Topics)
 	return n
 }
 
@@ -143,7 +143,7 @@
 	n.loops.Go(func() { n.directory.Run(ctx) })
 	n.loops.Go(func() { n.followJobs(ctx) })
 	n.loops.Go(func() { n.jobs.expire(ctx) })
-	n.loops.Go(func() { n.tellDistance(ctx) })
+	n.loops.Go(func() { n.logRoundTripChanges(ctx) })
 	n.loops.Go(func() { n.joinGroup(ctx) })
 	n.loops.Go(func() { n.announce(ctx) })
 	n.loops.Go(func() { n.executor.run(ctx) })
@@ -268,20 +268,20 @@
 // RejectSampler counts an entry of the samplers' list that names no sampler, and logs it
 // if it is the first of its id in a row, and so many a second at most.
 func (n *Node) RejectSampler(id string, err error, first bool) {
-	n.metrics.samplersRejected.Inc()
-	if first && n.rejections.Allow(time.Now()) {
+	n.metrics.rejectedSamplerEntries.Inc()
+	if first && n.rejectionLimiter.Allow(time.Now()) {
 		n.logger.Log(event.RecordSkipped, "sampler", id, "detail", err.Error())
 	}
 }
 
 // PassOverSampler counts an entry of a former incarnation, which came late.
 func (n *Node) PassOverSampler(sampler schedule.Sampler) {
-	n.metrics.samplersFormer.Inc()
+	n.metrics.staleSamplerEntries.Inc()
 }
 
 // SkipRecord logs a record of a keyed topic that cannot be read.
 func (n *Node) SkipRecord(topic string, record sharedlog.KeyedRecord) {
-	if n.rejections.Allow(time.Now()) {
+	if n.rejectionLimiter.Allow(time.Now()) {
 		n.logger.Log(event.RecordSkipped, "topic", topic, "key", record.Key, "offset", record.Offset, "detail", record.Malformed)
 	}
 }
--- a/internal/hosted/node_test.go
+++ b/internal/hosted/node_test.go
@@ -47,7 +47,7 @@
 	})
 }
 
-func TestRequestIsRefusedAtOnceAfterThePatienceOfAStart(t *testing.T) {
+func TestRequestIsRefusedAfterTheStartTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		node := newTestNode()
 		began := time.Now()
@@ -58,7 +58,7 @@
 	})
 }
 
-func TestConfigurationNeverGoesBack(t *testing.T) {
+func TestOlderConfigurationIsIgnored(t *testing.T) {
 	node := newTestNode()
 	node.TakeCatalog(catalogOf(t, 5))
 	node.TakeCatalog(catalogOf(t, 3))
@@ -68,7 +68,7 @@
 	require.EqualValues(t, 4, node.targets()["m"])
 }
 
-func TestRefusedCallersComeBackSpread(t *testing.T) {
+func TestRetryAfterIsJittered(t *testing.T) {
 	times := make(map[time.Duration]struct{})
 	for range 50 {
 		err := spread(result.New(result.NoBackEnd, "none").WithRetryAfter(time.Second))
@@ -100,7 +100,7 @@
 
 // An executor that had just restarted held the jobs for four seconds while it
 // could not read the list of samplers, which every other node knew.
-func TestNodeWithoutSamplersLeavesTheJobsToOthers(t *testing.T) {
+func TestNodeWithoutSamplersDoesNotJoinTheGroup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		group := &ownershiptest.Group{Share: ownershiptest.Holding(4, 0)}
 		settings := Settings{Name: "n", Zone: "a", ShortestTTL: time.Second, OrderGrace: time.Second, KeepJobs: time.Minute}
--- a/internal/hosted/ports.go
+++ b/internal/hosted/ports.go
@@ -179,12 +179,12 @@
 const (
 	// shareTTLs is how long a share outlasts the last renewal, in units of the
 	// shortest time.
-	shareTTLs = 1.5
+	shareTTLFactor = 1.5
 	// loadsTogether is the number of samplers that change weights at once in a
 	// small fleet: more slow each other's loads down.
 	loadsTogether = 2
 	// settleMargin is kept free for an answer's way to the client.
-	settleMargin = 200 * time.Millisecond
+	answerMargin = 200 * time.Millisecond
 	// keepMargin is how much longer than promised jobs can be read.
 	keepMargin = 30 * time.Second
 )
@@ -199,7 +199,7 @@
 
 // shareTTL is how long a share of the partitions outlasts the last renewal.
 func (s *Settings) shareTTL() time.Duration {
-	return time.Duration(float64(s.ShortestTTL) * shareTTLs)
+	return time.Duration(float64(s.ShortestTTL) * shareTTLFactor)
 }
 
 // member is what the node is a member of the group with.
@@ -210,4 +210,4 @@
 }
 
 // freshness is how old a node's knowledge may be when it denies something.
-func (s *Settings) freshness() time.Duration { return max(s.Settle-settleMargin, settleMargin) }
+func (s *Settings) freshness() time.Duration { return max(s.Settle-answerMargin, answerMargin) }
--- a/internal/hosted/readers.go
+++ b/internal/hosted/readers.go
@@ -14,18 +14,18 @@
 
 // planAge is how old a plan may be while the directory does not change: entries of nodes
 // that are gone run out (chosen).
-const planAge = 5 * time.Second
+const maxPlanAge = 5 * time.Second
 
 // readers tells which nodes read the samplers' entries for the others, by the directory.
 type readers struct {
 	node *Node
 
-	mutex   sync.Mutex
-	plan    fanout.Plan
-	madeAt  time.Time
-	changes uint64
+	mutex     sync.Mutex
+	plan      fanout.Plan
+	plannedAt time.Time
+	changes   uint64
 	// whole is set while this node needs every entry although it does not read for others.
-	whole bool
+	readAll bool
 }
 
 // Plan returns what this node does now.
@@ -34,26 +34,26 @@
 	changes := r.node.directory.Changes()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if changes != r.changes || now.Sub(r.madeAt) > planAge {
+	if changes != r.changes || now.Sub(r.plannedAt) > maxPlanAge {
 		settings := &r.node.settings
 		r.plan = fanout.Make(settings.Sharing, settings.Name, settings.Zone, r.node.directory.Answering())
-		r.changes, r.madeAt = changes, now
+		r.changes, r.plannedAt = changes, now
 	}
 	return r.plan
 }
 
 // WantWhole makes this node read every entry, or leave that again.
-func (r *readers) WantWhole(whole bool) {
+func (r *readers) SetReadAll(whole bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.whole = whole
+	r.readAll = whole
 }
 
 // wanted returns the services whose samplers this node needs: those to which requests of
 // clients and reward calls may go. Who executes needs all.
 func (r *readers) wanted() fanout.Groups {
 	r.mutex.Lock()
-	whole := r.whole
+	whole := r.readAll
 	r.mutex.Unlock()
 	current := r.node.Catalog()
 	if whole || current == nil {
@@ -73,8 +73,8 @@
 func (r *readers) Able() bool { return !r.node.samplerFeed.Partial() }
 
 // Prepare and Release implement ownership.Candidacy: who executes needs every entry.
-func (r *readers) Prepare() { r.WantWhole(true) }
-func (r *readers) Release() { r.WantWhole(false) }
+func (r *readers) Prepare() { r.SetReadAll(true) }
+func (r *readers) Release() { r.SetReadAll(false) }
 
 // Topics are the keyed topics that nodes read for each other.
 type Topics struct {
@@ -87,7 +87,7 @@
 }
 
 // shareTopics makes the feeds through which topics are read.
-func (n *Node) shareTopics(topics Topics) {
+func (n *Node) createFeeds(topics Topics) {
 	shared := feed.Config{
 		Log: n.log, Plan: n.readers.Plan, Caller: n.peers, Counts: n.metrics, Logger: n.logger,
 	}
@@ -110,13 +110,13 @@
 
 // nodesPause is the pause between two looks whether all nodes are known (chosen; 985 nodes
 // that look each 20 ms wake up 49,000 times a second, worked out).
-const nodesPause = 100 * time.Millisecond
+const nodesPollInterval = 100 * time.Millisecond
 
 // AwaitNodes waits until it is known which nodes there are, as far as they tell. Where many
 // start at once, each would follow all samplers itself before it knows of any other: 246
 // nodes that did so kept the log busy for 8 s.
 func (n *Node) AwaitNodes(ctx context.Context) {
-	for n.settings.takesCalls() && !n.directory.Settled() && wait.For(ctx, nodesPause) {
+	for n.settings.takesCalls() && !n.directory.Settled() && wait.For(ctx, nodesPollInterval) {
 	}
 }
 
@@ -128,10 +128,10 @@
 func (n *Node) OperatorFeed() *feed.Feed { return n.operatorFeed }
 
 // peerCalls hands calls of other nodes to whoever they are for.
-type peerCalls struct{ node *Node }
+type peerHandler struct{ node *Node }
 
 // HandlePeer implements peer.Handler.
-func (c peerCalls) HandlePeer(ctx context.Context, call *pathbendv1.Envelope) (*pathbendv1.Envelope, error) {
+func (c peerHandler) HandlePeer(ctx context.Context, call *pathbendv1.Envelope) (*pathbendv1.Envelope, error) {
 	question := call.GetReadEntries()
 	if question == nil {
 		return c.node.worker.HandlePeer(ctx, call)
--- a/internal/hosted/remote.go
+++ b/internal/hosted/remote.go
@@ -18,21 +18,21 @@
 
 const (
 	// reportHold is how long a worker holds a call that asks for reports.
-	reportHold = 250 * time.Millisecond
+	reportLongPoll = 250 * time.Millisecond
 	// callPatience is how much longer a call to a worker may take (chosen: the bound for
 	// regions 120 ms apart, one way, and as much for a busy machine).
-	callPatience = 500 * time.Millisecond
+	callTimeoutMargin = 500 * time.Millisecond
 	// callPause is the pause after a call that failed.
-	callPause = 30 * time.Millisecond
+	callRetryDelay = 30 * time.Millisecond
 	// workerPatience is how long a worker may be silent before another one takes its
 	// place: two calls that fail and the next one's way.
-	workerPatience = 1200 * time.Millisecond
+	workerTimeout = 1200 * time.Millisecond
 	// avoidFor is how long a worker that failed is passed over.
-	avoidFor = 5 * time.Second
+	workerCooldown = 5 * time.Second
 	// outlinePatience bounds the wait for the outline of a job.
-	outlinePatience = 2 * time.Second
+	outlineTimeout = 2 * time.Second
 	// mostOrders bounds the orders of one call.
-	mostOrders = 256
+	maxOrdersPerCall = 256
 )
 
 // remoteWork is the work of the executor whose bodies and texts are not for this node:
@@ -41,13 +41,13 @@
 	jobs  map[string]*remoteJob
 	links map[string]*link
 	// avoided tells until when a worker is passed over.
-	avoided map[string]time.Time
+	avoidedUntil map[string]time.Time
 	// missing is set while a job has no worker.
-	missing bool
+	workerMissing bool
 }
 
 func newRemoteWork() remoteWork {
-	return remoteWork{jobs: make(map[string]*remoteJob), links: make(map[string]*link), avoided: make(map[string]time.Time)}
+	return remoteWork{jobs: make(map[string]*remoteJob), links: make(map[string]*link), avoidedUntil: make(map[string]time.Time)}
 }
 
 // remoteJob is a job that a worker carries.
@@ -64,15 +64,15 @@
 	session  carry.Session
 	cancel   context.CancelFunc
 	// began is when the session began.
-	began clock.Moment
-	woken chan struct{}
+	sessionStart clock.Moment
+	wakeup       chan struct{}
 	// given is closed once the worker is given up.
-	given <-chan struct{}
+	closed <-chan struct{}
 
 	mutex  sync.Mutex
 	orders []*pathbendv1.CarryOrder
 	// outlines are those who wait for a job's outline.
-	outlines map[string][]chan *pathbendv1.JobOutline
+	outlineWaiters map[string][]chan *pathbendv1.JobOutline
 	// runs are those under way, used under the executor's lock.
 	runs map[uint64]schedule.Start
 }
@@ -82,41 +82,41 @@
 func (e *executor) linkTo(regions locality.Regions) *link {
 	now := time.Now()
 	chosen, found := carry.Choose(e.node.directory.Workers(), e.node.settings.Topology, regions, func(name string) bool {
-		return now.Before(e.remote.avoided[name])
+		return now.Before(e.remote.avoidedUntil[name])
 	})
 	if !found {
 		return nil
 	}
-	if known, ok := e.remote.links[chosen.Name]; ok && known.worker == chosen {
-		return known
+	if existing, ok := e.remote.links[chosen.Name]; ok && existing.worker == chosen {
+		return existing
 	}
 	ctx, cancel := context.WithCancel(e.session)
-	opened := &link{
-		executor: e, worker: chosen, cancel: cancel, given: ctx.Done(), began: e.beganAt, woken: make(chan struct{}, 1),
+	created := &link{
+		executor: e, worker: chosen, cancel: cancel, closed: ctx.Done(), sessionStart: e.beganAt, wakeup: make(chan struct{}, 1),
 		session: carry.Session{
 			Decider: e.node.settings.Name, Generation: e.node.ownership.Current(), ID: e.sessionID,
 		},
-		outlines: make(map[string][]chan *pathbendv1.JobOutline), runs: make(map[uint64]schedule.Start),
+		outlineWaiters: make(map[string][]chan *pathbendv1.JobOutline), runs: make(map[uint64]schedule.Start),
 	}
-	if former := e.remote.links[chosen.Name]; former != nil {
-		e.dropLink(former, "it has another address", now)
-		delete(e.remote.avoided, chosen.Name)
+	if previous := e.remote.links[chosen.Name]; previous != nil {
+		e.closeLink(previous, "it has another address", now)
+		delete(e.remote.avoidedUntil, chosen.Name)
 	}
-	e.remote.links[chosen.Name] = opened
-	e.node.logger.Log(event.WorkerChosen, "worker", chosen.Name, "zone", chosen.Zone, "regions", regions.String(), "generation", opened.session.Generation)
-	e.work.Go(func() { opened.poll(ctx) })
-	e.work.Go(func() { opened.send(ctx) })
-	return opened
+	e.remote.links[chosen.Name] = created
+	e.node.logger.Log(event.WorkerChosen, "worker", chosen.Name, "zone", chosen.Zone, "regions", regions.String(), "generation", created.session.Generation)
+	e.work.Go(func() { created.poll(ctx) })
+	e.work.Go(func() { created.send(ctx) })
+	return created
 }
 
 // dropLink gives a worker up: its jobs wait for another one. It is called under the lock.
-func (e *executor) dropLink(l *link, detail string, now time.Time) {
+func (e *executor) closeLink(l *link, detail string, now time.Time) {
 	if e.remote.links[l.worker.Name] != l {
 		return
 	}
 	delete(e.remote.links, l.worker.Name)
 	l.cancel()
-	e.remote.avoided[l.worker.Name] = now.Add(avoidFor)
+	e.remote.avoidedUntil[l.worker.Name] = now.Add(workerCooldown)
 	e.node.metrics.workersLost.Inc()
 	e.node.logger.Log(event.WorkerLost, "worker", l.worker.Name, "runs", len(l.runs), "detail", detail)
 	for id, job := range e.remote.jobs {
@@ -136,20 +136,20 @@
 }
 
 // lost gives a worker up whose calls fail.
-func (l *link) lost(detail string) {
+func (l *link) abandon(detail string) {
 	e := l.executor
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if e.scheduler != nil && e.sessionID == l.session.ID {
-		e.dropLink(l, detail, time.Now())
+		e.closeLink(l, detail, time.Now())
 	}
 }
 
 // unserved gives a worker up that could not begin. Where the log does not serve this node
 // either, another worker would do no better.
-func (l *link) unserved(detail string) {
+func (l *link) abandonUnserved(detail string) {
 	if l.executor.node.jobs.inTouch() {
-		l.lost(detail)
+		l.abandon(detail)
 	}
 }
 
@@ -170,45 +170,45 @@
 			}
 		}
 	}
-	if missing && !e.remote.missing {
+	if missing && !e.remote.workerMissing {
 		e.node.logger.Log(event.WorkerMissing, "jobs", len(e.remote.jobs))
 	}
-	e.remote.missing = missing
-	e.node.metrics.boundJobs.Set(float64(len(e.remote.jobs)))
+	e.remote.workerMissing = missing
+	e.node.metrics.remoteJobs.Set(float64(len(e.remote.jobs)))
 }
 
 // outline asks the worker of some regions for the items of a job without bodies.
 func (e *executor) outline(ctx context.Context, job *ledger.Job, regions locality.Regions) ([]*pathbendv1.BatchItem, error) {
 	e.mutex.Lock()
-	var asked *link
+	var target *link
 	if e.scheduler != nil {
-		asked = e.linkTo(regions)
+		target = e.linkTo(regions)
 	}
 	e.mutex.Unlock()
-	if asked == nil {
+	if target == nil {
 		return nil, result.New(result.RegionUnavailable, "no node in %v takes calls", regions)
 	}
-	ctx, cancel := context.WithTimeout(ctx, outlinePatience)
+	ctx, cancel := context.WithTimeout(ctx, outlineTimeout)
 	defer cancel()
 	answer := make(chan *pathbendv1.JobOutline, 1)
-	asked.mutex.Lock()
-	asked.outlines[job.ID] = append(asked.outlines[job.ID], answer)
-	asked.mutex.Unlock()
-	asked.order(&pathbendv1.CarryOrder{Order: &pathbendv1.CarryOrder_Open{Open: job.ID}})
+	target.mutex.Lock()
+	target.outlineWaiters[job.ID] = append(target.outlineWaiters[job.ID], answer)
+	target.mutex.Unlock()
+	target.enqueue(&pathbendv1.CarryOrder{Order: &pathbendv1.CarryOrder_Open{Open: job.ID}})
 	select {
 	case outline := <-answer:
 		if outline.Failure == "" {
 			return outline.Items, nil
 		}
 		if outline.Unserved {
-			asked.unserved(outline.Failure)
+			target.abandonUnserved(outline.Failure)
 		}
-		return nil, result.New(result.PeerLost, "%s cannot read the job: %s", asked.worker.Name, outline.Failure)
-	case <-asked.given:
-		return nil, result.New(result.PeerLost, "%s was given up", asked.worker.Name)
+		return nil, result.New(result.PeerLost, "%s cannot read the job: %s", target.worker.Name, outline.Failure)
+	case <-target.closed:
+		return nil, result.New(result.PeerLost, "%s was given up", target.worker.Name)
 	case <-ctx.Done():
-		asked.lost("it gave no outline")
-		return nil, result.Wrap(result.PeerLost, ctx.Err(), "await the outline of "+asked.worker.Name)
+		target.abandon("it gave no outline")
+		return nil, result.Wrap(result.PeerLost, ctx.Err(), "await the outline of "+target.worker.Name)
 	}
 }
 
@@ -218,10 +218,10 @@
 	l.runs[start.Run] = start
 	e.runs[start.Key] = func() {
 		delete(l.runs, start.Run)
-		l.order(&pathbendv1.CarryOrder{Order: &pathbendv1.CarryOrder_Stop{Stop: start.Run}})
+		l.enqueue(&pathbendv1.CarryOrder{Order: &pathbendv1.CarryOrder_Stop{Stop: start.Run}})
 	}
 	e.node.metrics.remoteRuns.WithLabelValues(l.worker.Name).Inc()
-	l.order(&pathbendv1.CarryOrder{Order: &pathbendv1.CarryOrder_Start{Start: &pathbendv1.StartRun{
+	l.enqueue(&pathbendv1.CarryOrder{Order: &pathbendv1.CarryOrder_Start{Start: &pathbendv1.StartRun{
 		Run: start.Run, JobId: start.Key.Job, ItemId: start.Key.Item, Ahead: start.Key.Ahead,
 		SamplerId: start.Sampler.ID, Address: start.Sampler.Address, Zone: start.Sampler.Zone,
 		MinVersion: start.Job.MinVersion, SingleVersion: start.SingleVersion,
@@ -236,58 +236,58 @@
 		e.scheduler.Reopen(completed.Key)
 		return
 	}
-	job.link.order(&pathbendv1.CarryOrder{Order: &pathbendv1.CarryOrder_Finish{Finish: &pathbendv1.FinishItem{
+	job.link.enqueue(&pathbendv1.CarryOrder{Order: &pathbendv1.CarryOrder_Finish{Finish: &pathbendv1.FinishItem{
 		JobId: completed.Key.Job, ItemId: completed.Key.Item, Text: completed.Kept, Versions: completed.Versions,
 		MinVersion: completed.MinVersion, SingleVersion: completed.SingleVersion,
 	}}})
 }
 
-func (l *link) order(order *pathbendv1.CarryOrder) {
+func (l *link) enqueue(order *pathbendv1.CarryOrder) {
 	l.mutex.Lock()
 	l.orders = append(l.orders, order)
 	l.mutex.Unlock()
 	select {
-	case l.woken <- struct{}{}:
+	case l.wakeup <- struct{}{}:
 	default:
 	}
 }
 
 // clock is what times of sending are told by. It is that of the session, which may have
 // several links to a worker one after the other.
-func (l *link) clock() time.Duration { return l.began.Age() }
+func (l *link) sessionTime() time.Duration { return l.sessionStart.Age() }
 
 // call makes one call to the worker.
 func (l *link) call(ctx context.Context, call *pathbendv1.CarryCall) (*pathbendv1.CarryReply, error) {
 	call.Decider, call.Generation, call.Session = l.session.Decider, l.session.Generation, l.session.ID
-	call.SentMs = uint64(l.clock().Milliseconds())
-	ctx, cancel := context.WithTimeout(ctx, time.Duration(call.HoldMs)*time.Millisecond+callPatience)
+	call.SentMs = uint64(l.sessionTime().Milliseconds())
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(call.HoldMs)*time.Millisecond+callTimeoutMargin)
 	defer cancel()
 	reply, err := l.executor.node.peers.Call(ctx, l.worker.Address, &pathbendv1.Envelope{Body: &pathbendv1.Envelope_CarryCall{CarryCall: call}})
 	if err != nil {
 		return nil, err
 	}
-	carried := reply.GetCarryReply()
-	if carried == nil {
+	carryReply := reply.GetCarryReply()
+	if carryReply == nil {
 		return nil, result.New(result.FrameMalformed, "no answer to a call to a worker")
 	}
-	return carried, nil
+	return carryReply, nil
 }
 
 // send gives the worker its orders, in order, until ctx ends.
 func (l *link) send(ctx context.Context) {
 	for ctx.Err() == nil {
 		l.mutex.Lock()
-		orders := l.orders[:min(len(l.orders), mostOrders)]
+		orders := l.orders[:min(len(l.orders), maxOrdersPerCall)]
 		l.mutex.Unlock()
 		if len(orders) == 0 {
 			select {
-			case <-l.woken:
+			case <-l.wakeup:
 			case <-ctx.Done():
 			}
 			continue
 		}
 		if _, err := l.call(ctx, &pathbendv1.CarryCall{Orders: orders}); err != nil {
-			wait.For(ctx, callPause)
+			wait.For(ctx, callRetryDelay)
 			continue
 		}
 		l.mutex.Lock()
@@ -298,61 +298,61 @@
 
 // poll asks the worker for reports until ctx ends or the worker is lost.
 func (l *link) poll(ctx context.Context) {
-	heardAt, acknowledged, process := clock.Mark(), uint64(0), uint64(0)
+	lastReplyAt, acknowledged, process := clock.Mark(), uint64(0), uint64(0)
 	for ctx.Err() == nil {
-		reply, err := l.call(ctx, &pathbendv1.CarryCall{Acknowledged: acknowledged, HoldMs: uint32(reportHold.Milliseconds())})
+		reply, err := l.call(ctx, &pathbendv1.CarryCall{Acknowledged: acknowledged, HoldMs: uint32(reportLongPoll.Milliseconds())})
 		now := time.Now()
 		switch {
 		case ctx.Err() != nil:
 			return
-		case result.Is(err, result.LeaseConflict) || err != nil && heardAt.AgeAt(now) > workerPatience:
-			l.lost(err.Error())
+		case result.Is(err, result.LeaseConflict) || err != nil && lastReplyAt.AgeAt(now) > workerTimeout:
+			l.abandon(err.Error())
 			return
 		case err != nil:
-			wait.For(ctx, callPause)
+			wait.For(ctx, callRetryDelay)
 			continue
 		}
 		if process != 0 && reply.Process != process {
-			l.lost("it started anew")
+			l.abandon("it started anew")
 			return
 		}
-		heardAt, process = clock.At(now), reply.Process
+		lastReplyAt, process = clock.At(now), reply.Process
 		for _, report := range reply.Reports {
 			if report.Sequence > acknowledged {
 				acknowledged = report.Sequence
-				l.take(report, now)
+				l.applyReport(report, now)
 			}
 		}
 		switch {
 		case reply.Leaving:
-			l.lost("it is leaving")
+			l.abandon("it is leaving")
 			return
 		case reply.OutOfTouch && l.executor.node.jobs.inTouch():
-			l.lost("the log does not serve it")
+			l.abandon("the log does not serve it")
 			return
 		}
 	}
 }
 
 // take applies a report.
-func (l *link) take(report *pathbendv1.CarryReport, now time.Time) {
-	switch told := report.Report.(type) {
+func (l *link) applyReport(report *pathbendv1.CarryReport, now time.Time) {
+	switch body := report.Report.(type) {
 	case *pathbendv1.CarryReport_Outline:
 		l.mutex.Lock()
-		waiting := l.outlines[told.Outline.JobId]
-		delete(l.outlines, told.Outline.JobId)
+		waiting := l.outlineWaiters[body.Outline.JobId]
+		delete(l.outlineWaiters, body.Outline.JobId)
 		l.mutex.Unlock()
 		for _, answer := range waiting {
-			answer <- told.Outline
+			answer <- body.Outline
 		}
 	case *pathbendv1.CarryReport_Run:
-		l.executor.takeRun(l, told.Run, now)
+		l.executor.applyRunState(l, body.Run, now)
 	case *pathbendv1.CarryReport_Lost:
-		l.executor.reopen(l, told.Lost)
+		l.executor.reopenItem(l, body.Lost)
 	}
 }
 
-func (e *executor) reopen(l *link, lost *pathbendv1.LostItem) {
+func (e *executor) reopenItem(l *link, lost *pathbendv1.LostItem) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if e.scheduler != nil && e.remote.links[l.worker.Name] == l {
@@ -362,7 +362,7 @@
 }
 
 // takeRun applies the state of a run.
-func (e *executor) takeRun(l *link, state *pathbendv1.RunState, now time.Time) {
+func (e *executor) applyRunState(l *link, state *pathbendv1.RunState, now time.Time) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if e.scheduler == nil || e.remote.links[l.worker.Name] != l {
@@ -389,6 +389,6 @@
 	}
 	e.endRun(start, RunEnd{Ending: schedule.Ending(state.Ending), Detail: state.Detail}, now)
 	if state.Unserved && e.node.jobs.inTouch() {
-		e.dropLink(l, state.Detail, now)
+		e.closeLink(l, state.Detail, now)
 	}
 }
--- a/internal/hosted/remote_test.go
+++ b/internal/hosted/remote_test.go
@@ -20,20 +20,20 @@
 )
 
 // noNetwork reaches nobody.
-type noNetwork struct{}
+type unreachableNetwork struct{}
 
-func (noNetwork) Dial(context.Context, string) (net.Conn, error) { return nil, net.ErrClosed }
+func (unreachableNetwork) Dial(context.Context, string) (net.Conn, error) { return nil, net.ErrClosed }
 
-func (noNetwork) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
+func (unreachableNetwork) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
 
 // withDecider runs a test with an executor in the north, in session, that knows of a worker
 // in the south which it does not reach.
-func withDecider(t *testing.T, route locality.Regions, test func(t *testing.T, e *executor)) {
+func runWithExecutor(t *testing.T, route locality.Regions, test func(t *testing.T, e *executor)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		node := New(Settings{Name: "n", Zone: "a", Topology: twoRegions, MaxRecordBytes: 1 << 15, MaxCallBytes: 1 << 18, Partitions: 1},
-			Ports{Network: noNetwork{}, Log: &bodyLog{}}, event.Discard())
-		node.TakeCatalog(routeIn(t, 1, route))
+			Ports{Network: unreachableNetwork{}, Log: &bodyLog{}}, event.Discard())
+		node.TakeCatalog(catalogWithRegions(t, 1, route))
 		value, err := proto.Marshal(&pathbendv1.NodeCapacity{Node: "w", Zone: "b", WorkerAddress: "w:1"})
 		require.NoError(t, err)
 		node.directory.Apply([]sharedlog.KeyedRecord{{Key: "w", Value: value}}, 1)
@@ -47,7 +47,7 @@
 }
 
 // routeIn is a configuration with one route, whose regions are those named.
-func routeIn(t *testing.T, version uint64, regions locality.Regions) *catalog.Catalog {
+func catalogWithRegions(t *testing.T, version uint64, regions locality.Regions) *catalog.Catalog {
 	t.Helper()
 	built, err := catalog.New(version, []catalog.Route{{
 		Name: "r", Host: "h", Prefix: "/", Kind: catalog.Rollout, Shares: []catalog.Share{{Service: "s", Weight: 1}}, Regions: regions,
@@ -56,7 +56,7 @@
 	return built
 }
 
-func (e *executor) linkNow(regions locality.Regions) *link {
+func (e *executor) lockedLinkTo(regions locality.Regions) *link {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.linkTo(regions)
@@ -64,32 +64,32 @@
 
 // A worker that was given up and taken again within a session obeyed no start: it measured
 // how long calls are on their way by a clock that began anew.
-func TestTimeOfSendingGoesOnWithTheNextLinkOfASession(t *testing.T) {
-	withDecider(t, locality.Only("south"), func(t *testing.T, e *executor) {
+func TestSendTimesContinueAcrossLinksOfASession(t *testing.T) {
+	runWithExecutor(t, locality.Only("south"), func(t *testing.T, e *executor) {
 		var way carry.Way
-		heldUp := func(l *link) time.Duration { return way.HeldUp(time.Now(), l.clock()) }
-		first := e.linkNow(locality.Only("south"))
+		heldUp := func(l *link) time.Duration { return way.HeldUp(time.Now(), l.sessionTime()) }
+		first := e.lockedLinkTo(locality.Only("south"))
 		require.Zero(t, heldUp(first))
-		first.lost("test")
-		require.Nil(t, e.linkNow(locality.Only("south")), "it is passed over")
-		time.Sleep(avoidFor)
-		next := e.linkNow(locality.Only("south"))
+		first.abandon("test")
+		require.Nil(t, e.lockedLinkTo(locality.Only("south")), "it is passed over")
+		time.Sleep(workerCooldown)
+		next := e.lockedLinkTo(locality.Only("south"))
 		require.NotSame(t, first, next)
 		require.Zero(t, heldUp(next))
 	})
 }
 
-func TestWorkerIsKeptThatCannotReadAJobForAReasonOfTheJob(t *testing.T) {
+func TestWorkerIsKeptWhenTheJobItselfCannotBeRead(t *testing.T) {
 	for _, unserved := range []bool{false, true} {
-		withDecider(t, locality.Only("south"), func(t *testing.T, e *executor) {
-			l := e.linkNow(locality.Only("south"))
+		runWithExecutor(t, locality.Only("south"), func(t *testing.T, e *executor) {
+			l := e.lockedLinkTo(locality.Only("south"))
 			answered := make(chan error, 1)
 			go func() {
 				_, err := e.outline(t.Context(), &ledger.Job{ID: "j"}, locality.Only("south"))
 				answered <- err
 			}()
 			synctest.Wait()
-			l.take(&pathbendv1.CarryReport{Report: &pathbendv1.CarryReport_Outline{
+			l.applyReport(&pathbendv1.CarryReport{Report: &pathbendv1.CarryReport_Outline{
 				Outline: &pathbendv1.JobOutline{JobId: "j", Failure: "not open", Unserved: unserved},
 			}}, time.Now())
 			require.Error(t, <-answered)
@@ -101,17 +101,17 @@
 }
 
 // The outline of a worker that was given up was awaited for as long as that of any other.
-func TestNobodyWaitsForAWorkerThatWasGivenUp(t *testing.T) {
-	withDecider(t, locality.Only("south"), func(t *testing.T, e *executor) {
+func TestOutlineFailsOnceItsWorkerIsAbandoned(t *testing.T) {
+	runWithExecutor(t, locality.Only("south"), func(t *testing.T, e *executor) {
 		began := time.Now()
 		_, err := e.outline(t.Context(), &ledger.Job{ID: "j"}, locality.Only("south"))
 		require.Error(t, err)
-		require.Less(t, time.Since(began), workerPatience+2*callPause)
+		require.Less(t, time.Since(began), workerTimeout+2*callRetryDelay)
 	})
 }
 
 // submitOne lets the executor read of a job "j" with one item.
-func submitOne(t *testing.T, e *executor) *bodyLog {
+func submitJob(t *testing.T, e *executor) *bodyLog {
 	t.Helper()
 	item := &pathbendv1.BatchItem{Id: "i", Body: []byte("secret")}
 	blobs, err := e.node.jobs.contents.PutItems(t.Context(), time.Second, []*pathbendv1.BatchItem{item})
@@ -138,12 +138,12 @@
 
 // A job was read by the configuration of before and taken in by that: its items went to
 // samplers in all regions until the next configuration.
-func TestJobWhoseRegionsChangeWhileItIsReadIsBound(t *testing.T) {
-	withDecider(t, locality.Regions{}, func(t *testing.T, e *executor) {
-		e.node.ports.Log.(*bodyLog).takes = 50 * time.Millisecond
-		submitOne(t, e)
+func TestRegionChangeDuringAJobReadIsApplied(t *testing.T) {
+	runWithExecutor(t, locality.Regions{}, func(t *testing.T, e *executor) {
+		e.node.ports.Log.(*bodyLog).readDelay = 50 * time.Millisecond
+		submitJob(t, e)
 		time.Sleep(10 * time.Millisecond)
-		e.node.TakeCatalog(routeIn(t, 2, locality.Only("south")))
+		e.node.TakeCatalog(catalogWithRegions(t, 2, locality.Only("south")))
 		e.mutex.Lock()
 		e.takeConfiguration()
 		e.mutex.Unlock()
@@ -158,7 +158,7 @@
 
 // A job whose route was taken off the configuration was no longer bound to its tenant's
 // regions, and the node that executes read its bodies.
-func TestTenantBindsAJobWithoutARoute(t *testing.T) {
+func TestTenantRegionsBindAJobWithoutARoute(t *testing.T) {
 	node := boundNode(t, locality.Regions{}, locality.Only("south"), locality.Regions{})
 	regions := node.regionsOfJob(&pathbendv1.BatchJob{Host: "gone", Path: "/", Tenant: "T"})
 	require.Equal(t, locality.Only("south"), regions)
@@ -166,13 +166,13 @@
 
 // A job that came while its route was not known was never served: it was taken in without
 // any service. Whether this node may read its bodies is not known before.
-func TestJobWithoutARouteIsReadOnceThereIsOne(t *testing.T) {
-	withDecider(t, locality.Regions{}, func(t *testing.T, e *executor) {
+func TestJobIsReadOnceItsRouteExists(t *testing.T) {
+	runWithExecutor(t, locality.Regions{}, func(t *testing.T, e *executor) {
 		e.node.TakeCatalog(emptyCatalog(t, 2))
-		log := submitOne(t, e)
+		log := submitJob(t, e)
 		time.Sleep(time.Second)
 		require.Zero(t, log.readCount())
-		e.node.TakeCatalog(routeIn(t, 3, locality.Regions{}))
+		e.node.TakeCatalog(catalogWithRegions(t, 3, locality.Regions{}))
 		time.Sleep(2 * adoptPause)
 		require.Equal(t, 1, log.readCount())
 		e.mutex.Lock()
--- a/internal/hosted/scaler.go
+++ b/internal/hosted/scaler.go
@@ -14,10 +14,10 @@
 
 const (
 	// scalerTick is how often the holder looks whether samplers are to be ordered.
-	scalerTick = 500 * time.Millisecond
+	scalerInterval = 500 * time.Millisecond
 	// scaleTimeout bounds an order. It is below the time for which another holder waits
 	// after this one's claim.
-	scaleTimeout = 1800 * time.Millisecond
+	samplerOrderTimeout = 1800 * time.Millisecond
 )
 
 // scaler orders samplers while this node holds the duty.
@@ -32,7 +32,7 @@
 	if !s.node.settings.OrderSamplers || s.node.ports.Scaler == nil {
 		return
 	}
-	for wait.For(ctx, scalerTick) {
+	for wait.For(ctx, scalerInterval) {
 		if s.node.claims.MayAct(time.Now()) {
 			s.step(ctx)
 		}
@@ -71,17 +71,17 @@
 		planner = scaling.NewPlanner(time.Now())
 		s.planners[service.Name] = planner
 	}
-	zones, evacuated := s.zones(service)
-	known := scaling.Service{
+	zones, evacuated := s.countByZone(service)
+	state := scaling.Service{
 		Zones: zones, Evacuated: evacuated, Max: service.Scaling.Max, Slots: service.Slots,
 		SpotPrice: service.Scaling.SpotPrice, Boot: service.Scaling.Boot,
 	}
-	orders := planner.Plan(time.Now(), known, peak)
-	s.node.metrics.reserve.WithLabelValues(service.Name).Set(float64(planner.Reserve()))
+	orders := planner.Plan(time.Now(), state, peak)
+	s.node.metrics.samplerReserve.WithLabelValues(service.Name).Set(float64(planner.Reserve()))
 	for _, order := range orders {
-		taken := s.order(ctx, service.Name, order, peak, planner.Reserve())
-		s.node.metrics.samplerOrder(order.Zone, taken)
-		if taken {
+		accepted := s.order(ctx, service.Name, order, peak, planner.Reserve())
+		s.node.metrics.recordSamplerOrder(order.Zone, accepted)
+		if accepted {
 			planner.Taken(order, time.Now())
 		} else {
 			planner.Refused(order, time.Now())
@@ -91,14 +91,14 @@
 
 // zones counts a service's samplers by zone, and the ordinary ones of evacuated zones,
 // which are left out: nothing is ordered there, and what it has is kept for its return.
-func (s *scaler) zones(service catalog.Service) (zones []scaling.Zone, evacuated int) {
-	counted := make(map[string]*scaling.Zone)
+func (s *scaler) countByZone(service catalog.Service) (zones []scaling.Zone, evacuated int) {
+	byZone := make(map[string]*scaling.Zone)
 	for name, price := range service.Scaling.ZonePrices {
-		counted[name] = &scaling.Zone{Name: name, Price: price}
+		byZone[name] = &scaling.Zone{Name: name, Price: price}
 	}
 	if listed := s.node.samplers.Load(); listed != nil {
 		for _, sampler := range *listed {
-			zone, known := counted[sampler.Zone]
+			zone, known := byZone[sampler.Zone]
 			switch {
 			case !known || sampler.Service != service.Name || sampler.Leaving:
 			case sampler.Spot:
@@ -108,13 +108,13 @@
 			}
 		}
 	}
-	out := s.node.evacuated.Load()
-	for _, name := range slices.Sorted(maps.Keys(counted)) {
-		if out.Has(name) {
-			evacuated += counted[name].Ordinary
+	evacuatedZones := s.node.evacuated.Load()
+	for _, name := range slices.Sorted(maps.Keys(byZone)) {
+		if evacuatedZones.Has(name) {
+			evacuated += byZone[name].Ordinary
 			continue
 		}
-		zones = append(zones, *counted[name])
+		zones = append(zones, *byZone[name])
 	}
 	return zones, evacuated
 }
@@ -125,10 +125,10 @@
 	if !ok {
 		return false
 	}
-	callCtx, cancel := context.WithTimeout(ctx, scaleTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, samplerOrderTimeout)
 	defer cancel()
-	asked := SamplerOrder{Service: service, Zone: order.Zone, Desired: order.Desired, Spot: true}
-	if err := s.node.ports.Scaler.OrderSamplers(callCtx, right, asked); err != nil {
+	request := SamplerOrder{Service: service, Zone: order.Zone, Desired: order.Desired, Spot: true}
+	if err := s.node.ports.Scaler.OrderSamplers(callCtx, right, request); err != nil {
 		s.node.logger.Log(event.SamplersUnordered, "service", service, "zone", order.Zone, "desired", order.Desired,
 			"spot", true, "fence", right.Fence, "detail", err.Error())
 		return false
--- a/internal/hosted/usage.go
+++ b/internal/hosted/usage.go
@@ -17,13 +17,13 @@
 
 const (
 	// leastGather is how long a node gathers counts at least before it writes them.
-	leastGather = 300 * time.Millisecond
+	minGatherInterval = 300 * time.Millisecond
 	// gatherPerNode lengthens that so that all nodes together append no more than a
 	// hundred times a second: a partition takes an append each 4 ms.
-	gatherPerNode = 10 * time.Millisecond
+	gatherIntervalPerNode = 10 * time.Millisecond
 	// longestGather bounds it, since reports wait for it and a killed process loses what
 	// it gathered.
-	longestGather = 3 * time.Second
+	maxGatherInterval = 3 * time.Second
 )
 
 // usage counts what tenants use and reports it where the platform asks for that.
@@ -36,19 +36,19 @@
 // newUsage returns a usage that counts nothing if nothing is to be reported.
 func newUsage(n *Node) *usage {
 	u := &usage{node: n}
-	length := n.settings.UsageWindow
-	if length <= 0 || n.ports.Usage == nil {
+	window := n.settings.UsageWindow
+	if window <= 0 || n.ports.Usage == nil {
 		return u
 	}
-	day := &metering.Clock{Now: time.Now, Slept: clock.Slept}
+	usageClock := &metering.Clock{Now: time.Now, Slept: clock.Slept}
 	partition := sharedlog.Partition{Topic: n.settings.UsageTopic}
-	u.recorder = metering.NewRecorder(metering.NewCounter(n.settings.Name, rand.Uint64(), length, day.Read()))
-	u.recorder.Log, u.recorder.Partition, u.recorder.Clock = n.log, partition, day
-	u.recorder.Pause, u.recorder.Logger = u.gather, n.logger
+	u.recorder = metering.NewRecorder(metering.NewCounter(n.settings.Name, rand.Uint64(), window, usageClock.Read()))
+	u.recorder.Log, u.recorder.Partition, u.recorder.Clock = n.log, partition, usageClock
+	u.recorder.Pause, u.recorder.Logger = u.gatherInterval, n.logger
 	u.reporter = &metering.Reporter{
 		Log: n.log, Partition: partition, Observer: n, Holder: n.claims, Sender: n.ports.Usage,
-		Clock: day, Logger: n.logger, Length: length, Late: n.settings.UsageLate, Gather: u.gather,
-		Observe: n.metrics.usageReport,
+		Clock: usageClock, Logger: n.logger, Length: window, Late: n.settings.UsageLate, Gather: u.gatherInterval,
+		Observe: n.metrics.recordUsageReport,
 	}
 	return u
 }
@@ -62,12 +62,12 @@
 }
 
 // gather is how long a node gathers counts before it writes them.
-func (u *usage) gather() time.Duration {
+func (u *usage) gatherInterval() time.Duration {
 	announced, ok := u.node.directory.Announced()
 	if !ok {
-		return leastGather
+		return minGatherInterval
 	}
-	return min(max(leastGather, time.Duration(announced.Nodes)*gatherPerNode), longestGather)
+	return min(max(minGatherInterval, time.Duration(announced.Nodes)*gatherIntervalPerNode), maxGatherInterval)
 }
 
 // count counts a request of a tenant that began at a time.
--- a/internal/hosted/weights.go
+++ b/internal/hosted/weights.go
@@ -18,12 +18,12 @@
 	// takes as long where it is alone. lookInterval is the shortest pause between
 	// looks at one sampler; all looks together come looksPerSecond times a second at
 	// most (chosen).
-	firstLook      = 900 * time.Millisecond
-	lookInterval   = 60 * time.Millisecond
-	looksPerSecond = 1000
+	firstPollDelay    = 900 * time.Millisecond
+	minPollInterval   = 60 * time.Millisecond
+	maxPollsPerSecond = 1000
 	// loadPatience is how long an order may take before the sampler is judged
 	// anew.
-	loadPatience = 4 * time.Second
+	loadTimeout = 4 * time.Second
 )
 
 // orderWeights begins the orders that are due. It is called under the lock.
@@ -45,7 +45,7 @@
 		session, scheduler := e.session, e.scheduler
 		e.work.Go(func() {
 			began := time.Now()
-			reached := e.move(session, scheduler, sampler, step)
+			reached := e.moveToVersion(session, scheduler, sampler, step)
 			e.mutex.Lock()
 			defer e.mutex.Unlock()
 			if e.scheduler != scheduler {
@@ -53,7 +53,7 @@
 			}
 			scheduler.SetLoading(sampler.Incarnation(), step.Model, false)
 			e.roll.Done(step, reached, time.Now())
-			e.node.metrics.versionMove(reached, time.Since(began))
+			e.node.metrics.recordVersionMove(reached, time.Since(began))
 			e.wake()
 		})
 	}
@@ -74,7 +74,7 @@
 	var members []weights.Member
 	for _, load := range f.executor.scheduler.Loads() {
 		if !load.Evacuated {
-			members = append(members, memberOf(load))
+			members = append(members, toMember(load))
 		}
 	}
 	return members
@@ -86,12 +86,12 @@
 	if !known || load.Evacuated {
 		return weights.Member{}, false
 	}
-	member := memberOf(load)
+	member := toMember(load)
 	member.Wait = f.executor.node.claims.recent(id, f.now)
 	return member, true
 }
 
-func memberOf(load schedule.Load) weights.Member {
+func toMember(load schedule.Load) weights.Member {
 	return weights.Member{
 		ID: load.ID, Born: load.Born, Versions: load.Versions, Running: load.Running, Slots: load.Slots, Leaving: load.Leaving,
 	}
@@ -99,13 +99,13 @@
 
 // move brings one sampler to a version. It reports whether the sampler was seen
 // to serve it.
-func (e *executor) move(ctx context.Context, scheduler *schedule.Scheduler, sampler schedule.Sampler, step weights.Step) bool {
+func (e *executor) moveToVersion(ctx context.Context, scheduler *schedule.Scheduler, sampler schedule.Sampler, step weights.Step) bool {
 	report, err := e.report(ctx, sampler)
 	if err != nil {
 		e.node.logger.Log(event.WeightsFailed, "sampler", sampler.ID, "model", step.Model, "version", step.Version, "detail", err.Error())
 		return false
 	}
-	e.noteVersions(scheduler, sampler, report.Versions)
+	e.recordVersions(scheduler, sampler, report.Versions)
 	if report.Versions[step.Model] >= step.Version {
 		return true
 	}
@@ -133,7 +133,7 @@
 	case OrderTaken, OrderUnknown, OrderConflict:
 		return e.awaitVersion(ctx, scheduler, sampler, step)
 	case OrderHolds:
-		e.noteVersions(scheduler, sampler, map[string]uint64{step.Model: step.Version})
+		e.recordVersions(scheduler, sampler, map[string]uint64{step.Model: step.Version})
 		return true
 	default:
 		return false
@@ -143,41 +143,41 @@
 // awaitVersion asks a sampler until it serves a version.
 func (e *executor) awaitVersion(ctx context.Context, scheduler *schedule.Scheduler, sampler schedule.Sampler, step weights.Step) bool {
 	e.setLoading(scheduler, sampler, step)
-	began := time.Now()
-	wait.For(ctx, firstLook)
-	idle := 0
-	for ctx.Err() == nil && time.Since(began) < loadPatience && !e.node.evacuated.Load().Has(sampler.Zone) {
+	start := time.Now()
+	wait.For(ctx, firstPollDelay)
+	idleReports := 0
+	for ctx.Err() == nil && time.Since(start) < loadTimeout && !e.node.evacuated.Load().Has(sampler.Zone) {
 		report, err := e.report(ctx, sampler)
 		if err == nil {
-			e.noteVersions(scheduler, sampler, report.Versions)
+			e.recordVersions(scheduler, sampler, report.Versions)
 			if report.Versions[step.Model] >= step.Version && !report.Busy {
 				return true
 			}
-			if idle = idleLooks(idle, report); idle > maxIdleLooks {
+			if idleReports = countIdleReports(idleReports, report); idleReports > maxIdleReports {
 				return false
 			}
 		}
-		wait.For(ctx, e.lookPause())
+		wait.For(ctx, e.pollInterval())
 	}
 	return false
 }
 
 // lookPause is the pause between two looks at a sampler that loads.
-func (e *executor) lookPause() time.Duration {
+func (e *executor) pollInterval() time.Duration {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return max(lookInterval, time.Duration(e.roll.Moving())*time.Second/looksPerSecond)
+	return max(minPollInterval, time.Duration(e.roll.Moving())*time.Second/maxPollsPerSecond)
 }
 
 // maxIdleLooks is how many reports in a row may show neither the version nor an
 // order under way before the order counts as not taken.
-const maxIdleLooks = 2
+const maxIdleReports = 2
 
-func idleLooks(before int, report SamplerReport) int {
+func countIdleReports(previous int, report SamplerReport) int {
 	if report.Busy {
 		return 0
 	}
-	return before + 1
+	return previous + 1
 }
 
 // report asks a sampler of itself. The answer of another incarnation than the one that is
@@ -185,14 +185,14 @@
 func (e *executor) report(ctx context.Context, sampler schedule.Sampler) (SamplerReport, error) {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
-	answered, err := e.node.ports.Control.Report(ctx, sampler)
-	if err == nil && answered.Born != sampler.Born && answered.Born > 0 && sampler.Born > 0 {
-		return SamplerReport{}, result.New(result.BackEndRefused, "sampler %q started at %d, not at %d", sampler.ID, answered.Born, sampler.Born)
+	report, err := e.node.ports.Control.Report(ctx, sampler)
+	if err == nil && report.Born != sampler.Born && report.Born > 0 && sampler.Born > 0 {
+		return SamplerReport{}, result.New(result.BackEndRefused, "sampler %q started at %d, not at %d", sampler.ID, report.Born, sampler.Born)
 	}
-	return answered, err
+	return report, err
 }
 
-func (e *executor) noteVersions(scheduler *schedule.Scheduler, sampler schedule.Sampler, versions map[string]uint64) {
+func (e *executor) recordVersions(scheduler *schedule.Scheduler, sampler schedule.Sampler, versions map[string]uint64) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	for model, version := range versions {
--- a/internal/hosted/weights_test.go
+++ b/internal/hosted/weights_test.go
@@ -49,7 +49,7 @@
 
 // holder returns a node that takes itself for the holder of the jobs under a
 // generation.
-func holder(name string, generation uint64, log sharedlog.Log) *executor {
+func newHolder(name string, generation uint64, log sharedlog.Log) *executor {
 	settings := Settings{
 		Name: name, Zone: "a", ShortestTTL: time.Second, OrderGrace: 3 * time.Second, MaxRecordBytes: 1 << 10, MaxCallBytes: 1 << 12,
 	}
@@ -58,7 +58,7 @@
 	return node.executor
 }
 
-func announces(t *testing.T, e *executor, samplerID string) bool {
+func canClaim(t *testing.T, e *executor, samplerID string) bool {
 	t.Helper()
 	right, ok := e.node.claims.Claim(t.Context(), samplerID)
 	if ok {
@@ -67,11 +67,11 @@
 	return ok
 }
 
-func TestNewHolderOrdersAtOnceWhereNobodyElseDid(t *testing.T) {
+func TestNewHolderOrdersImmediatelyWithoutEarlierOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := &jobsLog{}
-		require.True(t, announces(t, holder("a", 4, log), "s"))
-		require.True(t, announces(t, holder("a", 5, log), "s"), "the same machine after a restart")
+		require.True(t, canClaim(t, newHolder("a", 4, log), "s"))
+		require.True(t, canClaim(t, newHolder("a", 5, log), "s"), "the same machine after a restart")
 	})
 }
 
@@ -81,43 +81,43 @@
 func TestFormerHolderFindsTheNewOneInTheLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := &jobsLog{}
-		former, next := holder("former", 4, log), holder("next", 5, log)
-		require.True(t, announces(t, former, "s1"))
-		require.True(t, announces(t, next, "s2"))
-		require.False(t, announces(t, former, "s3"), "to whichever sampler")
-		require.True(t, announces(t, next, "s4"))
+		former, next := newHolder("former", 4, log), newHolder("next", 5, log)
+		require.True(t, canClaim(t, former, "s1"))
+		require.True(t, canClaim(t, next, "s2"))
+		require.False(t, canClaim(t, former, "s3"), "to whichever sampler")
+		require.True(t, canClaim(t, next, "s4"))
 	})
 }
 
-func TestNewHolderLeavesASamplerAloneThatAnotherOrdered(t *testing.T) {
+func TestNewHolderWaitsForASamplerThatAnotherOrdered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := &jobsLog{}
-		former, next := holder("former", 4, log), holder("next", 5, log)
-		require.True(t, announces(t, former, "s1"))
-		require.False(t, announces(t, next, "s1"))
-		require.True(t, announces(t, next, "s2"))
+		former, next := newHolder("former", 4, log), newHolder("next", 5, log)
+		require.True(t, canClaim(t, former, "s1"))
+		require.False(t, canClaim(t, next, "s1"))
+		require.True(t, canClaim(t, next, "s2"))
 		time.Sleep(3*time.Second + 2*ownership.OrderMargin)
 		next.node.ownership.Take(ownershiptest.Holding(5, jobPartition), clock.Mark())
-		require.True(t, announces(t, next, "s1"))
+		require.True(t, canClaim(t, next, "s1"))
 	})
 }
 
 // The log may answer reads from a state of seconds ago.
-func TestOrderWaitsUntilItsAnnouncementIsReadBack(t *testing.T) {
+func TestNoOrderUntilTheClaimIsReadBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := &jobsLog{hidden: 1}
-		require.False(t, announces(t, holder("a", 4, log), "s"))
+		require.False(t, canClaim(t, newHolder("a", 4, log), "s"))
 	})
 }
 
 // 430 samplers that loaded at once were asked 7,000 times a second.
-func TestLooksAtLoadingSamplersAreBounded(t *testing.T) {
-	e := holder("a", 1, emptyLog{})
-	require.Equal(t, lookInterval, e.lookPause())
+func TestPollRateOfLoadingSamplersIsBounded(t *testing.T) {
+	e := newHolder("a", 1, emptyLog{})
+	require.Equal(t, minPollInterval, e.pollInterval())
 	var members []weights.Member
 	for i := range 2500 {
 		members = append(members, weights.Member{ID: fmt.Sprint(i), Versions: map[string]uint64{"m": 1}})
 	}
 	require.Len(t, e.roll.Next(time.Now(), weights.Listed(members), map[string]uint64{"m": 2}), 500)
-	require.Equal(t, 500*time.Second/looksPerSecond, e.lookPause())
+	require.Equal(t, 500*time.Second/maxPollsPerSecond, e.pollInterval())
 }
--- a/internal/hosted/worker.go
+++ b/internal/hosted/worker.go
@@ -25,19 +25,19 @@
 	// before within the users' bound of 3 s for runs of ended jobs (chosen).
 	workerLease = 2 * time.Second
 	// workerTick is how often a worker looks at what no call announces.
-	workerTick = 50 * time.Millisecond
+	workerInterval = 50 * time.Millisecond
 	// reportLinger lets reports of a moment share an answer (chosen: half of the time
 	// between two events of a text).
-	reportLinger = 15 * time.Millisecond
+	reportBatchDelay = 15 * time.Millisecond
 	// heldUpLimit is how much longer than others a call may have been on its way for its
 	// starts to count, and how much later a run may begin: the budget of a cold sampler and the end of a job hold for the time
 	// at which the run was decided on (chosen; the users allow 300 ms after a thaw).
-	heldUpLimit = 300 * time.Millisecond
+	maxStartDelay = 300 * time.Millisecond
 	// mostHold bounds how long a call may wait for reports.
-	mostHold = time.Second
+	maxLongPoll = time.Second
 	// textMemory is how long a text is held that no run goes on with: as long as a group
 	// may take to come again in a later job.
-	textMemory = 2 * time.Minute
+	textRetention = 2 * time.Minute
 )
 
 // worker carries runs of items for the node that decides: it reads the bodies, holds the
@@ -48,7 +48,7 @@
 	process uint64
 	// active is set once any call came.
 	active atomic.Bool
-	woken  chan struct{}
+	wakeup chan struct{}
 
 	changesMutex sync.Mutex
 	changes      []ledger.Change
@@ -57,18 +57,18 @@
 	session carry.Session
 	heardAt clock.Moment
 	// way tells which calls were held up.
-	way     carry.Way
-	reports carry.Reports
+	callDelays carry.Way
+	reports    carry.Reports
 	// news is closed and replaced at every report.
-	news      chan struct{}
-	lastRun   uint64
-	runs      map[uint64]*carriedRun
-	jobs      map[string]*carriedJob
-	reading   map[string]*jobRead
-	texts     map[textKey]*carriedText
-	finishing map[schedule.Key]struct{}
-	savedAt   time.Time
-	leaving   bool
+	reported        chan struct{}
+	lastRun         uint64
+	runs            map[uint64]*carriedRun
+	jobs            map[string]*loadedJob
+	loading         map[string]*jobLoad
+	texts           map[textKey]*heldText
+	finishing       map[schedule.Key]struct{}
+	progressSavedAt time.Time
+	leaving         bool
 
 	// lifetime ends with the node.
 	lifetime context.Context
@@ -81,22 +81,22 @@
 	key    schedule.Key
 	stop   context.CancelFunc
 	// orderedAt is when its start came.
-	orderedAt clock.Moment
+	receivedAt clock.Moment
 }
 
 // carriedJob is a job whose items were read.
-type carriedJob struct {
+type loadedJob struct {
 	spec  *pathbendv1.BatchJob
 	items map[string]*pathbendv1.BatchItem
 	// over is when the job ended or was complete, as far as this node knows.
-	over time.Time
+	endedAt time.Time
 }
 
 // jobRead is a read of a job's items for all that wait for it. job and err are set once
 // done is closed.
-type jobRead struct {
+type jobLoad struct {
 	done chan struct{}
-	job  *carriedJob
+	job  *loadedJob
 	err  error
 }
 
@@ -107,19 +107,19 @@
 }
 
 // carriedText is a text that the worker holds.
-type carriedText struct {
+type heldText struct {
 	schedule.Text
 	job string
 	// run is the run that may add to it, nil if none does.
-	run      *carriedRun
-	complete bool
-	usedAt   time.Time
+	run        *carriedRun
+	isComplete bool
+	usedAt     time.Time
 }
 
 func newWorker(n *Node) *worker {
 	return &worker{
-		node: n, process: rand.Uint64(), woken: make(chan struct{}, 1), news: make(chan struct{}), runs: make(map[uint64]*carriedRun),
-		jobs: make(map[string]*carriedJob), reading: make(map[string]*jobRead), texts: make(map[textKey]*carriedText), finishing: make(map[schedule.Key]struct{}),
+		node: n, process: rand.Uint64(), wakeup: make(chan struct{}, 1), reported: make(chan struct{}), runs: make(map[uint64]*carriedRun),
+		jobs: make(map[string]*loadedJob), loading: make(map[string]*jobLoad), texts: make(map[textKey]*heldText), finishing: make(map[schedule.Key]struct{}),
 		lifetime: context.Background(),
 	}
 }
@@ -129,7 +129,7 @@
 	w.mutex.Lock()
 	w.lifetime = ctx
 	w.mutex.Unlock()
-	ticker := time.NewTicker(workerTick)
+	ticker := time.NewTicker(workerInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		ticks := ticker.C
@@ -139,7 +139,7 @@
 		}
 		select {
 		case <-ticks:
-		case <-w.woken:
+		case <-w.wakeup:
 		case <-ctx.Done():
 		}
 		if w.active.Load() {
@@ -166,7 +166,7 @@
 // wake makes the worker look at once.
 func (w *worker) wake() {
 	select {
-	case w.woken <- struct{}{}:
+	case w.wakeup <- struct{}{}:
 	default:
 	}
 }
@@ -186,11 +186,11 @@
 			"runs", len(w.runs), "silent_ms", w.heardAt.AgeAt(now).Milliseconds())
 		w.stopRuns(func(*carriedRun) bool { return true })
 	}
-	if now.Sub(w.savedAt) >= progressInterval {
-		w.savedAt = now
+	if now.Sub(w.progressSavedAt) >= progressInterval {
+		w.progressSavedAt = now
 		w.saveProgress(progressEvents, now)
 	}
-	w.forget(now)
+	w.removeExpired(now)
 }
 
 func (w *worker) applyChange(change ledger.Change, now time.Time) {
@@ -203,18 +203,18 @@
 		return
 	}
 	w.stopRuns(func(run *carriedRun) bool { return run.key.Job == change.Job.ID && !run.key.Ahead })
-	if job, known := w.jobs[change.Job.ID]; known && job.over.IsZero() {
-		job.over = now
+	if job, found := w.jobs[change.Job.ID]; found && job.endedAt.IsZero() {
+		job.endedAt = now
 	}
 }
 
 // isUnderWay reports whether a run goes on. It is called under the lock.
-func (w *worker) isUnderWay(run *carriedRun) bool { return run != nil && w.runs[run.number] == run }
+func (w *worker) isRunning(run *carriedRun) bool { return run != nil && w.runs[run.number] == run }
 
 // stopRuns stops the runs that are chosen. It is called under the lock.
-func (w *worker) stopRuns(chosen func(*carriedRun) bool) {
+func (w *worker) stopRuns(selected func(*carriedRun) bool) {
 	for number, run := range w.runs {
-		if chosen(run) {
+		if selected(run) {
 			run.stop()
 			delete(w.runs, number)
 		}
@@ -223,15 +223,15 @@
 
 // forget drops the bodies of jobs that are over, with the runs ahead of them that go on
 // for too long, and texts that nothing goes on with.
-func (w *worker) forget(now time.Time) {
+func (w *worker) removeExpired(now time.Time) {
 	for id, job := range w.jobs {
-		if !job.over.IsZero() && now.Sub(job.over) > schedule.AheadPatience {
+		if !job.endedAt.IsZero() && now.Sub(job.endedAt) > schedule.AheadPatience {
 			w.stopRuns(func(run *carriedRun) bool { return run.key.Job == id })
 			delete(w.jobs, id)
 		}
 	}
 	for key, text := range w.texts {
-		if !w.isUnderWay(text.run) && now.Sub(text.usedAt) > textMemory {
+		if !w.isRunning(text.run) && now.Sub(text.usedAt) > textRetention {
 			delete(w.texts, key)
 		}
 	}
@@ -240,13 +240,13 @@
 // saveProgress saves what running items made. It is called under the lock.
 func (w *worker) saveProgress(minEvents uint64, now time.Time) {
 	unsaved := make(partsByJob)
-	w.node.jobs.withLedger(func(known *ledger.Ledger) {
+	w.node.jobs.withLedger(func(jobs *ledger.Ledger) {
 		for _, run := range w.runs {
 			text := w.texts[textKey{item: run.key.Item, ahead: run.key.Ahead}]
-			if run.key.Ahead || text == nil || text.complete {
+			if run.key.Ahead || text == nil || text.isComplete {
 				continue
 			}
-			if part, ok := text.Unsaved(run.key.Item, minEvents, known, rand.Uint64, now); ok {
+			if part, ok := text.Unsaved(run.key.Item, minEvents, jobs, rand.Uint64, now); ok {
 				unsaved[run.key.Job] = append(unsaved[run.key.Job], part)
 			}
 		}
@@ -262,7 +262,7 @@
 	w.mutex.Lock()
 	w.leaving = true
 	w.saveProgress(1, time.Now())
-	w.announceNews()
+	w.notifyReported()
 	w.mutex.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, flushPatience)
 	defer cancel()
@@ -270,41 +270,41 @@
 }
 
 // announceNews wakes the calls that wait for reports. It is called under the lock.
-func (w *worker) announceNews() {
-	close(w.news)
-	w.news = make(chan struct{})
+func (w *worker) notifyReported() {
+	close(w.reported)
+	w.reported = make(chan struct{})
 }
 
 // report tells the caller something. It is called under the lock.
-func (w *worker) report(session carry.Session, report *pathbendv1.CarryReport) {
+func (w *worker) addReport(session carry.Session, report *pathbendv1.CarryReport) {
 	if w.session != session {
 		return
 	}
 	w.reports.Add(report)
-	w.announceNews()
+	w.notifyReported()
 }
 
 // HandlePeer implements peer.Handler.
 func (w *worker) HandlePeer(ctx context.Context, call *pathbendv1.Envelope) (*pathbendv1.Envelope, error) {
-	carried := call.GetCarryCall()
-	if carried == nil {
+	carryCall := call.GetCarryCall()
+	if carryCall == nil {
 		return nil, result.New(result.FrameMalformed, "not a call for a worker")
 	}
-	reply, err := w.carry(ctx, carried)
+	reply, err := w.handleCall(ctx, carryCall)
 	if err != nil {
 		return nil, err
 	}
 	return &pathbendv1.Envelope{Body: &pathbendv1.Envelope_CarryReply{CarryReply: reply}}, nil
 }
 
-func (w *worker) carry(ctx context.Context, call *pathbendv1.CarryCall) (*pathbendv1.CarryReply, error) {
+func (w *worker) handleCall(ctx context.Context, call *pathbendv1.CarryCall) (*pathbendv1.CarryReply, error) {
 	session := carry.Session{Decider: call.Decider, Generation: call.Generation, ID: call.Session}
-	news, err := w.obey(session, call)
+	reported, err := w.applyCall(session, call)
 	if err != nil {
 		return nil, err
 	}
 	if call.HoldMs > 0 {
-		w.awaitReports(ctx, news, min(time.Duration(call.HoldMs)*time.Millisecond, mostHold))
+		w.awaitReports(ctx, reported, min(time.Duration(call.HoldMs)*time.Millisecond, maxLongPoll))
 	}
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -320,82 +320,82 @@
 
 // obey carries a call's orders out. It returns a channel that is closed at the next report,
 // nil if there is one already.
-func (w *worker) obey(session carry.Session, call *pathbendv1.CarryCall) (<-chan struct{}, error) {
+func (w *worker) applyCall(session carry.Session, call *pathbendv1.CarryCall) (<-chan struct{}, error) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if w.lifetime.Err() != nil {
 		return nil, result.New(result.Draining, "the node stops")
 	}
-	begins, err := w.session.Admit(session)
+	isNew, err := w.session.Admit(session)
 	if err != nil {
 		return nil, err
 	}
-	if begins {
-		w.begin(session)
+	if isNew {
+		w.startSession(session)
 	}
 	now := time.Now()
 	w.heardAt = clock.At(now)
-	late := w.way.HeldUp(clock.Now(), time.Duration(call.SentMs)*time.Millisecond) > heldUpLimit
+	delayed := w.callDelays.HeldUp(clock.Now(), time.Duration(call.SentMs)*time.Millisecond) > maxStartDelay
 	w.reports.Acknowledge(call.Acknowledged)
 	for _, order := range call.Orders {
-		w.order(session, order, late)
+		w.applyOrder(session, order, delayed)
 	}
 	if len(w.reports.Pending()) > 0 {
 		return nil, nil
 	}
-	return w.news, nil
+	return w.reported, nil
 }
 
 // begin takes orders of another session: the runs of the former one end, their texts are
 // gone on with.
-func (w *worker) begin(session carry.Session) {
+func (w *worker) startSession(session carry.Session) {
 	w.active.Store(true)
 	w.wake()
 	w.stopRuns(func(*carriedRun) bool { return true })
 	w.node.logger.Log(event.WorkerServes, "decider", session.Decider, "generation", session.Generation,
 		"former", w.session.Decider, "texts", len(w.texts))
-	w.session, w.reports, w.way, w.lastRun = session, carry.Reports{}, carry.Way{}, 0
+	w.session, w.reports, w.callDelays, w.lastRun = session, carry.Reports{}, carry.Way{}, 0
 }
 
-func (w *worker) awaitReports(ctx context.Context, news <-chan struct{}, hold time.Duration) {
-	if news != nil {
-		timer := time.NewTimer(hold)
+func (w *worker) awaitReports(ctx context.Context, reported <-chan struct{}, timeout time.Duration) {
+	if reported != nil {
+		timer := time.NewTimer(timeout)
 		defer timer.Stop()
 		select {
-		case <-news:
+		case <-reported:
 		case <-timer.C:
 			return
 		case <-ctx.Done():
 			return
 		}
 	}
-	wait.For(ctx, reportLinger)
+	wait.For(ctx, reportBatchDelay)
 }
 
 // order carries one order out. Orders that come twice are harmless: runs are numbered in
 // the order of their starts. A start that comes late is passed over.
-func (w *worker) order(session carry.Session, order *pathbendv1.CarryOrder, late bool) {
-	switch ordered := order.Order.(type) {
+func (w *worker) applyOrder(session carry.Session, order *pathbendv1.CarryOrder, delayed bool) {
+	switch typed := order.Order.(type) {
 	case *pathbendv1.CarryOrder_Open:
-		w.work.Go(func() { w.outline(session, ordered.Open) })
+		w.work.Go(func() { w.reportOutline(session, typed.Open) })
 	case *pathbendv1.CarryOrder_Start:
-		if ordered.Start.Run <= w.lastRun {
+		if typed.Start.Run <= w.lastRun {
 			return
 		}
-		w.lastRun = ordered.Start.Run
-		if late {
-			w.reportRun(session, &pathbendv1.RunState{
-				Run: ordered.Start.Run, Ending: uint32(schedule.Stopped), Detail: "its start was held up on the way",
+		w.lastRun = typed.Start.Run
+		if delayed {
+			w.addRunReport(session, &pathbendv1.RunState{
+				Run: typed.Start.Run, Ending: uint32(schedule.Stopped), Detail: "its start was held up on the way",
 			})
 			return
 		}
-		w.startRun(session, ordered.Start)
+		w.startRun(session, typed.Start)
 	case *pathbendv1.CarryOrder_Stop:
-		if run, known := w.runs[ordered.Stop]; known {
+		if run, found := w.runs[typed.Stop]; found {
 			run.stop()
-			delete(w.runs, ordered.Stop)
+			delete(w.runs, typed.Stop)
 		}
 	case *pathbendv1.CarryOrder_Finish:
-		w.work.Go(func() { w.finishOrdered(session, ordered.Finish) })
+		w.work.Go(func() { w.finishItem(session, typed.Finish) })
 	}
 }
--- a/internal/hosted/worker_runs.go
+++ b/internal/hosted/worker_runs.go
@@ -14,51 +14,51 @@
 )
 
 // read returns a job that is not over, with the bodies of its items.
-func (w *worker) read(ctx context.Context, jobID string) (*carriedJob, error) {
+func (w *worker) loadJob(ctx context.Context, jobID string) (*loadedJob, error) {
 	w.mutex.Lock()
 	if job, known := w.jobs[jobID]; known {
 		defer w.mutex.Unlock()
-		if !job.over.IsZero() {
+		if !job.endedAt.IsZero() {
 			return nil, unknownJob(jobID)
 		}
 		return job, nil
 	}
-	reading, underWay := w.reading[jobID]
-	if !underWay {
-		reading = &jobRead{done: make(chan struct{})}
-		w.reading[jobID] = reading
-		w.work.Go(func() { w.readFor(reading, jobID) })
+	load, isLoading := w.loading[jobID]
+	if !isLoading {
+		load = &jobLoad{done: make(chan struct{})}
+		w.loading[jobID] = load
+		w.work.Go(func() { w.loadShared(load, jobID) })
 	}
 	w.mutex.Unlock()
 	select {
-	case <-reading.done:
-		return reading.job, reading.err
+	case <-load.done:
+		return load.job, load.err
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
 // readFor reads a job for all that wait for it.
-func (w *worker) readFor(reading *jobRead, jobID string) {
-	defer close(reading.done)
-	reading.job, reading.err = w.readOnce(w.lifetime, jobID)
+func (w *worker) loadShared(load *jobLoad, jobID string) {
+	defer close(load.done)
+	load.job, load.err = w.fetchJob(w.lifetime, jobID)
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	delete(w.reading, jobID)
-	if reading.err != nil {
+	delete(w.loading, jobID)
+	if load.err != nil {
 		return
 	}
-	w.jobs[jobID] = reading.job
+	w.jobs[jobID] = load.job
 	w.node.jobs.view(jobID, func(job *ledger.Job) {
 		if job == nil || !job.Open() {
 			// The change that said so found no job here.
-			reading.job.over = time.Now()
+			load.job.endedAt = time.Now()
 		}
 	})
 }
 
-func (w *worker) readOnce(ctx context.Context, jobID string) (*carriedJob, error) {
-	spec, err := w.specOf(ctx, jobID)
+func (w *worker) fetchJob(ctx context.Context, jobID string) (*loadedJob, error) {
+	spec, err := w.openJobSpec(ctx, jobID)
 	if err != nil {
 		return nil, err
 	}
@@ -69,7 +69,7 @@
 	if err != nil {
 		return nil, err
 	}
-	job := &carriedJob{spec: spec, items: make(map[string]*pathbendv1.BatchItem, len(items))}
+	job := &loadedJob{spec: spec, items: make(map[string]*pathbendv1.BatchItem, len(items))}
 	for _, item := range items {
 		job.items[item.Id] = item
 	}
@@ -77,19 +77,19 @@
 }
 
 // specOf returns a job that is open. A job that this node has not read of yet is in the log.
-func (w *worker) specOf(ctx context.Context, jobID string) (*pathbendv1.BatchJob, error) {
+func (w *worker) openJobSpec(ctx context.Context, jobID string) (*pathbendv1.BatchJob, error) {
 	var spec *pathbendv1.BatchJob
-	look := func(job *ledger.Job) {
+	readSpec := func(job *ledger.Job) {
 		if job != nil && job.Open() {
 			spec = job.Spec
 		}
 	}
-	w.node.jobs.view(jobID, look)
+	w.node.jobs.view(jobID, readSpec)
 	if spec == nil {
 		if err := w.node.jobs.refresh(ctx); err != nil {
 			return nil, err
 		}
-		w.node.jobs.view(jobID, look)
+		w.node.jobs.view(jobID, readSpec)
 	}
 	if spec == nil {
 		return nil, unknownJob(jobID)
@@ -98,11 +98,11 @@
 }
 
 // outline reports the items of a job without bodies.
-func (w *worker) outline(session carry.Session, jobID string) {
+func (w *worker) reportOutline(session carry.Session, jobID string) {
 	outline := &pathbendv1.JobOutline{JobId: jobID}
-	job, err := w.read(w.lifetime, jobID)
+	job, err := w.loadJob(w.lifetime, jobID)
 	if err != nil {
-		outline.Failure, outline.Unserved = err.Error(), !passing(err)
+		outline.Failure, outline.Unserved = err.Error(), !isJobError(err)
 	} else {
 		for _, id := range job.spec.ItemIds {
 			if item := job.items[id]; item != nil {
@@ -112,12 +112,12 @@
 	}
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.report(session, &pathbendv1.CarryReport{Report: &pathbendv1.CarryReport_Outline{Outline: outline}})
+	w.addReport(session, &pathbendv1.CarryReport{Report: &pathbendv1.CarryReport_Outline{Outline: outline}})
 }
 
 // passing reports whether a job cannot be read for a reason that another worker would have
 // too, and the caller will learn of: it is over, or bound elsewhere by now.
-func passing(err error) bool {
+func isJobError(err error) bool {
 	return result.Is(err, result.JobUnknown) || result.Is(err, result.RegionUnavailable)
 }
 
@@ -135,70 +135,70 @@
 // startRun begins a run. It is called under the lock.
 func (w *worker) startRun(session carry.Session, start *pathbendv1.StartRun) {
 	ctx, stop := context.WithCancel(w.lifetime)
-	run := &carriedRun{number: start.Run, key: schedule.Key{Job: start.JobId, Item: start.ItemId, Ahead: start.Ahead}, stop: stop, orderedAt: clock.Mark()}
+	run := &carriedRun{number: start.Run, key: schedule.Key{Job: start.JobId, Item: start.ItemId, Ahead: start.Ahead}, stop: stop, receivedAt: clock.Mark()}
 	w.runs[start.Run] = run
-	w.node.metrics.carried.WithLabelValues(session.Decider).Inc()
+	w.node.metrics.workerRuns.WithLabelValues(session.Decider).Inc()
 	w.work.Go(func() {
 		defer stop()
-		state := w.carryRun(ctx, session, run, start)
+		state := w.executeRun(ctx, session, run, start)
 		w.mutex.Lock()
-		if w.isUnderWay(run) {
+		if w.isRunning(run) {
 			delete(w.runs, start.Run)
 		}
-		w.reportRun(session, state)
+		w.addRunReport(session, state)
 		w.mutex.Unlock()
 		if state.Ending == uint32(schedule.Complete) && !start.Ahead {
-			w.finishOwn(session, run.key, start)
+			w.finishCompletedRun(session, run.key, start)
 		}
 	})
 }
 
-func (w *worker) reportRun(session carry.Session, state *pathbendv1.RunState) {
-	w.report(session, &pathbendv1.CarryReport{Report: &pathbendv1.CarryReport_Run{Run: state}})
+func (w *worker) addRunReport(session carry.Session, state *pathbendv1.RunState) {
+	w.addReport(session, &pathbendv1.CarryReport{Report: &pathbendv1.CarryReport_Run{Run: state}})
 }
 
 // carryRun carries a run to its end and returns how it ended.
-func (w *worker) carryRun(ctx context.Context, session carry.Session, carried *carriedRun, start *pathbendv1.StartRun) *pathbendv1.RunState {
-	stopped := func(unserved bool, err error) *pathbendv1.RunState {
+func (w *worker) executeRun(ctx context.Context, session carry.Session, current *carriedRun, start *pathbendv1.StartRun) *pathbendv1.RunState {
+	stoppedState := func(unserved bool, err error) *pathbendv1.RunState {
 		return &pathbendv1.RunState{Run: start.Run, Ending: uint32(schedule.Stopped), Unserved: unserved, Detail: err.Error()}
 	}
-	job, err := w.read(ctx, carried.key.Job)
+	job, err := w.loadJob(ctx, current.key.Job)
 	switch {
 	case result.Is(err, result.RegionUnavailable):
 		return &pathbendv1.RunState{Run: start.Run, Ending: uint32(schedule.Refused), Detail: err.Error()}
 	case err != nil:
-		return stopped(!passing(err) && ctx.Err() == nil, err)
+		return stoppedState(!isJobError(err) && ctx.Err() == nil, err)
 	}
 	if err := w.node.permitsRun(job.spec, start.Zone); err != nil {
 		return &pathbendv1.RunState{Run: start.Run, Ending: uint32(schedule.Refused), Detail: err.Error()}
 	}
-	item := job.items[carried.key.Item]
+	item := job.items[current.key.Item]
 	if item == nil {
-		return stopped(true, result.New(result.ItemUnknown, "no item %q", carried.key.Item))
+		return stoppedState(true, result.New(result.ItemUnknown, "no item %q", current.key.Item))
 	}
-	accepted := schedule.Acceptance{MinVersion: start.MinVersion, SingleVersion: start.SingleVersion}
-	text := w.claimText(ctx, session, carried, accepted)
-	if text.complete {
-		return w.stateOf(text, start.Run, 0, RunEnd{Ending: schedule.Complete})
+	acceptance := schedule.Acceptance{MinVersion: start.MinVersion, SingleVersion: start.SingleVersion}
+	text := w.selectText(ctx, session, current, acceptance)
+	if text.isComplete {
+		return w.runState(text, start.Run, 0, RunEnd{Ending: schedule.Complete})
 	}
-	if carried.orderedAt.Age() > heldUpLimit {
+	if current.receivedAt.Age() > maxStartDelay {
 		// What was read is kept: the next start finds it.
-		return w.stateOf(text, start.Run, 0, RunEnd{Ending: schedule.Stopped, Detail: "it began too late"})
+		return w.runState(text, start.Run, 0, RunEnd{Ending: schedule.Stopped, Detail: "it began too late"})
 	}
 	run := Run{
 		Sampler: schedule.Sampler{ID: start.SamplerId, Address: start.Address, Zone: start.Zone}, Host: job.spec.Host,
 		Item: item, Tenant: job.spec.Tenant, AfterEvent: text.Events(),
 	}
-	seen := uint64(0)
-	end := w.node.generate(ctx, run, func(made schedule.Event) bool {
+	version := uint64(0)
+	end := w.node.generate(ctx, run, func(generated schedule.Event) bool {
 		w.mutex.Lock()
 		defer w.mutex.Unlock()
-		seen = made.Version
-		if ctx.Err() != nil || text.run != carried || w.heardAt.Age() > workerLease || !text.Take(made, accepted) {
+		version = generated.Version
+		if ctx.Err() != nil || text.run != current || w.heardAt.Age() > workerLease || !text.Take(generated, acceptance) {
 			return false
 		}
 		text.usedAt = time.Now()
-		w.reportRun(session, w.stateOf(text, start.Run, seen, RunEnd{}))
+		w.addRunReport(session, w.runState(text, start.Run, version, RunEnd{}))
 		return true
 	})
 	if ctx.Err() != nil {
@@ -206,31 +206,31 @@
 	}
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if text.run == carried {
-		text.complete = end.Ending == schedule.Complete && text.Events() > 0
+	if text.run == current {
+		text.isComplete = end.Ending == schedule.Complete && text.Events() > 0
 	}
-	return w.stateOf(text, start.Run, seen, end)
+	return w.runState(text, start.Run, version, end)
 }
 
 // stateOf describes a run. It is called under the lock, but for a run that no one else
 // adds to.
-func (w *worker) stateOf(text *carriedText, run, seen uint64, end RunEnd) *pathbendv1.RunState {
+func (w *worker) runState(text *heldText, number, version uint64, end RunEnd) *pathbendv1.RunState {
 	return &pathbendv1.RunState{
-		Run: run, Events: text.Events(), Versions: text.Versions(), Version: seen, Ending: uint32(end.Ending), Detail: end.Detail, Ended: end.Ended,
+		Run: number, Events: text.Events(), Versions: text.Versions(), Version: version, Ending: uint32(end.Ending), Detail: end.Detail, Ended: end.Ended,
 	}
 }
 
 // claimText returns the text that a run goes on with: the longest that the job accepts of
 // those held here and the one in the log. It reports how far that is.
-func (w *worker) claimText(ctx context.Context, session carry.Session, run *carriedRun, accepted schedule.Acceptance) *carriedText {
+func (w *worker) selectText(ctx context.Context, session carry.Session, run *carriedRun, acceptance schedule.Acceptance) *heldText {
 	key := run.key
-	kept := w.keptText(ctx, key, accepted)
+	logged := w.loggedText(ctx, key, acceptance)
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	best := kept
+	best := logged
 	for _, ahead := range []bool{false, true} {
 		held := w.texts[textKey{item: key.Item, ahead: ahead}]
-		if held != nil && accepted.Fits(held.Versions()) && held.Events() > 0 && held.Events() >= best.Events() {
+		if held != nil && acceptance.Fits(held.Versions()) && held.Events() > 0 && held.Events() >= best.Events() {
 			best = held
 		}
 	}
@@ -239,20 +239,20 @@
 		delete(w.texts, textKey{item: key.Item, ahead: true})
 	}
 	w.texts[textKey{item: key.Item, ahead: key.Ahead}] = best
-	w.reportRun(session, w.stateOf(best, run.number, 0, RunEnd{}))
+	w.addRunReport(session, w.runState(best, run.number, 0, RunEnd{}))
 	return best
 }
 
 // keptText returns the text of an item that the log holds, unless a longer one is held
 // here. Text that cannot be read is made again.
-func (w *worker) keptText(ctx context.Context, key schedule.Key, accepted schedule.Acceptance) *carriedText {
-	text := &carriedText{}
+func (w *worker) loggedText(ctx context.Context, key schedule.Key, acceptance schedule.Acceptance) *heldText {
+	text := &heldText{}
 	var progress ledger.Progress
-	w.node.jobs.withLedger(func(known *ledger.Ledger) { progress, _ = known.Progress(key.Item) })
+	w.node.jobs.withLedger(func(jobs *ledger.Ledger) { progress, _ = jobs.Progress(key.Item) })
 	w.mutex.Lock()
 	held := w.texts[textKey{item: key.Item, ahead: key.Ahead}]
 	w.mutex.Unlock()
-	if progress.Events == 0 || !accepted.Fits(progress.Versions) || held != nil && held.Events() >= progress.Events {
+	if progress.Events == 0 || !acceptance.Fits(progress.Versions) || held != nil && held.Events() >= progress.Events {
 		return text
 	}
 	parts, err := w.node.jobs.contents.Get(ctx, progress.Parts)
@@ -262,31 +262,31 @@
 	}
 	text.Resume(schedule.Partial{
 		ID: progress.ID, Events: progress.Events, Versions: progress.Versions, Text: bytes.Join(parts, []byte{'\n'}),
-	}, accepted)
+	}, acceptance)
 	return text
 }
 
 // finishOwn scores and lists a complete text that this worker holds.
-func (w *worker) finishOwn(session carry.Session, key schedule.Key, start *pathbendv1.StartRun) {
-	w.finishOrdered(session, &pathbendv1.FinishItem{
+func (w *worker) finishCompletedRun(session carry.Session, key schedule.Key, start *pathbendv1.StartRun) {
+	w.finishItem(session, &pathbendv1.FinishItem{
 		JobId: key.Job, ItemId: key.Item, MinVersion: start.MinVersion, SingleVersion: start.SingleVersion,
 	})
 }
 
 // finishOrdered scores and lists a complete text: one that the log has, or one held here.
-func (w *worker) finishOrdered(session carry.Session, order *pathbendv1.FinishItem) {
+func (w *worker) finishItem(session carry.Session, order *pathbendv1.FinishItem) {
 	key := schedule.Key{Job: order.JobId, Item: order.ItemId}
-	job, err := w.read(w.lifetime, key.Job)
+	job, err := w.loadJob(w.lifetime, key.Job)
 	completed := schedule.Finished{Key: key, Kept: order.Text, Versions: order.Versions}
 	w.mutex.Lock()
-	_, already := w.finishing[key]
-	if already {
+	_, inProgress := w.finishing[key]
+	if inProgress {
 		w.mutex.Unlock()
 		return
 	}
-	held := order.Text != nil || w.completeText(key, order, &completed)
-	if err != nil || !held || job.items[key.Item] == nil {
-		w.report(session, &pathbendv1.CarryReport{Report: &pathbendv1.CarryReport_Lost{
+	available := order.Text != nil || w.fillCompleteText(key, order, &completed)
+	if err != nil || !available || job.items[key.Item] == nil {
+		w.addReport(session, &pathbendv1.CarryReport{Report: &pathbendv1.CarryReport_Lost{
 			Lost: &pathbendv1.LostItem{JobId: key.Job, ItemId: key.Item},
 		}})
 		w.mutex.Unlock()
@@ -302,11 +302,11 @@
 }
 
 // completeText fills in a complete text that is held here. It is called under the lock.
-func (w *worker) completeText(key schedule.Key, order *pathbendv1.FinishItem, completed *schedule.Finished) bool {
-	accepted := schedule.Acceptance{MinVersion: order.MinVersion, SingleVersion: order.SingleVersion}
+func (w *worker) fillCompleteText(key schedule.Key, order *pathbendv1.FinishItem, completed *schedule.Finished) bool {
+	acceptance := schedule.Acceptance{MinVersion: order.MinVersion, SingleVersion: order.SingleVersion}
 	for _, ahead := range []bool{false, true} {
 		text := w.texts[textKey{item: key.Item, ahead: ahead}]
-		if text != nil && text.complete && accepted.Fits(text.Versions()) {
+		if text != nil && text.isComplete && acceptance.Fits(text.Versions()) {
 			completed.Text, completed.Versions = text.Bytes(), text.Versions()
 			return true
 		}
@@ -317,16 +317,16 @@
 func (w *worker) scoreAndList(completed schedule.Finished) {
 	stamp, alive := "", true
 	if completed.Reward != nil {
-		stamp, alive = w.node.executor.rewards.score(w.lifetime, completed, func() bool { return w.wants(completed.Key) })
+		stamp, alive = w.node.executor.rewards.score(w.lifetime, completed, func() bool { return w.needsResult(completed.Key) })
 	}
-	if w.lifetime.Err() == nil && w.wants(completed.Key) && !completed.Unscored(stamp, alive) {
+	if w.lifetime.Err() == nil && w.needsResult(completed.Key) && !completed.Unscored(stamp, alive) {
 		w.node.executor.list(completed, stamp, alive)
 	}
 }
 
 // wants reports whether an item still waits for its result.
-func (w *worker) wants(key schedule.Key) bool {
-	wanted := false
-	w.node.jobs.view(key.Job, func(job *ledger.Job) { wanted = job != nil && job.Open() && !job.Listed(key.Item) })
-	return wanted
+func (w *worker) needsResult(key schedule.Key) bool {
+	needed := false
+	w.node.jobs.view(key.Job, func(job *ledger.Job) { needed = job != nil && job.Open() && !job.Listed(key.Item) })
+	return needed
 }
--- a/internal/hosted/worker_test.go
+++ b/internal/hosted/worker_test.go
@@ -29,13 +29,13 @@
 type pacedGenerator struct {
 	length uint64
 	// begun are the events after which runs began, ended counts those that ended.
-	begun chan uint64
-	ended chan struct{}
+	started chan uint64
+	stopped chan struct{}
 }
 
 func (g *pacedGenerator) Generate(ctx context.Context, run Run, take func(schedule.Event) bool) RunEnd {
-	g.begun <- run.AfterEvent
-	defer func() { g.ended <- struct{}{} }()
+	g.started <- run.AfterEvent
+	defer func() { g.stopped <- struct{}{} }()
 	for id := run.AfterEvent + 1; id <= g.length; id++ {
 		select {
 		case <-time.After(eventPace):
@@ -53,7 +53,7 @@
 type bodyLog struct {
 	emptyLog
 
-	takes time.Duration
+	readDelay time.Duration
 
 	mutex   sync.Mutex
 	records [][]byte
@@ -68,7 +68,7 @@
 }
 
 func (l *bodyLog) ReadPart(_ context.Context, _ sharedlog.Partition, from uint64, _ int) (sharedlog.Batch, error) {
-	time.Sleep(l.takes)
+	time.Sleep(l.readDelay)
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.reads++
@@ -84,7 +84,7 @@
 
 // workerBench is a worker in the north that holds the bodies of a job "j" with an item "i",
 // and what its caller knows.
-type workerBench struct {
+type workerFixture struct {
 	*worker
 	t            *testing.T
 	generator    *pacedGenerator
@@ -98,11 +98,11 @@
 	states map[uint64]*pathbendv1.RunState
 }
 
-func withWorker(t *testing.T, bound locality.Regions, test func(b *workerBench)) {
+func runWithWorker(t *testing.T, bound locality.Regions, test func(b *workerFixture)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		const many, long = 100, 1000
-		generator := &pacedGenerator{length: long, begun: make(chan uint64, many), ended: make(chan struct{}, many)}
+		generator := &pacedGenerator{length: long, started: make(chan uint64, many), stopped: make(chan struct{}, many)}
 		log := &bodyLog{}
 		node := New(Settings{Name: "w", Zone: "a", Topology: twoRegions, MaxRecordBytes: 1 << 15, MaxCallBytes: 1 << 18, Partitions: 1},
 			Ports{Network: network.TCP{}, Log: log, Generator: generator}, event.Discard())
@@ -117,21 +117,21 @@
 		require.NoError(t, err)
 		node.jobs.apply(0, records)
 		w := node.worker
-		w.jobs["j"] = &carriedJob{spec: spec, items: map[string]*pathbendv1.BatchItem{
+		w.jobs["j"] = &loadedJob{spec: spec, items: map[string]*pathbendv1.BatchItem{
 			"i": {Id: "i", Body: []byte("secret"), Group: "g", Reward: &pathbendv1.RewardCall{Id: "c", Body: []byte("secret")}},
 		}}
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() { defer close(done); w.run(ctx) }()
 		synctest.Wait()
-		test(&workerBench{worker: w, t: t, generator: generator, log: log, states: make(map[uint64]*pathbendv1.RunState)})
+		test(&workerFixture{worker: w, t: t, generator: generator, log: log, states: make(map[uint64]*pathbendv1.RunState)})
 		cancel()
 		<-done
 	})
 }
 
 // endJob lets the worker read of the end of the job.
-func (b *workerBench) endJob() {
+func (b *workerFixture) endJob() {
 	entry := &pathbendv1.LedgerEntry{JobId: "j", Fact: &pathbendv1.LedgerEntry_Ended{Ended: &pathbendv1.BatchEnd{}}}
 	records, err := ledger.Encode(entry, 2, 1<<10)
 	require.NoError(b.t, err)
@@ -139,18 +139,18 @@
 }
 
 // forgetBodies lets the worker read the bodies from the log again, for so long.
-func (b *workerBench) forgetBodies(takes time.Duration) {
+func (b *workerFixture) dropBodies(takes time.Duration) {
 	job := b.jobs["j"]
 	delete(b.jobs, "j")
 	blobs, err := b.node.jobs.contents.PutItems(b.t.Context(), time.Second, slices.Collect(maps.Values(job.items)))
 	require.NoError(b.t, err)
 	b.node.jobs.view("j", func(known *ledger.Job) { known.Spec.Items = blobs })
-	b.log.takes = takes
+	b.log.readDelay = takes
 }
 
 // call makes a call of a session with a generation and takes its reports.
-func (b *workerBench) call(generation uint64, orders ...*pathbendv1.CarryOrder) error {
-	reply, err := b.carry(b.t.Context(), &pathbendv1.CarryCall{
+func (b *workerFixture) call(generation uint64, orders ...*pathbendv1.CarryOrder) error {
+	reply, err := b.handleCall(b.t.Context(), &pathbendv1.CarryCall{
 		Decider: "d", Generation: generation, Session: generation, Orders: orders, Acknowledged: b.acknowledged, HoldMs: 1,
 		SentMs: uint64(b.sent.Milliseconds()),
 	})
@@ -159,11 +159,11 @@
 	}
 	for _, report := range reply.Reports {
 		b.acknowledged = max(b.acknowledged, report.Sequence)
-		switch told := report.Report.(type) {
+		switch body := report.Report.(type) {
 		case *pathbendv1.CarryReport_Run:
-			b.states[told.Run.Run] = told.Run
+			b.states[body.Run.Run] = body.Run
 		case *pathbendv1.CarryReport_Outline:
-			b.outlines = append(b.outlines, told.Outline)
+			b.outlines = append(b.outlines, body.Outline)
 		case *pathbendv1.CarryReport_Lost:
 			b.lost++
 		}
@@ -178,7 +178,7 @@
 }
 
 func TestOutlineOfAJobHasNoBodies(t *testing.T) {
-	withWorker(t, locality.Only("north"), func(b *workerBench) {
+	runWithWorker(t, locality.Only("north"), func(b *workerFixture) {
 		require.NoError(t, b.call(1, &pathbendv1.CarryOrder{Order: &pathbendv1.CarryOrder_Open{Open: "j"}}))
 		synctest.Wait()
 		require.NoError(t, b.call(1))
@@ -192,26 +192,26 @@
 	})
 }
 
-func TestRunsEndWhenTheirDeciderIsSilent(t *testing.T) {
-	withWorker(t, locality.Only("north"), func(b *workerBench) {
+func TestRunsStopWhenTheExecutorIsSilent(t *testing.T) {
+	runWithWorker(t, locality.Only("north"), func(b *workerFixture) {
 		require.NoError(t, b.call(1, startOrder(1)))
-		require.Zero(t, <-b.generator.begun)
+		require.Zero(t, <-b.generator.started)
 		called := time.Now()
-		<-b.generator.ended
-		require.LessOrEqual(t, time.Since(called), workerLease+2*workerTick)
+		<-b.generator.stopped
+		require.LessOrEqual(t, time.Since(called), workerLease+2*workerInterval)
 		require.Greater(t, time.Since(called), workerLease-eventPace)
 	})
 }
 
-func TestSuccessorGoesOnWithTheTextsThatAWorkerHolds(t *testing.T) {
-	withWorker(t, locality.Only("north"), func(b *workerBench) {
+func TestNewExecutorContinuesTextsThatTheWorkerHolds(t *testing.T) {
+	runWithWorker(t, locality.Only("north"), func(b *workerFixture) {
 		require.NoError(t, b.call(1, startOrder(1)))
-		require.Zero(t, <-b.generator.begun)
+		require.Zero(t, <-b.generator.started)
 		time.Sleep(20*eventPace + time.Millisecond)
 		require.NoError(t, b.call(2, startOrder(1)))
-		<-b.generator.ended
+		<-b.generator.stopped
 		b.acknowledged = 0
-		require.InDelta(t, 20, <-b.generator.begun, 3)
+		require.InDelta(t, 20, <-b.generator.started, 3)
 		require.True(t, result.Is(b.call(1), result.LeaseConflict), "the former decider is replaced")
 		time.Sleep(10 * eventPace)
 		require.NoError(t, b.call(2))
@@ -220,39 +220,39 @@
 }
 
 // A start that came twice, as its answer was lost, would run beside itself.
-func TestStartThatComesTwiceRunsOnce(t *testing.T) {
-	withWorker(t, locality.Only("north"), func(b *workerBench) {
+func TestDuplicateStartRunsOnce(t *testing.T) {
+	runWithWorker(t, locality.Only("north"), func(b *workerFixture) {
 		require.NoError(t, b.call(1, startOrder(1)))
 		require.NoError(t, b.call(1, startOrder(1)))
 		time.Sleep(10 * eventPace)
-		require.Len(t, b.generator.begun, 1)
+		require.Len(t, b.generator.started, 1)
 	})
 }
 
-func TestRunsOfAnEndedJobEndWithoutTheDecider(t *testing.T) {
-	withWorker(t, locality.Only("north"), func(b *workerBench) {
+func TestRunsOfAnEndedJobStopWithoutTheExecutor(t *testing.T) {
+	runWithWorker(t, locality.Only("north"), func(b *workerFixture) {
 		require.NoError(t, b.call(1, startOrder(1)))
-		require.Zero(t, <-b.generator.begun)
+		require.Zero(t, <-b.generator.started)
 		ended := time.Now()
 		b.endJob()
-		<-b.generator.ended
-		require.LessOrEqual(t, time.Since(ended), workerTick)
+		<-b.generator.stopped
+		require.LessOrEqual(t, time.Since(ended), workerInterval)
 	})
 }
 
 // The configuration that the worker knows counts too: a decider may know an older one.
-func TestWorkerCarriesNothingThatIsBoundElsewhere(t *testing.T) {
-	withWorker(t, locality.Only("south"), func(b *workerBench) {
+func TestWorkerRefusesRunsBoundToAnotherRegion(t *testing.T) {
+	runWithWorker(t, locality.Only("south"), func(b *workerFixture) {
 		require.NoError(t, b.call(1, startOrder(1)))
 		synctest.Wait()
 		require.NoError(t, b.call(1))
-		require.Empty(t, b.generator.begun)
+		require.Empty(t, b.generator.started)
 		require.EqualValues(t, schedule.Refused, b.states[1].Ending)
 	})
 }
 
-func TestTextThatAWorkerLacksIsReportedAsLost(t *testing.T) {
-	withWorker(t, locality.Only("north"), func(b *workerBench) {
+func TestMissingTextIsReportedAsLost(t *testing.T) {
+	runWithWorker(t, locality.Only("north"), func(b *workerFixture) {
 		require.NoError(t, b.call(1, &pathbendv1.CarryOrder{Order: &pathbendv1.CarryOrder_Finish{
 			Finish: &pathbendv1.FinishItem{JobId: "j", ItemId: "i"},
 		}}))
@@ -263,8 +263,8 @@
 }
 
 // Reports are sent until the caller has them, also if an answer is lost.
-func TestReportsOfALostAnswerComeAgain(t *testing.T) {
-	withWorker(t, locality.Only("north"), func(b *workerBench) {
+func TestUnacknowledgedReportsAreSentAgain(t *testing.T) {
+	runWithWorker(t, locality.Only("north"), func(b *workerFixture) {
 		require.NoError(t, b.call(1, startOrder(1)))
 		time.Sleep(5 * eventPace)
 		require.NoError(t, b.call(1))
@@ -276,37 +276,37 @@
 }
 
 // A worker that wakes, or a link that is mended, must not begin what was wanted long ago.
-func TestStartThatWasHeldUpIsPassedOver(t *testing.T) {
-	withWorker(t, locality.Only("north"), func(b *workerBench) {
+func TestDelayedStartIsSkipped(t *testing.T) {
+	runWithWorker(t, locality.Only("north"), func(b *workerFixture) {
 		require.NoError(t, b.call(1))
-		time.Sleep(heldUpLimit + time.Millisecond)
+		time.Sleep(maxStartDelay + time.Millisecond)
 		require.NoError(t, b.call(1, startOrder(1)))
 		synctest.Wait()
-		require.Empty(t, b.generator.begun)
+		require.Empty(t, b.generator.started)
 		require.EqualValues(t, schedule.Stopped, b.states[1].Ending)
 	})
 }
 
 // Each decider numbers its runs from 1: the end of a run of the former one took the new run
 // of the same number off the list, and no order stopped it any more.
-func TestRunOfASuccessorIsStoppedThoughAFormerOneHadItsNumber(t *testing.T) {
-	withWorker(t, locality.Only("north"), func(b *workerBench) {
+func TestStopReachesARunWhoseNumberAnEarlierSessionUsed(t *testing.T) {
+	runWithWorker(t, locality.Only("north"), func(b *workerFixture) {
 		require.NoError(t, b.call(1, startOrder(1)))
-		<-b.generator.begun
+		<-b.generator.started
 		require.NoError(t, b.call(2, startOrder(1)))
-		<-b.generator.ended
-		<-b.generator.begun
+		<-b.generator.stopped
+		<-b.generator.started
 		synctest.Wait()
 		require.NoError(t, b.call(2, &pathbendv1.CarryOrder{Order: &pathbendv1.CarryOrder_Stop{Stop: 1}}))
 		synctest.Wait()
-		require.Len(t, b.generator.ended, 1)
+		require.Len(t, b.generator.stopped, 1)
 	})
 }
 
 // The body of a job that is bound elsewhere is not read either.
-func TestWorkerReadsNoBodiesOfAJobThatIsBoundElsewhere(t *testing.T) {
-	withWorker(t, locality.Only("south"), func(b *workerBench) {
-		b.forgetBodies(0)
+func TestWorkerReadsNoBodiesOfAJobBoundToAnotherRegion(t *testing.T) {
+	runWithWorker(t, locality.Only("south"), func(b *workerFixture) {
+		b.dropBodies(0)
 		require.NoError(t, b.call(1, &pathbendv1.CarryOrder{Order: &pathbendv1.CarryOrder_Open{Open: "j"}}))
 		synctest.Wait()
 		require.NoError(t, b.call(1))
@@ -318,19 +318,19 @@
 
 // A worker that takes a job over was told to start all its runs at once, and each of them
 // read all bodies of the job.
-func TestBodiesOfAJobAreReadOnceForAllRunsThatWait(t *testing.T) {
-	withWorker(t, locality.Only("north"), func(b *workerBench) {
-		b.forgetBodies(50 * time.Millisecond)
+func TestConcurrentRunsShareOneReadOfTheBodies(t *testing.T) {
+	runWithWorker(t, locality.Only("north"), func(b *workerFixture) {
+		b.dropBodies(50 * time.Millisecond)
 		require.NoError(t, b.call(1, startOrder(1), startOrder(2), startOrder(3)))
 		time.Sleep(100 * time.Millisecond)
-		require.Len(t, b.generator.begun, 3)
+		require.Len(t, b.generator.started, 3)
 		require.Equal(t, 1, b.log.readCount())
 	})
 }
 
 // A worker was given up, with all its runs, as it knew sooner that a job had ended.
-func TestOutlineOfAnEndedJobIsNoFaultOfTheWorker(t *testing.T) {
-	withWorker(t, locality.Only("north"), func(b *workerBench) {
+func TestOutlineOfAnEndedJobIsNotAWorkerFailure(t *testing.T) {
+	runWithWorker(t, locality.Only("north"), func(b *workerFixture) {
 		require.NoError(t, b.call(1, &pathbendv1.CarryOrder{Order: &pathbendv1.CarryOrder_Open{Open: "ended"}}))
 		synctest.Wait()
 		require.NoError(t, b.call(1))
@@ -342,16 +342,16 @@
 
 // A run that a job's end stopped while the bodies were read was reported as its worker's
 // fault, and the job's bodies were kept for good.
-func TestEndOfAJobWhoseBodiesAreReadIsNoFaultOfTheWorker(t *testing.T) {
-	withWorker(t, locality.Only("north"), func(b *workerBench) {
-		b.forgetBodies(100 * time.Millisecond)
+func TestJobEndDuringABodyReadIsNotAWorkerFailure(t *testing.T) {
+	runWithWorker(t, locality.Only("north"), func(b *workerFixture) {
+		b.dropBodies(100 * time.Millisecond)
 		require.NoError(t, b.call(1, startOrder(1)))
 		b.endJob()
 		time.Sleep(200 * time.Millisecond)
 		require.NoError(t, b.call(1))
 		require.EqualValues(t, schedule.Stopped, b.states[1].Ending)
 		require.False(t, b.states[1].Unserved)
-		require.Empty(t, b.generator.begun)
+		require.Empty(t, b.generator.started)
 		time.Sleep(2 * schedule.AheadPatience)
 		b.mutex.Lock()
 		defer b.mutex.Unlock()
@@ -361,16 +361,16 @@
 
 // The bodies of a job were read for longer than a start may be on its way, and the run
 // began all the same: the second for which a cold sampler's budget counted it was over.
-func TestRunWhoseBodyWasReadForLongIsPassedOver(t *testing.T) {
-	withWorker(t, locality.Only("north"), func(b *workerBench) {
-		b.forgetBodies(heldUpLimit + time.Millisecond)
+func TestRunIsSkippedAfterASlowBodyRead(t *testing.T) {
+	runWithWorker(t, locality.Only("north"), func(b *workerFixture) {
+		b.dropBodies(maxStartDelay + time.Millisecond)
 		require.NoError(t, b.call(1, startOrder(1)))
-		b.sent = heldUpLimit + 100*time.Millisecond
+		b.sent = maxStartDelay + 100*time.Millisecond
 		time.Sleep(b.sent)
 		require.NoError(t, b.call(1))
-		require.Empty(t, b.generator.begun)
+		require.Empty(t, b.generator.started)
 		require.EqualValues(t, schedule.Stopped, b.states[1].Ending)
 		require.NoError(t, b.call(1, startOrder(2)))
-		require.Zero(t, <-b.generator.begun)
+		require.Zero(t, <-b.generator.started)
 	})
 }
--- a/internal/platformsim/mutants_test.go
+++ b/internal/platformsim/mutants_test.go
@@ -68,7 +68,7 @@
 	{Promise: "EVAC: evacuated samplers get no item", Edits: []mutation.Edit{
 		mutation.Replace("internal/schedule/sampler.go", "if s.Leaving || s.evacuated ||", "if s.Leaving ||"),
 	}},
-	{Promise: "EVAC: evacuated samplers get no order", Test: "TestEvacuatedSamplersAreNoReplicas", Package: "./internal/hosted", Edits: []mutation.Edit{
+	{Promise: "EVAC: evacuated samplers get no order", Test: "TestEvacuatedSamplersGetNoWeightOrders", Package: "./internal/hosted", Edits: []mutation.Edit{
 		mutation.Replace("internal/hosted/weights.go", "if !load.Evacuated {", "if true {"),
 	}},
 	{Promise: "EVAC: evacuations are known before routes", Test: "TestEvacuationsAreInForceBeforeTheRoutes", Package: "./platform", Edits: []mutation.Edit{
@@ -77,7 +77,7 @@
 	{Promise: "ROUTE: only keys of tenants are admitted", Test: "TestOnlyKeysOfTenantsAreAdmitted", Package: "./internal/catalog", Edits: []mutation.Edit{
 		mutation.Replace("internal/catalog/admission.go", "if err != nil && route.Public {", "if err != nil {"),
 	}},
-	{Promise: "CONFIG: a key is asked about before every attempt", Test: "TestKeyThatWasTakenAwayIsDeniedBeforeTheNextAttempt", Package: "./internal/hosted", Edits: []mutation.Edit{
+	{Promise: "CONFIG: a key is asked about before every attempt", Test: "TestRevokedKeyIsDeniedBeforeTheNextAttempt", Package: "./internal/hosted", Edits: []mutation.Edit{
 		mutation.Replace("internal/hosted/admission.go", "tenant, err := current.Admit(admitted.Route, key)\n\t\tif err != nil {\n\t\t\treturn n.deny(err)", "tenant, err := current.Admit(admitted.Route, key)\n\t\tif err != nil {\n\t\t\treturn nil"),
 	}},
 	{Promise: "HOME: the tenant's regions bind beside the route's", Test: "TestCalmDayOfTwoRegions", Package: "./internal/platformsim", Edits: []mutation.Edit{
