--- a/internal/hosted/admission.go
+++ b/internal/hosted/admission.go
@@ -11,18 +11,18 @@
 	"github.com/pathbend/pathbend/internal/result"
 )
 
-// Admitted is a request that the configuration allows.
+// Admitted describes a request that the configuration permits.
 type Admitted struct {
 	Route *catalog.Route
-	// Tenant is who the caller calls for, the zero tenant if the route asks for none.
+	// Tenant is the caller's tenant, the zero value if the route requires no key.
 	Tenant credential.Tenant
-	// Regions are those in which the request may be served: both the route's and the
-	// tenant's bind.
+	// Regions are those in which the request may be served: the intersection of the route's
+	// and the tenant's regions.
 	Regions locality.Regions
 }
 
-// Admit finds the route of a host and path and the tenant that holds the caller's
-// key. A node that has just started waits a little for its first configuration.
+// Admit finds the route for a host and path and the tenant that holds the caller's key. A
+// node that has just started briefly waits for its first configuration.
 func (n *Node) Admit(ctx context.Context, host, path, key string) (Admitted, error) {
 	current, err := n.configuration(ctx)
 	if err != nil {
@@ -39,8 +39,8 @@
 	return Admitted{Route: route, Tenant: tenant, Regions: route.Regions.And(tenant.Regions)}, nil
 }
 
-// Caller returns the tenant that holds a key, for calls about batch jobs, which name
-// no route.
+// Caller returns the tenant that holds a key. It serves calls about batch jobs, which name no
+// route.
 func (n *Node) Caller(ctx context.Context, key string) (credential.Tenant, error) {
 	current, err := n.configuration(ctx)
 	if err != nil {
@@ -53,7 +53,8 @@
 	return tenant, nil
 }
 
-// configuration returns the configuration in force, or an error of NotReady.
+// configuration returns the configuration in force. It returns a NotReady error if there is
+// none, or if it is so old that keys in it may have been revoked.
 func (n *Node) configuration(ctx context.Context) (*catalog.Catalog, error) {
 	n.awaitConfigured(ctx)
 	current := n.catalog.Load()
@@ -62,30 +63,32 @@
 	}
 	limit := n.settings.RevokeAfter
 	if current.Keys != nil && limit > 0 && n.configurationAge() > limit {
-		return nil, notReady("keys may have been taken away that this node still holds")
+		return nil, notReady("the configuration is older than the revocation limit, so keys in it may have been revoked")
 	}
 	return current, nil
 }
 
+// notReady returns a NotReady error with a jittered retry hint.
+// notReady returns a NotReady error with a jittered retry hint.
 func notReady(detail string) error {
 	return spread(result.New(result.NotReady, "%s", detail).WithRetryAfter(notReadyHint))
 }
 
-// denialLimit is how old the configuration may be by which a node denies a route or a
-// key: a follower that is in touch reads every 0.7 s or sooner. The caller of an older
-// one is sent to another node.
+// denialLimit is the largest age of a configuration by which a node denies a route or a key. A
+// follower that is in touch with the log reads at least every 0.7 s. With an older
+// configuration the caller is told to retry, so that it may reach another node.
 const denialLimit = 1500 * time.Millisecond
 
-// deny returns a denial if the node knows the newest configuration. A node that does
-// not cannot tell a key or a route that was added meanwhile from one that never was.
+// deny returns the denial if the node has the newest configuration, else a NotReady error: a
+// node with an older one cannot tell an unknown key or route from one that was just added.
 func (n *Node) deny(denial error) error {
 	if n.configurationAge() <= denialLimit {
 		return denial
 	}
-	return notReady("not in the configuration that this node knows, which may be out of date")
+	return notReady("the route or key is not in this node's configuration, which may be out of date")
 }
 
-// configurationAge is how long ago the configuration was last known to be the newest.
+// configurationAge returns the time since the configuration was last known to be the newest.
 func (n *Node) configurationAge() time.Duration {
 	if n.configurationAgeFunc == nil {
 		return 0
@@ -93,13 +96,13 @@
 	return n.configurationAgeFunc()
 }
 
-// WatchConfiguration names what tells how long ago the node surely had the newest
-// configuration. It must be called before Start; without it the node takes its
-// configuration for the newest always.
+// WatchConfiguration sets the function that returns the time since the configuration was last
+// known to be the newest. It must be called before Start; without it the configuration always
+// counts as the newest.
 func (n *Node) WatchConfiguration(age func() time.Duration) { n.configurationAgeFunc = age }
 
-// permits returns a check whether a caller's key is still its tenant's, to be made
-// before a request is sent once more.
+// keyCheck returns a function that checks whether the caller's key still belongs to its
+// tenant. It is called before every attempt of a request.
 func (n *Node) keyCheck(admitted Admitted, key string) func() error {
 	return func() error {
 		current := n.catalog.Load()
@@ -108,13 +111,14 @@
 			return n.deny(err)
 		}
 		if tenant.Name != admitted.Tenant.Name {
-			return n.deny(result.New(result.Unauthenticated, "another tenant holds the key of the request by now"))
+			return n.deny(result.New(result.Unauthenticated, "the key of the request now belongs to another tenant"))
 		}
 		return nil
 	}
 }
 
-// mayUse reports whether a tenant may read and end a job.
+// mayUse reports whether a tenant may read and end a job: its own, or any if the
+// configuration has no keys.
 func (n *Node) mayUse(job *ledger.Job, tenant credential.Tenant) bool {
 	if job.Spec.Tenant == tenant.Name {
 		return true
--- a/internal/hosted/admission_test.go
+++ b/internal/hosted/admission_test.go
@@ -15,7 +15,7 @@
 	"github.com/pathbend/pathbend/internal/schedule"
 )
 
-// closedCatalog has one route that needs a key.
+// catalogWithKeys has one route that needs a key.
 func catalogWithKeys(t *testing.T, version uint64, keys ...string) *catalog.Catalog {
 	t.Helper()
 	built := catalogOf(t, version)
--- a/internal/hosted/cold.go
+++ b/internal/hosted/cold.go
@@ -57,5 +57,5 @@
 	}
 }
 
-// coldTold is how often work that waits for cold samplers is told of.
+// coldWorkLogInterval is how often work that waits for cold samplers is told of.
 const coldWorkLogInterval = time.Second
--- a/internal/hosted/distance.go
+++ b/internal/hosted/distance.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// distanceInterval is how often a node looks how far away the log is (chosen).
+	// roundTripCheckInterval is how often a node looks how far away the log is (chosen).
 	roundTripCheckInterval = 2 * time.Second
-	// muchFarther is by how many times the round trip changes before that is told: a log
+	// roundTripChangeFactor is by how many times the round trip changes before that is told: a log
 	// that is twice as far is another deployment, or is slow (chosen).
 	roundTripChangeFactor = 2
-	// nearEnough is a round trip below which no difference matters: all that is added to
+	// minNotableRoundTrip is a round trip below which no difference matters: all that is added to
 	// the constants for a log next door is nothing there (chosen).
 	minNotableRoundTrip = 25 * time.Millisecond
 )
 
-// tellDistance logs how far away the log is, when that changes much.
+// logRoundTripChanges logs how far away the log is, when that changes much.
 func (n *Node) logRoundTripChanges(ctx context.Context) {
 	var logged roundtrip.Estimate
 	wait.Every(ctx, roundTripCheckInterval, func() {
@@ -34,7 +34,7 @@
 	})
 }
 
-// differsMuch reports whether an estimate is worth a line after the one that was told
+// changedSignificantly reports whether an estimate is worth a line after the one that was told
 // last. That of a node that heard no answer yet is not.
 func changedSignificantly(previous, current roundtrip.Estimate) bool {
 	if previous.Smoothed == 0 || current.Smoothed == 0 {
--- a/internal/hosted/evacuation_test.go
+++ b/internal/hosted/evacuation_test.go
@@ -18,7 +18,7 @@
 	"github.com/pathbend/pathbend/internal/schedule"
 )
 
-// refusing starts a back end that runs nothing, and returns its address.
+// startRefusingBackEnd starts a back end that runs nothing, and returns its address.
 func startRefusingBackEnd(t *testing.T, asked func()) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
--- a/internal/hosted/forward.go
+++ b/internal/hosted/forward.go
@@ -14,37 +14,37 @@
 	"github.com/pathbend/pathbend/internal/result"
 )
 
-// Inbound is a client's request.
+// Inbound is a request of a client.
 type Inbound struct {
 	ID     string
 	Method string
 	Host   string
-	// Path is the path and query.
+	// Path holds the path and query.
 	Path   string
 	Header http.Header
 	Body   []byte
-	// Key is what the client showed to prove its tenant.
+	// Key is the client's API key, which identifies its tenant.
 	Key string
-	// Wait is how long the client waits; 0 if it does not say.
+	// Wait is how long the client waits; 0 if unknown.
 	Wait time.Duration
 }
 
 const (
-	// assumedWait bounds a request whose client and route name no bound.
+	// defaultWait bounds a request for which neither client nor route set a time limit.
 	defaultWait = 30 * time.Second
-	// attemptObjectives is how many objectives an attempt may take before
-	// another sampler is tried.
+	// attemptTimeoutObjectives is the timeout of an attempt as a multiple of the route's
+	// latency objective; after it another sampler is tried.
 	attemptTimeoutObjectives = 2
-	// hedgePart is the part of the objective after which a request goes to a second back
-	// end too: what is left of it is enough there (chosen; at half of 150 ms some 1 % of
-	// requests of 25 ms have no answer).
+	// hedgeObjectiveDivisor divides the objective to get the delay after which a request is
+	// hedged: the remaining time suffices for a second back end. At half of 150 ms about 1 %
+	// of requests that take 25 ms have no answer yet.
 	hedgeObjectiveDivisor = 2
-	// minAttemptTimeout bounds that from below.
+	// minAttemptTimeout is the lower bound of the timeout of an attempt.
 	minAttemptTimeout = 200 * time.Millisecond
 )
 
-// Forward sends a request to a sampler of its route's service and returns the
-// answer, or a *result.Error that tells whether it ran.
+// Forward sends a request to a sampler of its route's service and returns the answer, or a
+// *result.Error that states whether the request ran.
 func (n *Node) Forward(ctx context.Context, admitted Admitted, in *Inbound) (*dispatch.Answer, error) {
 	route := admitted.Route
 	n.active.Add(1)
@@ -82,9 +82,8 @@
 	return answer, spread(err)
 }
 
-// spread draws the time after which a refused caller comes back around the one
-// that was set, so that callers that were refused together do not come back
-// together.
+// spread applies jitter of 0.6 to 1.4 to the retry delay of an error, so that callers that
+// were refused at the same time do not all retry at the same time. It returns nil for nil.
 func spread(err error) error {
 	if err == nil {
 		return nil
@@ -95,6 +94,10 @@
 	return typed
 }
 
+// requestTimeout returns the time limit of a request: the client's, defaultWait if it set
+// none, and no more than the route's.
+// requestTimeout returns the time limit of a request: the client's, defaultWait if it set
+// none, and no more than the route's.
 func requestTimeout(route *catalog.Route, in *Inbound) time.Duration {
 	timeout := in.Wait
 	if timeout <= 0 {
@@ -123,14 +126,14 @@
 	}
 }
 
-// LogRefusal records a request that was refused before it was sent anywhere.
+// LogRefusal logs a request that was refused before any attempt.
 func (n *Node) LogRefusal(requestID, host, path string, err error) {
 	typed := result.From(err)
 	n.logger.Log(event.RequestRefused, "request_id", requestID, "host", host, "path", path,
 		"code", int(typed.Code), "detail", typed.Detail, "retry_after_ms", typed.RetryAfter.Milliseconds())
 }
 
-// newID returns a random id of 16 hexadecimal digits.
+// newID returns a random 64-bit id in hexadecimal.
 func newID() string {
 	var raw [8]byte
 	value := rand.Uint64()
--- a/internal/hosted/listen.go
+++ b/internal/hosted/listen.go
@@ -11,7 +11,7 @@
 	"github.com/pathbend/pathbend/internal/wait"
 )
 
-// listenPause is the pause before the ports for calls of other nodes are tried again: a
+// listenRetryDelay is the pause before the ports for calls of other nodes are tried again: a
 // former process of the machine may have held them for up to two seconds.
 const listenRetryDelay = 500 * time.Millisecond
 
--- a/internal/hosted/metrics.go
+++ b/internal/hosted/metrics.go
@@ -43,7 +43,7 @@
 	remoteRuns          *prometheus.CounterVec
 	remoteJobs          prometheus.Gauge
 	workersLost         prometheus.Counter
-	// samplersRejected counts entries that name no sampler, samplersFormer those of former
+	// rejectedSamplerEntries counts entries that name no sampler, samplersFormer those of former
 	// incarnations.
 	rejectedSamplerEntries prometheus.Counter
 	staleSamplerEntries    prometheus.Counter
@@ -155,7 +155,7 @@
 	return m
 }
 
-// guard registers what a guard did, for requests or for items.
+// registerQuarantine registers what a guard did, for requests or for items.
 func (m *Metrics) registerQuarantine(scope string, guard *quarantine.Guard) {
 	labels := prometheus.Labels{"of": scope}
 	count := func(name, help string, read func(quarantine.Counts) int) {
@@ -170,7 +170,7 @@
 	}, func() float64 { return float64(guard.Counts().Held) }))
 }
 
-// roundTrip registers what is known of calls of one kind.
+// registerRoundTrip registers what is known of calls of one kind.
 func (m *Metrics) registerRoundTrip(name, calls string, estimator *roundtrip.Estimator) {
 	m.registerGauge(name+"_seconds", "Smoothed round trip of "+calls+".", func() float64 { return estimator.Read().Smoothed.Seconds() })
 	m.registerGauge(name+"_deviation_seconds", "Mean deviation of the round trip of "+calls+".", func() float64 {
@@ -229,7 +229,7 @@
 	m.appendDuration.Observe(took.Seconds())
 }
 
-// usageReport records a report of usage that the platform took, or did not, so long
+// recordUsageReport records a report of usage that the platform took, or did not, so long
 // after the end of its window.
 func (m *Metrics) recordUsageReport(accepted bool, age time.Duration) {
 	m.usageReports.WithLabelValues(strconv.FormatBool(accepted)).Inc()
--- a/internal/hosted/node.go
+++ b/internal/hosted/node.go
@@ -26,7 +26,7 @@
 	"github.com/pathbend/pathbend/internal/wait"
 )
 
-// Ports are the node's doors to its surroundings.
+// Ports are the node's interfaces to its environment.
 type Ports struct {
 	Network   network.Network
 	Log       sharedlog.Log
@@ -34,17 +34,18 @@
 	Protocol  dispatch.Protocol
 	Generator Generator
 	Control   Control
-	// Topics are the keyed topics that nodes read for each other.
+	// Topics are the keyed topics that nodes read on behalf of each other.
 	Topics Topics
-	// Usage takes reports of usage; it may be nil where there are none.
+	// Usage sends usage reports; nil if the platform wants none.
 	Usage metering.Sender
-	// Scaler takes orders of samplers; it may be nil where there are none.
+	// Scaler orders samplers; nil if the platform does not let the node order any.
 	Scaler Scaler
-	// Score reads the proof of a reward call from its answer.
+	// Score extracts the score from the answer to a reward call.
 	Score func(*dispatch.Answer) (Scored, error)
 }
 
-// Node is a hosted node. It is safe for concurrent use.
+// Node is a node that keeps its shared state in the platform's log service. It is safe for
+// concurrent use.
 type Node struct {
 	settings   Settings
 	ports      Ports
@@ -64,49 +65,53 @@
 	usage      *usage
 	scaler     *scaler
 	suspects   *suspects
-	// readers tells who reads keyed topics for others, the feeds bring them to this node, and
-	// entries brings them to others.
+	// readers determines which nodes read the keyed topics on behalf of others. The feeds
+	// deliver the topics to this node, entries serves them to other nodes.
 	readers      *readers
 	samplerFeed  *feed.Feed
 	operatorFeed *feed.Feed
 	entries      *feed.Server
 
-	// rejections bounds the lines about records that cannot be read.
+	// rejectionLimiter limits the rate of log lines about malformed records.
 	rejectionLimiter event.Limiter
 
-	// fleetMutex keeps an older list of samplers from following a newer one.
+	// fleetMutex serializes updates of the fleet, so that an older list of samplers does not
+	// replace a newer one.
 	fleetMutex sync.Mutex
 
 	catalog  atomic.Pointer[catalog.Catalog]
 	samplers atomic.Pointer[[]schedule.Sampler]
-	// peerAddress is where other nodes ask this one to carry runs, nil while they cannot.
+	// peerAddress is the address at which this node accepts calls of other nodes, nil while it
+	// does not listen.
 	peerAddress atomic.Pointer[string]
-	// evacuated holds the zones whose samplers get nothing new.
+	// evacuated holds the zones whose samplers get no new work.
 	evacuated atomic.Pointer[evacuation.Zones]
 
 	mutex    sync.Mutex
 	versions map[string]uint64
-	// configured is closed once the node knows routes.
+	// configured is closed once the node has a configuration.
 	configured     chan struct{}
 	configuredOnce sync.Once
-	// early is the part of the first list of samplers that was read so far.
+	// early is the part of the first list of samplers that has been read so far.
 	early earlyList
-	// informed is closed once the node knows routes and samplers.
+	// informed is closed once the node has a configuration and a complete list of samplers.
 	informed     chan struct{}
 	informedOnce sync.Once
 
-	// configuredFor tells how long ago the configuration surely was the newest.
+	// configurationAgeFunc returns the time since the configuration was last known to be the
+	// newest. It is nil if the configuration always counts as the newest.
 	configurationAgeFunc func() time.Duration
 
 	draining atomic.Bool
 	active   atomic.Int64
 	stop     context.CancelFunc
 	loops    conc.WaitGroup
-	// lifetime ends with the node; what tells other nodes ends then.
+	// lifetime is canceled when the node stops; work that outlives a request, such as notices
+	// to other nodes, ends with it.
 	lifetime context.Context
 }
 
-// New returns a node that does nothing until Start.
+// New returns a node that is idle until Start.
 func New(settings Settings, ports Ports, logger *event.Logger) *Node {
 	n := &Node{
 		settings: settings, ports: ports, logger: logger, log: sharedlog.Measure(ports.Log, ports.Group),
@@ -136,7 +141,7 @@
 	return n
 }
 
-// Start begins to follow the log and to take part in the group.
+// Start starts the node's loops, which follow the log and take part in the group.
 func (n *Node) Start(ctx context.Context) {
 	ctx, n.stop = context.WithCancel(ctx)
 	n.lifetime = ctx
@@ -153,8 +158,8 @@
 	n.loops.Go(func() { n.scaler.run(ctx) })
 }
 
-// joinGroup takes part in the group once the node knows routes and samplers: a
-// share of the jobs is of no use to a node that cannot run them.
+// joinGroup takes part in the group once the node has routes and samplers; without them it
+// could not execute the jobs of its share.
 func (n *Node) joinGroup(ctx context.Context) {
 	select {
 	case <-n.informed:
@@ -165,20 +170,20 @@
 }
 
 const (
-	// ledgerShare is how far apart nodes begin to read the ledger that need not read
-	// it at once: about as long as the store takes to hand one of them the ledger of
-	// a busy minute (some 500 KB at 80 MB a second, with as much left for others).
+	// ledgerShare is the average interval between the ledger reads of starting nodes that do
+	// not need the ledger at once. The store takes about as long to send one node the ledger
+	// of a busy minute: some 500 KB at 80 MB/s, with as much bandwidth left for others.
 	ledgerShare = 10 * time.Millisecond
-	// longestLedgerDelay bounds that however many nodes there are: a node without the
-	// ledger reads it when it is first asked of a job.
+	// longestLedgerDelay bounds the delay of such a read, however many nodes there are. A node
+	// without the ledger reads it at the first request about a job.
 	longestLedgerDelay = 5 * time.Second
 )
 
-// followJobs follows the ledger. A node that starts reads routes and samplers first,
-// which are small and which every request needs. Then those read the ledger that may
-// execute; the others take their time, or read it when they are asked of a job. When
-// 295 nodes began with all of it at once, none had its configuration for 1.2 s and
-// the executor had the ledger after 3.3 s.
+// followJobs follows the ledger. A starting node first reads routes and samplers, which are
+// small and needed by every request. Nodes that may become the executor then read the ledger
+// at once; the others delay the read, or do it at the first request about a job. When 295
+// nodes read everything at once, none had its configuration for 1.2 s and the executor had
+// the ledger after 3.3 s.
 func (n *Node) followJobs(ctx context.Context) {
 	select {
 	case <-n.informed:
@@ -190,7 +195,8 @@
 	n.jobs.follower.Run(ctx)
 }
 
-// ledgerDelay is how long this node leaves the ledger to others.
+// ledgerDelay returns the delay before this node reads the ledger. It is 0 for a node that
+// may become the executor, and random for the others.
 func (n *Node) ledgerDelay() time.Duration {
 	announced, ok := n.directory.Announced()
 	view := election.View{Largest: announced.Largest}
@@ -200,7 +206,8 @@
 	return rand.N(min(time.Duration(announced.Nodes)*ledgerShare, longestLedgerDelay))
 }
 
-// Drain makes the node unready and hands its share over. Requests go on.
+// Drain marks the node as draining and hands its share of the jobs over. Requests in progress
+// continue.
 func (n *Node) Drain(ctx context.Context) {
 	if n.draining.Swap(true) {
 		return
@@ -210,7 +217,7 @@
 	n.ownership.Leave(ctx)
 }
 
-// Stop ends the node's loops.
+// Stop ends the node's loops, waits for them and closes the node's connections.
 func (n *Node) Stop() {
 	n.stop()
 	n.loops.Wait()
@@ -219,19 +226,19 @@
 	n.logger.Log(event.NodeStopped)
 }
 
-// Draining reports whether the node is about to stop.
+// Draining reports whether Drain was called.
 func (n *Node) Draining() bool { return n.draining.Load() }
 
-// Log returns the node's log service, whose answers are timed.
+// Log returns the node's client of the log service, which measures round trips.
 func (n *Node) Log() *sharedlog.Measured { return n.log }
 
-// Metrics returns the node's metrics.
+// Metrics returns the node's Prometheus metrics.
 func (n *Node) Metrics() *Metrics { return n.metrics }
 
-// Catalog returns the configuration in force, nil before the first.
+// Catalog returns the configuration in force, nil before the first one was applied.
 func (n *Node) Catalog() *catalog.Catalog { return n.catalog.Load() }
 
-// TakeCatalog puts a configuration in force unless a newer one is.
+// TakeCatalog applies a configuration unless the one in force is as new or newer.
 func (n *Node) TakeCatalog(taken *catalog.Catalog) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -250,8 +257,8 @@
 	n.executor.wake()
 }
 
-// Configured is closed once the node knows routes, which it needs before anything
-// else: what is larger is better read after them.
+// Configured returns a channel that is closed once the node has a configuration. Every
+// request needs it, so larger data is better read afterwards.
 func (n *Node) Configured() <-chan struct{} { return n.configured }
 
 func (n *Node) noteInformed() {
@@ -260,13 +267,13 @@
 	}
 }
 
-// RejectCatalog logs a configuration that could not be read.
+// RejectCatalog logs a configuration that is malformed.
 func (n *Node) RejectCatalog(err error) {
 	n.logger.Log(event.CatalogRejected, "detail", err.Error())
 }
 
-// RejectSampler counts an entry of the samplers' list that names no sampler, and logs it
-// if it is the first of its id in a row, and so many a second at most.
+// RejectSampler counts a malformed entry of the list of samplers. It logs the first such
+// entry of an id in a row, at a limited rate.
 func (n *Node) RejectSampler(id string, err error, first bool) {
 	n.metrics.rejectedSamplerEntries.Inc()
 	if first && n.rejectionLimiter.Allow(time.Now()) {
@@ -274,20 +281,21 @@
 	}
 }
 
-// PassOverSampler counts an entry of a former incarnation, which came late.
+// PassOverSampler counts a late entry of an earlier incarnation of a sampler, which is
+// ignored.
 func (n *Node) PassOverSampler(sampler schedule.Sampler) {
 	n.metrics.staleSamplerEntries.Inc()
 }
 
-// SkipRecord logs a record of a keyed topic that cannot be read.
+// SkipRecord logs a malformed record of a keyed topic, at a limited rate.
 func (n *Node) SkipRecord(topic string, record sharedlog.KeyedRecord) {
 	if n.rejectionLimiter.Allow(time.Now()) {
 		n.logger.Log(event.RecordSkipped, "topic", topic, "key", record.Key, "offset", record.Offset, "detail", record.Malformed)
 	}
 }
 
-// TakeVersion records a weight version that a trainer named. Every node learns of
-// it; the executor logs it.
+// TakeVersion records a weight version that a trainer announced, unless a newer one is known.
+// Every node receives it; the executor logs it.
 func (n *Node) TakeVersion(model string, version uint64) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -298,6 +306,8 @@
 	n.executor.wake()
 }
 
+// targets returns the newest announced version of each model.
+// targets returns the newest announced version of each model.
 func (n *Node) targets() map[string]uint64 {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -308,7 +318,7 @@
 	return targets
 }
 
-// TakeSamplers applies the entire list of samplers.
+// TakeSamplers applies a complete list of samplers.
 func (n *Node) TakeSamplers(listed []schedule.Sampler) {
 	n.samplers.Store(&listed)
 	n.updateFleet()
@@ -316,8 +326,8 @@
 	n.executor.wake()
 }
 
-// updateFleet tells the fleet of the newest list of samplers, and what this node may send
-// to those that are cold.
+// updateFleet passes the newest list of samplers to the fleet, with limits of what this node
+// may send to cold samplers and samplers in evacuated zones.
 func (n *Node) updateFleet() {
 	n.fleetMutex.Lock()
 	defer n.fleetMutex.Unlock()
--- a/internal/hosted/ports.go
+++ b/internal/hosted/ports.go
@@ -177,13 +177,13 @@
 }
 
 const (
-	// shareTTLs is how long a share outlasts the last renewal, in units of the
+	// shareTTLFactor is how long a share outlasts the last renewal, in units of the
 	// shortest time.
 	shareTTLFactor = 1.5
 	// loadsTogether is the number of samplers that change weights at once in a
 	// small fleet: more slow each other's loads down.
 	loadsTogether = 2
-	// settleMargin is kept free for an answer's way to the client.
+	// answerMargin is kept free for an answer's way to the client.
 	answerMargin = 200 * time.Millisecond
 	// keepMargin is how much longer than promised jobs can be read.
 	keepMargin = 30 * time.Second
--- a/internal/hosted/readers.go
+++ b/internal/hosted/readers.go
@@ -12,7 +12,7 @@
 	"github.com/pathbend/pathbend/internal/wait"
 )
 
-// planAge is how old a plan may be while the directory does not change: entries of nodes
+// maxPlanAge is how old a plan may be while the directory does not change: entries of nodes
 // that are gone run out (chosen).
 const maxPlanAge = 5 * time.Second
 
@@ -24,7 +24,7 @@
 	plan      fanout.Plan
 	plannedAt time.Time
 	changes   uint64
-	// whole is set while this node needs every entry although it does not read for others.
+	// readAll is set while this node needs every entry although it does not read for others.
 	readAll bool
 }
 
@@ -42,7 +42,7 @@
 	return r.plan
 }
 
-// WantWhole makes this node read every entry, or leave that again.
+// SetReadAll makes this node read every entry, or leave that again.
 func (r *readers) SetReadAll(whole bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -86,7 +86,7 @@
 	Operator string
 }
 
-// shareTopics makes the feeds through which topics are read.
+// createFeeds makes the feeds through which topics are read.
 func (n *Node) createFeeds(topics Topics) {
 	shared := feed.Config{
 		Log: n.log, Plan: n.readers.Plan, Caller: n.peers, Counts: n.metrics, Logger: n.logger,
@@ -108,7 +108,7 @@
 	return t.ServiceOf(record)
 }
 
-// nodesPause is the pause between two looks whether all nodes are known (chosen; 985 nodes
+// nodesPollInterval is the pause between two looks whether all nodes are known (chosen; 985 nodes
 // that look each 20 ms wake up 49,000 times a second, worked out).
 const nodesPollInterval = 100 * time.Millisecond
 
@@ -127,7 +127,7 @@
 func (n *Node) SamplerFeed() *feed.Feed  { return n.samplerFeed }
 func (n *Node) OperatorFeed() *feed.Feed { return n.operatorFeed }
 
-// peerCalls hands calls of other nodes to whoever they are for.
+// peerHandler hands calls of other nodes to whoever they are for.
 type peerHandler struct{ node *Node }
 
 // HandlePeer implements peer.Handler.
--- a/internal/hosted/remote.go
+++ b/internal/hosted/remote.go
@@ -17,32 +17,34 @@
 )
 
 const (
-	// reportHold is how long a worker holds a call that asks for reports.
+	// reportLongPoll is how long a worker may hold a call that waits for reports.
 	reportLongPoll = 250 * time.Millisecond
-	// callPatience is how much longer a call to a worker may take (chosen: the bound for
-	// regions 120 ms apart, one way, and as much for a busy machine).
+	// callTimeoutMargin is the time that a call to a worker may take beyond its long poll.
+	// It suits regions that are 120 ms apart, one way, and allows as much again for a busy
+	// machine.
 	callTimeoutMargin = 500 * time.Millisecond
-	// callPause is the pause after a call that failed.
+	// callRetryDelay is the delay after a failed call.
 	callRetryDelay = 30 * time.Millisecond
-	// workerPatience is how long a worker may be silent before another one takes its
-	// place: two calls that fail and the next one's way.
+	// workerTimeout is how long a worker may be silent before it is replaced: two failed
+	// calls and the transit time of the next one.
 	workerTimeout = 1200 * time.Millisecond
-	// avoidFor is how long a worker that failed is passed over.
+	// workerCooldown is how long a worker that failed is not selected again.
 	workerCooldown = 5 * time.Second
-	// outlinePatience bounds the wait for the outline of a job.
+	// outlineTimeout bounds the wait for the outline of a job.
 	outlineTimeout = 2 * time.Second
-	// mostOrders bounds the orders of one call.
+	// maxOrdersPerCall bounds the orders of one call.
 	maxOrdersPerCall = 256
 )
 
-// remoteWork is the work of the executor whose bodies and texts are not for this node:
-// workers in its regions carry it. It is used under the executor's lock.
+// remoteWork is the executor's state of jobs that are bound to other regions. This node may
+// not read their bodies and texts; workers in those regions execute their runs. It is guarded
+// by the executor's lock.
 type remoteWork struct {
 	jobs  map[string]*remoteJob
 	links map[string]*link
-	// avoided tells until when a worker is passed over.
+	// avoidedUntil holds the end of the cooldown of workers that failed, by name.
 	avoidedUntil map[string]time.Time
-	// missing is set while a job has no worker.
+	// workerMissing is set while a job has no worker.
 	workerMissing bool
 }
 
@@ -50,35 +52,35 @@
 	return remoteWork{jobs: make(map[string]*remoteJob), links: make(map[string]*link), avoidedUntil: make(map[string]time.Time)}
 }
 
-// remoteJob is a job that a worker carries.
+// remoteJob is a job whose runs a worker executes.
 type remoteJob struct {
 	regions locality.Regions
-	// link is the way to its worker, nil while there is none.
+	// link leads to the worker, nil while there is none.
 	link *link
 }
 
-// link is the way to a worker, for one session of the executor.
+// link is the connection to a worker for one session of the executor. One loop sends it
+// orders, another polls it for reports.
 type link struct {
-	executor *executor
-	worker   carry.Node
-	session  carry.Session
-	cancel   context.CancelFunc
-	// began is when the session began.
+	executor     *executor
+	worker       carry.Node
+	session      carry.Session
+	cancel       context.CancelFunc
 	sessionStart clock.Moment
 	wakeup       chan struct{}
-	// given is closed once the worker is given up.
+	// closed is closed once the link is closed.
 	closed <-chan struct{}
 
 	mutex  sync.Mutex
 	orders []*pathbendv1.CarryOrder
-	// outlines are those who wait for a job's outline.
+	// outlineWaiters holds the channels of callers that wait for a job's outline, by job.
 	outlineWaiters map[string][]chan *pathbendv1.JobOutline
-	// runs are those under way, used under the executor's lock.
+	// runs are the runs in progress, by number. It is guarded by the executor's lock.
 	runs map[uint64]schedule.Start
 }
 
-// linkTo returns the way to the worker for some regions, nil if no node may be it. It is
-// called under the lock.
+// linkTo returns the link to the worker for the given regions and opens it if necessary. It
+// returns nil if there is no eligible node. The caller holds the lock.
 func (e *executor) linkTo(regions locality.Regions) *link {
 	now := time.Now()
 	chosen, found := carry.Choose(e.node.directory.Workers(), e.node.settings.Topology, regions, func(name string) bool {
@@ -99,7 +101,7 @@
 		outlineWaiters: make(map[string][]chan *pathbendv1.JobOutline), runs: make(map[uint64]schedule.Start),
 	}
 	if previous := e.remote.links[chosen.Name]; previous != nil {
-		e.closeLink(previous, "it has another address", now)
+		e.closeLink(previous, "the worker has a new address", now)
 		delete(e.remote.avoidedUntil, chosen.Name)
 	}
 	e.remote.links[chosen.Name] = created
@@ -109,7 +111,8 @@
 	return created
 }
 
-// dropLink gives a worker up: its jobs wait for another one. It is called under the lock.
+// closeLink abandons a worker: its runs end and its jobs wait for another worker. The worker
+// is not selected again for workerCooldown. The caller holds the lock.
 func (e *executor) closeLink(l *link, detail string, now time.Time) {
 	if e.remote.links[l.worker.Name] != l {
 		return
@@ -135,7 +138,7 @@
 	e.wake()
 }
 
-// lost gives a worker up whose calls fail.
+// abandon closes the link to a worker that failed.
 func (l *link) abandon(detail string) {
 	e := l.executor
 	e.mutex.Lock()
@@ -145,16 +148,16 @@
 	}
 }
 
-// unserved gives a worker up that could not begin. Where the log does not serve this node
-// either, another worker would do no better.
+// abandonUnserved closes the link to a worker that the log did not serve. It keeps the link
+// if the log does not serve this node either, as another worker would fare no better.
 func (l *link) abandonUnserved(detail string) {
 	if l.executor.node.jobs.inTouch() {
 		l.abandon(detail)
 	}
 }
 
-// reviewRemote gives jobs without a worker one, forgets jobs that are over, and takes in
-// jobs anew whose regions changed. It is called under the lock.
+// reviewRemote removes remote jobs that the scheduler no longer has and looks for workers
+// for jobs without one. The caller holds the lock.
 func (e *executor) reviewRemote() {
 	missing := false
 	for id, job := range e.remote.jobs {
@@ -177,7 +180,7 @@
 	e.node.metrics.remoteJobs.Set(float64(len(e.remote.jobs)))
 }
 
-// outline asks the worker of some regions for the items of a job without bodies.
+// outline asks the worker for the given regions for the items of a job, without bodies.
 func (e *executor) outline(ctx context.Context, job *ledger.Job, regions locality.Regions) ([]*pathbendv1.BatchItem, error) {
 	e.mutex.Lock()
 	var target *link
@@ -186,7 +189,7 @@
 	}
 	e.mutex.Unlock()
 	if target == nil {
-		return nil, result.New(result.RegionUnavailable, "no node in %v takes calls", regions)
+		return nil, result.New(result.RegionUnavailable, "no node in %v accepts calls to execute runs", regions)
 	}
 	ctx, cancel := context.WithTimeout(ctx, outlineTimeout)
 	defer cancel()
@@ -203,16 +206,16 @@
 		if outline.Unserved {
 			target.abandonUnserved(outline.Failure)
 		}
-		return nil, result.New(result.PeerLost, "%s cannot read the job: %s", target.worker.Name, outline.Failure)
+		return nil, result.New(result.PeerLost, "worker %s cannot read the job: %s", target.worker.Name, outline.Failure)
 	case <-target.closed:
-		return nil, result.New(result.PeerLost, "%s was given up", target.worker.Name)
+		return nil, result.New(result.PeerLost, "worker %s was abandoned while it read the job", target.worker.Name)
 	case <-ctx.Done():
-		target.abandon("it gave no outline")
-		return nil, result.Wrap(result.PeerLost, ctx.Err(), "await the outline of "+target.worker.Name)
+		target.abandon("the worker did not report the outline of a job in time")
+		return nil, result.Wrap(result.PeerLost, ctx.Err(), "wait for the job outline of worker "+target.worker.Name)
 	}
 }
 
-// startRemote lets the job's worker carry a run. It is called under the lock.
+// startRemote orders the job's worker to execute a run. The caller holds the lock.
 func (e *executor) startRemote(job *remoteJob, start schedule.Start) {
 	l := job.link
 	l.runs[start.Run] = start
@@ -228,8 +231,8 @@
 	}}})
 }
 
-// finishRemote lets the job's worker score a text that the log has, or that the worker
-// holds. It is called under the lock.
+// finishRemote orders the job's worker to score a complete text, from the log or from the
+// worker's memory. Without a worker it reopens the item. The caller holds the lock.
 func (e *executor) finishRemote(completed schedule.Finished) {
 	job := e.remote.jobs[completed.Key.Job]
 	if job == nil || job.link == nil {
@@ -242,6 +245,7 @@
 	}}})
 }
 
+// enqueue appends an order for the worker and wakes the send loop.
 func (l *link) enqueue(order *pathbendv1.CarryOrder) {
 	l.mutex.Lock()
 	l.orders = append(l.orders, order)
@@ -252,11 +256,11 @@
 	}
 }
 
-// clock is what times of sending are told by. It is that of the session, which may have
-// several links to a worker one after the other.
+// sessionTime returns the time since the start of the session, the clock of send times. It
+// is not that of the link, as a session may have several links to a worker in succession.
 func (l *link) sessionTime() time.Duration { return l.sessionStart.Age() }
 
-// call makes one call to the worker.
+// call makes one call to the worker. It fills in the session and the send time.
 func (l *link) call(ctx context.Context, call *pathbendv1.CarryCall) (*pathbendv1.CarryReply, error) {
 	call.Decider, call.Generation, call.Session = l.session.Decider, l.session.Generation, l.session.ID
 	call.SentMs = uint64(l.sessionTime().Milliseconds())
@@ -268,12 +272,13 @@
 	}
 	carryReply := reply.GetCarryReply()
 	if carryReply == nil {
-		return nil, result.New(result.FrameMalformed, "no answer to a call to a worker")
+		return nil, result.New(result.FrameMalformed, "worker answered with a message of another kind")
 	}
 	return carryReply, nil
 }
 
-// send gives the worker its orders, in order, until ctx ends.
+// send delivers the queued orders in sequence until ctx ends. Orders of a failed call are
+// sent again.
 func (l *link) send(ctx context.Context) {
 	for ctx.Err() == nil {
 		l.mutex.Lock()
@@ -296,7 +301,7 @@
 	}
 }
 
-// poll asks the worker for reports until ctx ends or the worker is lost.
+// poll long-polls the worker for reports until ctx ends or the worker is abandoned.
 func (l *link) poll(ctx context.Context) {
 	lastReplyAt, acknowledged, process := clock.Mark(), uint64(0), uint64(0)
 	for ctx.Err() == nil {
@@ -313,7 +318,7 @@
 			continue
 		}
 		if process != 0 && reply.Process != process {
-			l.abandon("it started anew")
+			l.abandon("the worker process restarted")
 			return
 		}
 		lastReplyAt, process = clock.At(now), reply.Process
@@ -325,16 +330,16 @@
 		}
 		switch {
 		case reply.Leaving:
-			l.abandon("it is leaving")
+			l.abandon("the worker is shutting down")
 			return
 		case reply.OutOfTouch && l.executor.node.jobs.inTouch():
-			l.abandon("the log does not serve it")
+			l.abandon("the worker is out of touch with the log")
 			return
 		}
 	}
 }
 
-// take applies a report.
+// applyReport applies a report of the worker.
 func (l *link) applyReport(report *pathbendv1.CarryReport, now time.Time) {
 	switch body := report.Report.(type) {
 	case *pathbendv1.CarryReport_Outline:
@@ -352,6 +357,7 @@
 	}
 }
 
+// reopenItem lets an item run again whose text the worker does not have.
 func (e *executor) reopenItem(l *link, lost *pathbendv1.LostItem) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -361,7 +367,8 @@
 	}
 }
 
-// takeRun applies the state of a run.
+// applyRunState applies the reported state of a run. Reports of closed links and of unknown
+// runs are ignored.
 func (e *executor) applyRunState(l *link, state *pathbendv1.RunState, now time.Time) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -384,7 +391,7 @@
 	delete(l.runs, state.Run)
 	delete(e.runs, start.Key)
 	if state.Ended {
-		// The worker told the log; this node may not have read it yet.
+		// The worker recorded it in the log; this node may not have read that entry yet.
 		e.node.suspects.items.Heard(itemDigest(start.Key.Item), start.Sampler.ID)
 	}
 	e.endRun(start, RunEnd{Ending: schedule.Ending(state.Ending), Detail: state.Detail}, now)
--- a/internal/hosted/remote_test.go
+++ b/internal/hosted/remote_test.go
@@ -19,14 +19,14 @@
 	"github.com/pathbend/pathbend/internal/sharedlog"
 )
 
-// noNetwork reaches nobody.
+// unreachableNetwork reaches nobody.
 type unreachableNetwork struct{}
 
 func (unreachableNetwork) Dial(context.Context, string) (net.Conn, error) { return nil, net.ErrClosed }
 
 func (unreachableNetwork) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
 
-// withDecider runs a test with an executor in the north, in session, that knows of a worker
+// runWithExecutor runs a test with an executor in the north, in session, that knows of a worker
 // in the south which it does not reach.
 func runWithExecutor(t *testing.T, route locality.Regions, test func(t *testing.T, e *executor)) {
 	t.Helper()
@@ -46,7 +46,7 @@
 	})
 }
 
-// routeIn is a configuration with one route, whose regions are those named.
+// catalogWithRegions is a configuration with one route, whose regions are those named.
 func catalogWithRegions(t *testing.T, version uint64, regions locality.Regions) *catalog.Catalog {
 	t.Helper()
 	built, err := catalog.New(version, []catalog.Route{{
@@ -110,7 +110,7 @@
 	})
 }
 
-// submitOne lets the executor read of a job "j" with one item.
+// submitJob lets the executor read of a job "j" with one item.
 func submitJob(t *testing.T, e *executor) *bodyLog {
 	t.Helper()
 	item := &pathbendv1.BatchItem{Id: "i", Body: []byte("secret")}
--- a/internal/hosted/scaler.go
+++ b/internal/hosted/scaler.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// scalerTick is how often the holder looks whether samplers are to be ordered.
+	// scalerInterval is how often the holder looks whether samplers are to be ordered.
 	scalerInterval = 500 * time.Millisecond
-	// scaleTimeout bounds an order. It is below the time for which another holder waits
+	// samplerOrderTimeout bounds an order. It is below the time for which another holder waits
 	// after this one's claim.
 	samplerOrderTimeout = 1800 * time.Millisecond
 )
@@ -89,7 +89,7 @@
 	}
 }
 
-// zones counts a service's samplers by zone, and the ordinary ones of evacuated zones,
+// countByZone counts a service's samplers by zone, and the ordinary ones of evacuated zones,
 // which are left out: nothing is ordered there, and what it has is kept for its return.
 func (s *scaler) countByZone(service catalog.Service) (zones []scaling.Zone, evacuated int) {
 	byZone := make(map[string]*scaling.Zone)
--- a/internal/hosted/usage.go
+++ b/internal/hosted/usage.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	// leastGather is how long a node gathers counts at least before it writes them.
+	// minGatherInterval is how long a node gathers counts at least before it writes them.
 	minGatherInterval = 300 * time.Millisecond
-	// gatherPerNode lengthens that so that all nodes together append no more than a
+	// gatherIntervalPerNode lengthens that so that all nodes together append no more than a
 	// hundred times a second: a partition takes an append each 4 ms.
 	gatherIntervalPerNode = 10 * time.Millisecond
-	// longestGather bounds it, since reports wait for it and a killed process loses what
+	// maxGatherInterval bounds it, since reports wait for it and a killed process loses what
 	// it gathered.
 	maxGatherInterval = 3 * time.Second
 )
@@ -61,7 +61,7 @@
 	u.node.loops.Go(func() { u.reporter.Run(ctx) })
 }
 
-// gather is how long a node gathers counts before it writes them.
+// gatherInterval is how long a node gathers counts before it writes them.
 func (u *usage) gatherInterval() time.Duration {
 	announced, ok := u.node.directory.Announced()
 	if !ok {
--- a/internal/hosted/weights.go
+++ b/internal/hosted/weights.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// controlTimeout bounds a report or an order.
+	// controlTimeout bounds a status report or an order.
 	controlTimeout = 800 * time.Millisecond
-	// firstLook is when a sampler is first asked whether it took its order: a load
-	// takes as long where it is alone. lookInterval is the shortest pause between
-	// looks at one sampler; all looks together come looksPerSecond times a second at
-	// most (chosen).
+	// firstPollDelay is the time from an order to the first poll of the sampler: a load takes
+	// that long when no other sampler loads. minPollInterval is the shortest interval between
+	// polls of one sampler, maxPollsPerSecond bounds the polls of all samplers together.
 	firstPollDelay    = 900 * time.Millisecond
 	minPollInterval   = 60 * time.Millisecond
 	maxPollsPerSecond = 1000
-	// loadPatience is how long an order may take before the sampler is judged
-	// anew.
+	// loadTimeout bounds the wait for an ordered version. After it the roll decides anew what
+	// the sampler needs.
 	loadTimeout = 4 * time.Second
 )
 
-// orderWeights begins the orders that are due. It is called under the lock.
+// orderWeights starts the weight changes that are due, each in its own goroutine. The caller
+// holds the lock.
 func (e *executor) orderWeights(now time.Time) {
 	if _, ok := e.node.ownership.MayOrder(jobPartition, now); !ok {
 		return
@@ -59,8 +59,9 @@
 	}
 }
 
-// rollFleet are the samplers that may follow versions, as the executor knows them. The place
-// of an evacuated one goes to a sampler that gets work. It is used under the lock.
+// rollFleet presents the samplers to the weight roll, as the executor knows them. It leaves
+// out evacuated samplers, so that samplers that get work are updated in their place. The
+// executor's lock is held while it is used.
 type rollFleet struct {
 	executor *executor
 	now      time.Time
@@ -97,8 +98,8 @@
 	}
 }
 
-// move brings one sampler to a version. It reports whether the sampler was seen
-// to serve it.
+// moveToVersion orders one sampler to load a version, unless it serves or loads it already,
+// and waits for it. It returns whether the sampler reported the version.
 func (e *executor) moveToVersion(ctx context.Context, scheduler *schedule.Scheduler, sampler schedule.Sampler, step weights.Step) bool {
 	report, err := e.report(ctx, sampler)
 	if err != nil {
@@ -140,7 +141,8 @@
 	}
 }
 
-// awaitVersion asks a sampler until it serves a version.
+// awaitVersion polls a sampler until it serves a version. It returns false after loadTimeout,
+// if the order counts as lost, or if the sampler's zone is evacuated.
 func (e *executor) awaitVersion(ctx context.Context, scheduler *schedule.Scheduler, sampler schedule.Sampler, step weights.Step) bool {
 	e.setLoading(scheduler, sampler, step)
 	start := time.Now()
@@ -162,17 +164,20 @@
 	return false
 }
 
-// lookPause is the pause between two looks at a sampler that loads.
+// pollInterval returns the interval between two polls of a loading sampler. It grows with the
+// number of loading samplers to stay within maxPollsPerSecond.
 func (e *executor) pollInterval() time.Duration {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return max(minPollInterval, time.Duration(e.roll.Moving())*time.Second/maxPollsPerSecond)
 }
 
-// maxIdleLooks is how many reports in a row may show neither the version nor an
-// order under way before the order counts as not taken.
+// maxIdleReports is how many consecutive reports may show neither the version nor an order in
+// progress before the order counts as not accepted.
 const maxIdleReports = 2
 
+// countIdleReports returns the number of consecutive idle reports after one more report.
+// countIdleReports returns the number of consecutive idle reports after one more report.
 func countIdleReports(previous int, report SamplerReport) int {
 	if report.Busy {
 		return 0
@@ -180,18 +185,20 @@
 	return previous + 1
 }
 
-// report asks a sampler of itself. The answer of another incarnation than the one that is
-// listed is none: the list tells of the newer one soon.
+// report requests a sampler's status. It returns an error if another incarnation than the
+// listed one answers; the list will soon contain the newer one.
 func (e *executor) report(ctx context.Context, sampler schedule.Sampler) (SamplerReport, error) {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
 	report, err := e.node.ports.Control.Report(ctx, sampler)
 	if err == nil && report.Born != sampler.Born && report.Born > 0 && sampler.Born > 0 {
-		return SamplerReport{}, result.New(result.BackEndRefused, "sampler %q started at %d, not at %d", sampler.ID, report.Born, sampler.Born)
+		return SamplerReport{}, result.New(result.BackEndRefused, "sampler %q runs another incarnation: started at %d, listed with %d", sampler.ID, report.Born, sampler.Born)
 	}
 	return report, err
 }
 
+// recordVersions passes the versions that a sampler reported to the scheduler.
+// recordVersions passes the versions that a sampler reported to the scheduler.
 func (e *executor) recordVersions(scheduler *schedule.Scheduler, sampler schedule.Sampler, versions map[string]uint64) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -201,14 +208,16 @@
 	e.wake()
 }
 
-// singleVersion reports whether a text that went on under new weights would have
-// to begin anew.
+// singleVersion reports whether texts of a model must come from a single version. A text that
+// continued under new weights would then have to be generated again from the start.
 func (e *executor) singleVersion(scheduler *schedule.Scheduler, model string) bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return scheduler.SingleVersion(model)
 }
 
+// setLoading tells the scheduler that a sampler is changing weights.
+// setLoading tells the scheduler that a sampler is changing weights.
 func (e *executor) setLoading(scheduler *schedule.Scheduler, sampler schedule.Sampler, step weights.Step) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
--- a/internal/hosted/weights_test.go
+++ b/internal/hosted/weights_test.go
@@ -47,7 +47,7 @@
 	return sharedlog.Batch{Records: l.records[min(int(from), end):end], End: uint64(end)}, nil
 }
 
-// holder returns a node that takes itself for the holder of the jobs under a
+// newHolder returns a node that takes itself for the holder of the jobs under a
 // generation.
 func newHolder(name string, generation uint64, log sharedlog.Log) *executor {
 	settings := Settings{
--- a/internal/hosted/worker.go
+++ b/internal/hosted/worker.go
@@ -20,33 +20,36 @@
 )
 
 const (
-	// workerLease is how long a worker goes on without a call of the node that decides:
-	// longer than it takes another node to take the jobs over, and with a job's end just
-	// before within the users' bound of 3 s for runs of ended jobs (chosen).
+	// workerLease is how long a worker continues its runs without a call from the executor.
+	// It is longer than another node needs to take the jobs over. If a job ends just before
+	// the executor falls silent, its runs still stop within the required 3 s.
 	workerLease = 2 * time.Second
-	// workerTick is how often a worker looks at what no call announces.
+	// workerInterval is the interval of the worker's periodic checks: the lease, unsaved
+	// progress and expired state.
 	workerInterval = 50 * time.Millisecond
-	// reportLinger lets reports of a moment share an answer (chosen: half of the time
-	// between two events of a text).
+	// reportBatchDelay lets reports that occur close together share a reply. It is half of
+	// the time between two events of a text.
 	reportBatchDelay = 15 * time.Millisecond
-	// heldUpLimit is how much longer than others a call may have been on its way for its
-	// starts to count, and how much later a run may begin: the budget of a cold sampler and the end of a job hold for the time
-	// at which the run was decided on (chosen; the users allow 300 ms after a thaw).
+	// maxStartDelay bounds how much longer than usual a call may take to arrive for its
+	// starts to be executed, and how long after its start order a run may begin. The budget
+	// of a cold sampler and the state of the job are those of the time at which the executor
+	// scheduled the run. The requirement after a suspended process resumes is 300 ms.
 	maxStartDelay = 300 * time.Millisecond
-	// mostHold bounds how long a call may wait for reports.
+	// maxLongPoll bounds how long a call may wait for reports.
 	maxLongPoll = time.Second
-	// textMemory is how long a text is held that no run goes on with: as long as a group
-	// may take to come again in a later job.
+	// textRetention is how long a text is kept that no run continues: as long as it may take
+	// until its group is submitted again with a later job.
 	textRetention = 2 * time.Minute
 )
 
-// worker carries runs of items for the node that decides: it reads the bodies, holds the
-// streams and the texts, makes the reward calls and lists the results.
+// worker executes runs of items on behalf of the executor, which may be another node (the
+// "decider" of a call): it reads the bodies, holds the streams and the texts, makes the
+// reward calls and writes the results to the log.
 type worker struct {
 	node *Node
-	// process tells this start of the node from others.
+	// process is a random number that identifies this start of the node.
 	process uint64
-	// active is set once any call came.
+	// active is set by the first call.
 	active atomic.Bool
 	wakeup chan struct{}
 
@@ -55,11 +58,12 @@
 
 	mutex   sync.Mutex
 	session carry.Session
+	// heardAt is when the last call of the session arrived.
 	heardAt clock.Moment
-	// way tells which calls were held up.
+	// callDelays detects calls that arrive late.
 	callDelays carry.Way
 	reports    carry.Reports
-	// news is closed and replaced at every report.
+	// reported is closed and replaced whenever a report is added.
 	reported        chan struct{}
 	lastRun         uint64
 	runs            map[uint64]*carriedRun
@@ -70,47 +74,48 @@
 	progressSavedAt time.Time
 	leaving         bool
 
-	// lifetime ends with the node.
+	// lifetime is canceled when the node stops.
 	lifetime context.Context
 	work     conc.WaitGroup
 }
 
-// carriedRun is a run under way. Its number is its caller's, and each session counts from 1.
+// carriedRun is a run in progress. The executor assigns its number; each session counts
+// from 1.
 type carriedRun struct {
 	number uint64
 	key    schedule.Key
 	stop   context.CancelFunc
-	// orderedAt is when its start came.
+	// receivedAt is when the start order arrived.
 	receivedAt clock.Moment
 }
 
-// carriedJob is a job whose items were read.
+// loadedJob is a job whose items have been read from the log.
 type loadedJob struct {
 	spec  *pathbendv1.BatchJob
 	items map[string]*pathbendv1.BatchItem
-	// over is when the job ended or was complete, as far as this node knows.
+	// endedAt is when this node learned that the job ended or was complete; zero before.
 	endedAt time.Time
 }
 
-// jobRead is a read of a job's items for all that wait for it. job and err are set once
-// done is closed.
+// jobLoad is a read of a job's items, shared by all callers that wait for it. job and err
+// are valid once done is closed.
 type jobLoad struct {
 	done chan struct{}
 	job  *loadedJob
 	err  error
 }
 
-// textKey names a text: an item may have a second one, made ahead for a later job.
+// textKey identifies a text. An item may have a second one, generated ahead for a later job.
 type textKey struct {
 	item  string
 	ahead bool
 }
 
-// carriedText is a text that the worker holds.
+// heldText is the generated text of an item in the worker's memory.
 type heldText struct {
 	schedule.Text
 	job string
-	// run is the run that may add to it, nil if none does.
+	// run is the run that may append to the text, nil if there is none.
 	run        *carriedRun
 	isComplete bool
 	usedAt     time.Time
@@ -124,7 +129,8 @@
 	}
 }
 
-// run looks after the runs until ctx ends.
+// run performs the worker's periodic checks until ctx ends, then stops all runs and waits
+// for them.
 func (w *worker) run(ctx context.Context) {
 	w.mutex.Lock()
 	w.lifetime = ctx
@@ -134,7 +140,7 @@
 	for ctx.Err() == nil {
 		ticks := ticker.C
 		if !w.active.Load() {
-			// A node that carries no runs is woken by the first call for one.
+			// A node that never executed runs for others is woken by the first call.
 			ticks = nil
 		}
 		select {
@@ -152,7 +158,8 @@
 	w.work.Wait()
 }
 
-// jobChanged records a change of the ledger. It is called under the ledger's lock.
+// jobChanged queues a change of the ledger for the next step. The caller holds the ledger's
+// lock.
 func (w *worker) jobChanged(change ledger.Change) {
 	if !w.active.Load() || change.Kind != ledger.Ended && change.Kind != ledger.Listed {
 		return
@@ -163,7 +170,7 @@
 	w.wake()
 }
 
-// wake makes the worker look at once.
+// wake triggers a step without waiting for the next interval.
 func (w *worker) wake() {
 	select {
 	case w.wakeup <- struct{}{}:
@@ -208,10 +215,10 @@
 	}
 }
 
-// isUnderWay reports whether a run goes on. It is called under the lock.
+// isRunning reports whether a run is in progress. The caller holds the lock.
 func (w *worker) isRunning(run *carriedRun) bool { return run != nil && w.runs[run.number] == run }
 
-// stopRuns stops the runs that are chosen. It is called under the lock.
+// stopRuns stops the selected runs. The caller holds the lock.
 func (w *worker) stopRuns(selected func(*carriedRun) bool) {
 	for number, run := range w.runs {
 		if selected(run) {
@@ -221,8 +228,9 @@
 	}
 }
 
-// forget drops the bodies of jobs that are over, with the runs ahead of them that go on
-// for too long, and texts that nothing goes on with.
+// removeExpired removes jobs that ended longer than schedule.AheadPatience ago, with their
+// remaining runs for later jobs, and texts that no run has continued within textRetention.
+// The caller holds the lock.
 func (w *worker) removeExpired(now time.Time) {
 	for id, job := range w.jobs {
 		if !job.endedAt.IsZero() && now.Sub(job.endedAt) > schedule.AheadPatience {
@@ -237,7 +245,9 @@
 	}
 }
 
-// saveProgress saves what running items made. It is called under the lock.
+// saveProgress hands the new events of running items to the lister, which writes them to
+// the log. Items with fewer than minEvents unsaved events are left out. The caller holds the
+// lock.
 func (w *worker) saveProgress(minEvents uint64, now time.Time) {
 	unsaved := make(partsByJob)
 	w.node.jobs.withLedger(func(jobs *ledger.Ledger) {
@@ -254,7 +264,8 @@
 	w.node.executor.lister.addProgress(unsaved)
 }
 
-// drain saves what running items made and sends the callers elsewhere.
+// drain saves the progress of running items and tells the executor that this node is
+// leaving.
 func (w *worker) drain(ctx context.Context) {
 	if !w.active.Load() {
 		return
@@ -269,13 +280,14 @@
 	w.node.executor.lister.flush(ctx)
 }
 
-// announceNews wakes the calls that wait for reports. It is called under the lock.
+// notifyReported wakes the calls that wait for reports. The caller holds the lock.
 func (w *worker) notifyReported() {
 	close(w.reported)
 	w.reported = make(chan struct{})
 }
 
-// report tells the caller something. It is called under the lock.
+// addReport queues a report for the executor unless its session has been replaced. The
+// caller holds the lock.
 func (w *worker) addReport(session carry.Session, report *pathbendv1.CarryReport) {
 	if w.session != session {
 		return
@@ -288,7 +300,7 @@
 func (w *worker) HandlePeer(ctx context.Context, call *pathbendv1.Envelope) (*pathbendv1.Envelope, error) {
 	carryCall := call.GetCarryCall()
 	if carryCall == nil {
-		return nil, result.New(result.FrameMalformed, "not a call for a worker")
+		return nil, result.New(result.FrameMalformed, "peer call is not a call to a worker")
 	}
 	reply, err := w.handleCall(ctx, carryCall)
 	if err != nil {
@@ -297,6 +309,8 @@
 	return &pathbendv1.Envelope{Body: &pathbendv1.Envelope_CarryReply{CarryReply: reply}}, nil
 }
 
+// handleCall applies the orders of a call and returns the pending reports, after a long poll
+// if the call asks for one.
 func (w *worker) handleCall(ctx context.Context, call *pathbendv1.CarryCall) (*pathbendv1.CarryReply, error) {
 	session := carry.Session{Decider: call.Decider, Generation: call.Generation, ID: call.Session}
 	reported, err := w.applyCall(session, call)
@@ -309,7 +323,7 @@
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if w.session != session {
-		return nil, result.New(result.LeaseConflict, "%s decides since generation %d", w.session.Decider, w.session.Generation)
+		return nil, result.New(result.LeaseConflict, "session was replaced: node %s is the executor since generation %d", w.session.Decider, w.session.Generation)
 	}
 	reply := &pathbendv1.CarryReply{Process: w.process, Leaving: w.leaving, OutOfTouch: !w.node.jobs.inTouch()}
 	if call.HoldMs > 0 {
@@ -318,13 +332,13 @@
 	return reply, nil
 }
 
-// obey carries a call's orders out. It returns a channel that is closed at the next report,
-// nil if there is one already.
+// applyCall applies the orders of a call. It returns a channel that is closed at the next
+// report, nil if reports are pending already.
 func (w *worker) applyCall(session carry.Session, call *pathbendv1.CarryCall) (<-chan struct{}, error) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if w.lifetime.Err() != nil {
-		return nil, result.New(result.Draining, "the node stops")
+		return nil, result.New(result.Draining, "the node is stopping")
 	}
 	isNew, err := w.session.Admit(session)
 	if err != nil {
@@ -346,8 +360,8 @@
 	return w.reported, nil
 }
 
-// begin takes orders of another session: the runs of the former one end, their texts are
-// gone on with.
+// startSession switches to another session. It stops the runs of the previous session and
+// keeps their texts, which runs of the new session continue. The caller holds the lock.
 func (w *worker) startSession(session carry.Session) {
 	w.active.Store(true)
 	w.wake()
@@ -357,6 +371,8 @@
 	w.session, w.reports, w.callDelays, w.lastRun = session, carry.Reports{}, carry.Way{}, 0
 }
 
+// awaitReports waits until reported is closed, at most for timeout, and then for
+// reportBatchDelay. A nil channel means that reports are pending.
 func (w *worker) awaitReports(ctx context.Context, reported <-chan struct{}, timeout time.Duration) {
 	if reported != nil {
 		timer := time.NewTimer(timeout)
@@ -372,8 +388,9 @@
 	wait.For(ctx, reportBatchDelay)
 }
 
-// order carries one order out. Orders that come twice are harmless: runs are numbered in
-// the order of their starts. A start that comes late is passed over.
+// applyOrder applies one order. Duplicate orders have no effect: runs are numbered in the
+// order of their starts. A delayed start is reported as stopped and not executed. The caller
+// holds the lock.
 func (w *worker) applyOrder(session carry.Session, order *pathbendv1.CarryOrder, delayed bool) {
 	switch typed := order.Order.(type) {
 	case *pathbendv1.CarryOrder_Open:
@@ -385,7 +402,7 @@
 		w.lastRun = typed.Start.Run
 		if delayed {
 			w.addRunReport(session, &pathbendv1.RunState{
-				Run: typed.Start.Run, Ending: uint32(schedule.Stopped), Detail: "its start was held up on the way",
+				Run: typed.Start.Run, Ending: uint32(schedule.Stopped), Detail: "the start order was delayed on the way to the worker",
 			})
 			return
 		}
--- a/internal/hosted/worker_runs.go
+++ b/internal/hosted/worker_runs.go
@@ -13,7 +13,8 @@
 	"github.com/pathbend/pathbend/internal/schedule"
 )
 
-// read returns a job that is not over, with the bodies of its items.
+// loadJob returns a job that has not ended, with the bodies of its items. Concurrent calls
+// for the same job share one read.
 func (w *worker) loadJob(ctx context.Context, jobID string) (*loadedJob, error) {
 	w.mutex.Lock()
 	if job, known := w.jobs[jobID]; known {
@@ -38,7 +39,7 @@
 	}
 }
 
-// readFor reads a job for all that wait for it.
+// loadShared reads a job on behalf of all callers that wait for load.
 func (w *worker) loadShared(load *jobLoad, jobID string) {
 	defer close(load.done)
 	load.job, load.err = w.fetchJob(w.lifetime, jobID)
@@ -51,12 +52,14 @@
 	w.jobs[jobID] = load.job
 	w.node.jobs.view(jobID, func(job *ledger.Job) {
 		if job == nil || !job.Open() {
-			// The change that said so found no job here.
+			// The job ended during the read, and applyChange did not find it in w.jobs.
 			load.job.endedAt = time.Now()
 		}
 	})
 }
 
+// fetchJob reads a job and its items from the log. It fails if this node may not read the
+// bodies.
 func (w *worker) fetchJob(ctx context.Context, jobID string) (*loadedJob, error) {
 	spec, err := w.openJobSpec(ctx, jobID)
 	if err != nil {
@@ -76,7 +79,8 @@
 	return job, nil
 }
 
-// specOf returns a job that is open. A job that this node has not read of yet is in the log.
+// openJobSpec returns the specification of an open job. If this node does not know the job,
+// it reads the newest entries of the log first.
 func (w *worker) openJobSpec(ctx context.Context, jobID string) (*pathbendv1.BatchJob, error) {
 	var spec *pathbendv1.BatchJob
 	readSpec := func(job *ledger.Job) {
@@ -97,7 +101,7 @@
 	return spec, nil
 }
 
-// outline reports the items of a job without bodies.
+// reportOutline reports the items of a job without their bodies.
 func (w *worker) reportOutline(session carry.Session, jobID string) {
 	outline := &pathbendv1.JobOutline{JobId: jobID}
 	job, err := w.loadJob(w.lifetime, jobID)
@@ -115,13 +119,14 @@
 	w.addReport(session, &pathbendv1.CarryReport{Report: &pathbendv1.CarryReport_Outline{Outline: outline}})
 }
 
-// passing reports whether a job cannot be read for a reason that another worker would have
-// too, and the caller will learn of: it is over, or bound elsewhere by now.
+// isJobError reports whether a job could not be read for a reason that lies in the job and
+// holds for every worker: it has ended, or is now bound to other regions. The executor learns
+// of that from the log or the configuration.
 func isJobError(err error) bool {
 	return result.Is(err, result.JobUnknown) || result.Is(err, result.RegionUnavailable)
 }
 
-// outlineOf returns what a decision needs to know of an item.
+// outlineOf returns the part of an item that scheduling needs; it has no bodies.
 func outlineOf(item *pathbendv1.BatchItem) *pathbendv1.BatchItem {
 	outline := &pathbendv1.BatchItem{
 		Id: item.Id, Tokens: item.Tokens, Group: item.Group, ExpectedTokens: item.ExpectedTokens,
@@ -132,7 +137,7 @@
 	return outline
 }
 
-// startRun begins a run. It is called under the lock.
+// startRun starts a run in its own goroutine and reports its end. The caller holds the lock.
 func (w *worker) startRun(session carry.Session, start *pathbendv1.StartRun) {
 	ctx, stop := context.WithCancel(w.lifetime)
 	run := &carriedRun{number: start.Run, key: schedule.Key{Job: start.JobId, Item: start.ItemId, Ahead: start.Ahead}, stop: stop, receivedAt: clock.Mark()}
@@ -153,11 +158,12 @@
 	})
 }
 
+// addRunReport queues the state of a run for the executor. The caller holds the lock.
 func (w *worker) addRunReport(session carry.Session, state *pathbendv1.RunState) {
 	w.addReport(session, &pathbendv1.CarryReport{Report: &pathbendv1.CarryReport_Run{Run: state}})
 }
 
-// carryRun carries a run to its end and returns how it ended.
+// executeRun executes a run to its end and returns its final state.
 func (w *worker) executeRun(ctx context.Context, session carry.Session, current *carriedRun, start *pathbendv1.StartRun) *pathbendv1.RunState {
 	stoppedState := func(unserved bool, err error) *pathbendv1.RunState {
 		return &pathbendv1.RunState{Run: start.Run, Ending: uint32(schedule.Stopped), Unserved: unserved, Detail: err.Error()}
@@ -174,7 +180,7 @@
 	}
 	item := job.items[current.key.Item]
 	if item == nil {
-		return stoppedState(true, result.New(result.ItemUnknown, "no item %q", current.key.Item))
+		return stoppedState(true, result.New(result.ItemUnknown, "the job has no item %q", current.key.Item))
 	}
 	acceptance := schedule.Acceptance{MinVersion: start.MinVersion, SingleVersion: start.SingleVersion}
 	text := w.selectText(ctx, session, current, acceptance)
@@ -182,8 +188,8 @@
 		return w.runState(text, start.Run, 0, RunEnd{Ending: schedule.Complete})
 	}
 	if current.receivedAt.Age() > maxStartDelay {
-		// What was read is kept: the next start finds it.
-		return w.runState(text, start.Run, 0, RunEnd{Ending: schedule.Stopped, Detail: "it began too late"})
+		// The loaded job and text stay in memory for the next start.
+		return w.runState(text, start.Run, 0, RunEnd{Ending: schedule.Stopped, Detail: "reading the job and its text took too long after the start order"})
 	}
 	run := Run{
 		Sampler: schedule.Sampler{ID: start.SamplerId, Address: start.Address, Zone: start.Zone}, Host: job.spec.Host,
@@ -212,16 +218,17 @@
 	return w.runState(text, start.Run, version, end)
 }
 
-// stateOf describes a run. It is called under the lock, but for a run that no one else
-// adds to.
+// runState returns the state of a run for a report. The caller holds the lock unless no
+// other goroutine can append to the text.
 func (w *worker) runState(text *heldText, number, version uint64, end RunEnd) *pathbendv1.RunState {
 	return &pathbendv1.RunState{
 		Run: number, Events: text.Events(), Versions: text.Versions(), Version: version, Ending: uint32(end.Ending), Detail: end.Detail, Ended: end.Ended,
 	}
 }
 
-// claimText returns the text that a run goes on with: the longest that the job accepts of
-// those held here and the one in the log. It reports how far that is.
+// selectText returns the text that a run continues: the longest acceptable one of the texts
+// in memory and the one in the log. It makes run the only one that may append to it and
+// reports its length to the executor.
 func (w *worker) selectText(ctx context.Context, session carry.Session, run *carriedRun, acceptance schedule.Acceptance) *heldText {
 	key := run.key
 	logged := w.loggedText(ctx, key, acceptance)
@@ -243,8 +250,9 @@
 	return best
 }
 
-// keptText returns the text of an item that the log holds, unless a longer one is held
-// here. Text that cannot be read is made again.
+// loggedText returns the text of an item in the log. The text is empty if the log has none
+// that is acceptable, if one in memory is at least as long, or if it cannot be read; it is
+// then generated again.
 func (w *worker) loggedText(ctx context.Context, key schedule.Key, acceptance schedule.Acceptance) *heldText {
 	text := &heldText{}
 	var progress ledger.Progress
@@ -266,14 +274,15 @@
 	return text
 }
 
-// finishOwn scores and lists a complete text that this worker holds.
+// finishCompletedRun finishes the item of a run that this worker completed.
 func (w *worker) finishCompletedRun(session carry.Session, key schedule.Key, start *pathbendv1.StartRun) {
 	w.finishItem(session, &pathbendv1.FinishItem{
 		JobId: key.Job, ItemId: key.Item, MinVersion: start.MinVersion, SingleVersion: start.SingleVersion,
 	})
 }
 
-// finishOrdered scores and lists a complete text: one that the log has, or one held here.
+// finishItem scores a complete text, from the log or from memory, and writes the item's
+// result. It reports the item as lost if the text or the item is not available.
 func (w *worker) finishItem(session carry.Session, order *pathbendv1.FinishItem) {
 	key := schedule.Key{Job: order.JobId, Item: order.ItemId}
 	job, err := w.loadJob(w.lifetime, key.Job)
@@ -301,7 +310,8 @@
 	delete(w.finishing, key)
 }
 
-// completeText fills in a complete text that is held here. It is called under the lock.
+// fillCompleteText fills in a complete, acceptable text from memory and reports whether
+// there is one. The caller holds the lock.
 func (w *worker) fillCompleteText(key schedule.Key, order *pathbendv1.FinishItem, completed *schedule.Finished) bool {
 	acceptance := schedule.Acceptance{MinVersion: order.MinVersion, SingleVersion: order.SingleVersion}
 	for _, ahead := range []bool{false, true} {
@@ -314,6 +324,8 @@
 	return false
 }
 
+// scoreAndList makes the reward call, if there is one, and writes the result of the item
+// unless it is no longer needed.
 func (w *worker) scoreAndList(completed schedule.Finished) {
 	stamp, alive := "", true
 	if completed.Reward != nil {
@@ -324,7 +336,7 @@
 	}
 }
 
-// wants reports whether an item still waits for its result.
+// needsResult reports whether the job of an item is open and has no result of the item yet.
 func (w *worker) needsResult(key schedule.Key) bool {
 	needed := false
 	w.node.jobs.view(key.Job, func(job *ledger.Job) { needed = job != nil && job.Open() && !job.Listed(key.Item) })
--- a/internal/hosted/worker_test.go
+++ b/internal/hosted/worker_test.go
@@ -28,7 +28,7 @@
 // pacedGenerator makes an event now and again until the run is stopped, or length events.
 type pacedGenerator struct {
 	length uint64
-	// begun are the events after which runs began, ended counts those that ended.
+	// started are the events after which runs began, ended counts those that ended.
 	started chan uint64
 	stopped chan struct{}
 }
@@ -82,7 +82,7 @@
 	return l.reads
 }
 
-// workerBench is a worker in the north that holds the bodies of a job "j" with an item "i",
+// workerFixture is a worker in the north that holds the bodies of a job "j" with an item "i",
 // and what its caller knows.
 type workerFixture struct {
 	*worker
@@ -138,7 +138,7 @@
 	b.node.jobs.apply(1, records)
 }
 
-// forgetBodies lets the worker read the bodies from the log again, for so long.
+// dropBodies lets the worker read the bodies from the log again, for so long.
 func (b *workerFixture) dropBodies(takes time.Duration) {
 	job := b.jobs["j"]
 	delete(b.jobs, "j")
