--- a/internal/hosted/admission_test.go
+++ b/internal/hosted/admission_test.go
@@ -15,7 +15,8 @@
 	"github.com/pathbend/pathbend/internal/schedule"
 )
 
-// catalogWithKeys has one route that needs a key.
+// catalogWithKeys returns a configuration with one route that requires a key. The keys are
+// those of tenant "T"; tenant "U" has the key "of-u".
 func catalogWithKeys(t *testing.T, version uint64, keys ...string) *catalog.Catalog {
 	t.Helper()
 	built := catalogOf(t, version)
@@ -62,10 +63,10 @@
 			require.Positive(t, result.From(err).RetryAfter)
 		}
 		_, err := node.Admit(t.Context(), "h", "/x", "of-t")
-		require.NoError(t, err, "what was held still is, where revocation is not strict")
+		require.NoError(t, err, "without a revocation limit known keys stay valid")
 		node.settings.RevokeAfter = time.Second
 		_, err = node.Admit(t.Context(), "h", "/x", "of-t")
-		require.True(t, result.Is(err, result.NotReady), "strict: the key may have been taken away")
+		require.True(t, result.Is(err, result.NotReady), "with a revocation limit the key may have been revoked")
 	})
 }
 
@@ -87,7 +88,7 @@
 	require.True(t, result.Is(node.requireJob(t.Context(), "job-of-t", "nobody's"), result.Unauthenticated))
 	require.NoError(t, node.requireJob(t.Context(), "open-job", ""))
 	err := node.Submit(t.Context(), "job-of-t", &pathbendv1.BatchJob{Tenant: "U"}, nil)
-	require.True(t, result.Is(err, result.JobConflict), "an id is its first tenant's")
+	require.True(t, result.Is(err, result.JobConflict), "a job id belongs to the tenant that submitted it first")
 	require.NoError(t, node.Submit(t.Context(), "job-of-t", &pathbendv1.BatchJob{Tenant: "T"}, nil))
 }
 
@@ -102,5 +103,5 @@
 	require.Less(t, node.rankOf("first", last), node.rankOf("second", foremost))
 	require.Less(t, node.rankOf("first", foremost), node.rankOf("first", last))
 	node.TakeCatalog(catalogOf(t, 2))
-	require.Equal(t, 2, node.rankOf("first", last), "without tenants the route's alone counts")
+	require.Equal(t, 2, node.rankOf("first", last), "without tenants only the route's priority counts")
 }
--- a/internal/hosted/cold.go
+++ b/internal/hosted/cold.go
@@ -11,7 +11,7 @@
 	"github.com/pathbend/pathbend/internal/warmup"
 )
 
-// coldLimits returns what the cold samplers of each service bear.
+// coldLimits returns the limits of cold samplers by service, nil without a configuration.
 func (n *Node) coldLimits() map[string]warmup.Limits {
 	current := n.Catalog()
 	if current == nil {
@@ -29,9 +29,10 @@
 	return warmup.NewLimits(declared.ColdStart, declared.ColdPerSecond, n.settings.ColdOver, n.settings.ColdSlack)
 }
 
-// requestLimits returns what this node may send a sampler as requests of clients and
-// reward calls. Warm samplers have no bound: their requests come from all nodes, and what
-// one may send to each cannot be told from here. Cold model samplers are the executor's.
+// requestLimits returns the limits of the requests of clients and reward calls that this node
+// may send to a sampler. Warm samplers have no limit: they get requests from all nodes, and a
+// single node cannot tell its own share. Cold samplers of models get none, as their budget
+// belongs to the executor. Other cold samplers get this node's share of their limit.
 func (n *Node) requestLimits(current *catalog.Catalog, sampler schedule.Sampler, nodes []string) warmup.Limits {
 	limits := n.limitsOf(current, sampler.Service)
 	limits.Warm = math.MaxInt
@@ -43,7 +44,8 @@
 	return limits
 }
 
-// noteCold tells, at a change, how many samplers are cold. It is called under the lock.
+// noteCold updates the metrics of cold samplers. It logs their number when it changes, and at
+// intervals that work waits for them. The caller holds the lock.
 func (e *executor) noteCold(now time.Time) {
 	status := e.scheduler.Cold(now)
 	e.node.metrics.recordCold(status)
@@ -57,5 +59,6 @@
 	}
 }
 
-// coldWorkLogInterval is how often work that waits for cold samplers is told of.
+// coldWorkLogInterval is the minimum interval between log lines about work that waits for
+// cold samplers.
 const coldWorkLogInterval = time.Second
--- a/internal/hosted/distance.go
+++ b/internal/hosted/distance.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// roundTripCheckInterval is how often a node looks how far away the log is (chosen).
+	// roundTripCheckInterval is how often a node checks the round trip to the log.
 	roundTripCheckInterval = 2 * time.Second
-	// roundTripChangeFactor is by how many times the round trip changes before that is told: a log
-	// that is twice as far is another deployment, or is slow (chosen).
+	// roundTripChangeFactor is the factor by which the round trip must change to be logged: a
+	// log with twice the round trip is another deployment, or is slow.
 	roundTripChangeFactor = 2
-	// minNotableRoundTrip is a round trip below which no difference matters: all that is added to
-	// the constants for a log next door is nothing there (chosen).
+	// minNotableRoundTrip is a round trip below which differences do not matter: the amount
+	// that it adds to timeouts meant for a nearby log is negligible.
 	minNotableRoundTrip = 25 * time.Millisecond
 )
 
-// logRoundTripChanges logs how far away the log is, when that changes much.
+// logRoundTripChanges logs the round trip to the log service when it changes significantly.
 func (n *Node) logRoundTripChanges(ctx context.Context) {
 	var logged roundtrip.Estimate
 	wait.Every(ctx, roundTripCheckInterval, func() {
@@ -34,8 +34,8 @@
 	})
 }
 
-// changedSignificantly reports whether an estimate is worth a line after the one that was told
-// last. That of a node that heard no answer yet is not.
+// changedSignificantly reports whether an estimate differs enough from the one logged last to
+// be logged. An estimate without any answer from the log never is.
 func changedSignificantly(previous, current roundtrip.Estimate) bool {
 	if previous.Smoothed == 0 || current.Smoothed == 0 {
 		return current.Smoothed > 0
--- a/internal/hosted/evacuation.go
+++ b/internal/hosted/evacuation.go
@@ -8,9 +8,9 @@
 	"github.com/pathbend/pathbend/internal/event"
 )
 
-// TakeEvacuations puts the entire list of the zones in force that the operator wants
-// evacuated. A node takes it before the samplers of the same reading, so that none is
-// sent to before it is known.
+// TakeEvacuations applies the complete list of zones that the operator wants evacuated. The
+// caller applies it before the samplers of the same read, so that no request is sent to a
+// sampler before its evacuation is known.
 func (n *Node) TakeEvacuations(names []string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -30,6 +30,7 @@
 	n.executor.wake()
 }
 
+// logEvacuated logs the start of an evacuation, and also if the topology lacks the zone.
 func (n *Node) logEvacuated(zone evacuation.Zone) {
 	known := n.settings.Topology.Zones()
 	if len(known) > 0 && !slices.Contains(known, zone.Name) {
@@ -53,8 +54,8 @@
 	return count
 }
 
-// takeEvacuations hands the evacuated zones to the scheduler. It is called under the
-// lock, before anything is placed.
+// takeEvacuations passes changed evacuations to the scheduler. It is called before anything is
+// scheduled; the caller holds the lock.
 func (e *executor) takeEvacuations() {
 	if current := e.node.evacuated.Load(); current != e.evacuated {
 		e.evacuated = current
--- a/internal/hosted/evacuation_test.go
+++ b/internal/hosted/evacuation_test.go
@@ -18,7 +18,8 @@
 	"github.com/pathbend/pathbend/internal/schedule"
 )
 
-// startRefusingBackEnd starts a back end that runs nothing, and returns its address.
+// startRefusingBackEnd starts a back end that refuses every request without running it, and
+// calls asked for each. It returns the back end's address.
 func startRefusingBackEnd(t *testing.T, asked func()) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
@@ -79,5 +80,5 @@
 	zones, evacuated := node.scaler.countByZone(service)
 	require.Len(t, zones, 1)
 	require.Equal(t, "b", zones[0].Name)
-	require.Equal(t, 1, evacuated, "the spot sampler is not an ordinary one")
+	require.Equal(t, 1, evacuated, "spot samplers are not counted")
 }
--- a/internal/hosted/generate.go
+++ b/internal/hosted/generate.go
@@ -7,11 +7,12 @@
 	"github.com/pathbend/pathbend/internal/schedule"
 )
 
-// endedDetail is added to what is told of a run under which its sampler ended.
+// endedDetail is appended to the detail of a run during which its sampler terminated.
 const endedDetail = "; the sampler has ended"
 
-// generate runs an item at its sampler. If the sampler ended under it, the other nodes are
-// told before it returns; if it survived the item, that clears the item.
+// generate executes a run at its sampler. If the sampler terminated during the run, the item
+// is recorded as a suspect for the other nodes before generate returns. A complete run clears
+// the item of suspicion.
 func (n *Node) generate(ctx context.Context, run Run, take func(schedule.Event) bool) RunEnd {
 	end := n.ports.Generator.Generate(ctx, run, take)
 	end.Ended = end.Cut && ctx.Err() == nil && n.exchanger.BackEndEnded(ctx, run.Sampler.Address)
--- a/internal/hosted/listen.go
+++ b/internal/hosted/listen.go
@@ -11,17 +11,17 @@
 	"github.com/pathbend/pathbend/internal/wait"
 )
 
-// listenRetryDelay is the pause before the ports for calls of other nodes are tried again: a
-// former process of the machine may have held them for up to two seconds.
+// listenRetryDelay is the delay before the ports for calls of other nodes are tried again: an
+// earlier process of the machine may hold them for up to 2 s.
 const listenRetryDelay = 500 * time.Millisecond
 
-// takesCalls reports whether other nodes can call this one: to carry work that is bound to a
-// region, or to hear of samplers. The first port of the range is that for calls to the log
-// (PeerAddress).
+// takesCalls reports whether other nodes can call this one, to have it execute work that is
+// bound to a region or to read entries of samplers. The first port of the range is reserved
+// for calls to the log (see PeerAddress), so it takes a range of at least two ports.
 func (s *Settings) takesCalls() bool { return s.PeerPorts[1] > s.PeerPorts[0] }
 
-// listen takes calls of other nodes on the first free port of the range but its first,
-// until ctx ends.
+// listen accepts calls of other nodes until ctx ends, on the first free port of the range
+// after the port for calls to the log.
 func (n *Node) listen(ctx context.Context) {
 	if !n.settings.takesCalls() {
 		return
@@ -49,6 +49,8 @@
 	server.Close()
 }
 
+// listenInRange listens on the first free port of the range. It returns the error of the last
+// port if none is free.
 func (n *Node) listenInRange() (net.Listener, error) {
 	var lastErr error
 	for port := n.settings.PeerPorts[0] + 1; port <= n.settings.PeerPorts[1]; port++ {
--- a/internal/hosted/metrics.go
+++ b/internal/hosted/metrics.go
@@ -43,12 +43,12 @@
 	remoteRuns          *prometheus.CounterVec
 	remoteJobs          prometheus.Gauge
 	workersLost         prometheus.Counter
-	// rejectedSamplerEntries counts entries that name no sampler, samplersFormer those of former
-	// incarnations.
+	// rejectedSamplerEntries counts malformed entries of samplers, staleSamplerEntries late
+	// entries of earlier incarnations.
 	rejectedSamplerEntries prometheus.Counter
 	staleSamplerEntries    prometheus.Counter
-	// entriesRead counts readings of the samplers' entries, entriesServed the bytes that
-	// this node read for others.
+	// entriesRead counts reads of the samplers' entries, entriesServed the bytes of entries
+	// that this node sent to others.
 	entriesRead   *prometheus.CounterVec
 	entriesServed prometheus.Counter
 }
@@ -61,12 +61,14 @@
 // EntriesServed implements feed.Counter.
 func (m *Metrics) EntriesServed(bytes int) { m.entriesServed.Add(float64(bytes)) }
 
-// PeerCallAsked counts a call to the log that a peer was asked to make.
+// PeerCallAsked counts a call to the log that this node asked a peer to make, and whether the
+// log answered.
 func (m *Metrics) PeerCallAsked(answered bool) {
 	m.peerCalls.WithLabelValues("asked", strconv.FormatBool(answered)).Inc()
 }
 
-// PeerCallMade counts a call to the log that this node made for a peer.
+// PeerCallMade counts a call to the log that this node made for a peer, and whether the log
+// answered.
 func (m *Metrics) PeerCallMade(answered bool) {
 	m.peerCalls.WithLabelValues("made", strconv.FormatBool(answered)).Inc()
 }
@@ -155,7 +157,8 @@
 	return m
 }
 
-// registerQuarantine registers what a guard did, for requests or for items.
+// registerQuarantine registers the metrics of a quarantine guard. The scope is "requests" or
+// "items".
 func (m *Metrics) registerQuarantine(scope string, guard *quarantine.Guard) {
 	labels := prometheus.Labels{"of": scope}
 	count := func(name, help string, read func(quarantine.Counts) int) {
@@ -170,7 +173,7 @@
 	}, func() float64 { return float64(guard.Counts().Held) }))
 }
 
-// registerRoundTrip registers what is known of calls of one kind.
+// registerRoundTrip registers the round-trip estimate of one kind of calls.
 func (m *Metrics) registerRoundTrip(name, calls string, estimator *roundtrip.Estimator) {
 	m.registerGauge(name+"_seconds", "Smoothed round trip of "+calls+".", func() float64 { return estimator.Read().Smoothed.Seconds() })
 	m.registerGauge(name+"_deviation_seconds", "Mean deviation of the round trip of "+calls+".", func() float64 {
@@ -198,11 +201,12 @@
 	m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, read))
 }
 
-// Handler serves the metrics as text.
+// Handler returns a handler that serves the metrics in the Prometheus exposition format.
 func (m *Metrics) Handler() http.Handler {
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
+// resultCode returns the result code of an error as a label value, "0" for nil.
 func resultCode(err error) string {
 	if err == nil {
 		return "0"
@@ -229,8 +233,8 @@
 	m.appendDuration.Observe(took.Seconds())
 }
 
-// recordUsageReport records a report of usage that the platform took, or did not, so long
-// after the end of its window.
+// recordUsageReport counts a usage report, whether the platform accepted it or not. The age is
+// the time since the end of its window; it is recorded for accepted reports only.
 func (m *Metrics) recordUsageReport(accepted bool, age time.Duration) {
 	m.usageReports.WithLabelValues(strconv.FormatBool(accepted)).Inc()
 	if accepted {
--- a/internal/hosted/node_test.go
+++ b/internal/hosted/node_test.go
@@ -30,8 +30,9 @@
 	return built
 }
 
-// A node that had started 6 ms before refused a request, although its
-// configuration came 100 ms later and the client asked only once more.
+// A node that has just started must not refuse requests at once: its configuration arrives
+// within about 100 ms, and a client may retry only once. One node refused a request 6 ms after
+// its start.
 func TestRequestWaitsForTheFirstConfiguration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		node := newTestNode()
@@ -52,7 +53,7 @@
 		node := newTestNode()
 		began := time.Now()
 		_, err := node.Admit(t.Context(), "h", "/x", "")
-		require.True(t, result.Is(err, result.NotReady), "no 404 out of ignorance")
+		require.True(t, result.Is(err, result.NotReady), "a node without a configuration cannot know that the route does not exist")
 		require.InDelta(t, notReadyHint, result.From(err).RetryAfter, float64(notReadyHint)*0.4)
 		require.Equal(t, startPatience, time.Since(began))
 	})
@@ -98,8 +99,8 @@
 	return sharedlog.KeyedPage{}, nil
 }
 
-// An executor that had just restarted held the jobs for four seconds while it
-// could not read the list of samplers, which every other node knew.
+// A node without the list of samplers cannot execute jobs. If it joined the group it could
+// hold the jobs although other nodes have the list: a restarted executor held them for 4 s.
 func TestNodeWithoutSamplersDoesNotJoinTheGroup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		group := &ownershiptest.Group{Share: ownershiptest.Holding(4, 0)}
--- a/internal/hosted/ports.go
+++ b/internal/hosted/ports.go
@@ -20,40 +20,39 @@
 	// Host is the host of the job's route.
 	Host string
 	Item *pathbendv1.BatchItem
-	// Tenant is who submitted the job, empty if the route asks for no key.
+	// Tenant is the tenant that submitted the job, empty if the route requires no key.
 	Tenant string
-	// AfterEvent is the event to continue after, 0 to begin.
+	// AfterEvent is the event after which the run continues, 0 to start from the beginning.
 	AfterEvent uint64
 }
 
-// RunEnd tells how a run ended.
+// RunEnd describes the end of a run.
 type RunEnd struct {
 	Ending schedule.Ending
 	// Detail explains an ending other than Complete.
 	Detail string
 	// Cut is set if the connection ended before the stream did.
 	Cut bool
-	// Ended is set if the sampler was found to have ended under the run.
+	// Ended is set if the sampler terminated during the run.
 	Ended bool
 }
 
-// Generator runs items at samplers.
+// Generator executes runs of items at samplers.
 type Generator interface {
-	// Generate runs an item and hands over its events until take reports false
-	// or the stream ends. It returns once the sampler's connection is free or
-	// closed.
+	// Generate executes a run and passes its events to take until take returns false or the
+	// stream ends. It returns once the connection to the sampler is idle or closed.
 	Generate(ctx context.Context, run Run, take func(schedule.Event) bool) RunEnd
 }
 
-// SamplerReport is what a sampler says of itself, some 100 ms ago.
+// SamplerReport is the status of a sampler as it reports it. It may be some 100 ms old.
 type SamplerReport struct {
-	// Born is the start of the incarnation that answered, 0 if it did not tell.
+	// Born is the start time of the incarnation that answered, 0 if unknown.
 	Born int64
-	// Orders counts the orders that it took.
+	// Orders counts the orders that the sampler accepted.
 	Orders uint64
-	// Busy is set while an order is under way.
+	// Busy is set while an order is in progress.
 	Busy bool
-	// Work counts the runs that it has and those that wait there, of all nodes.
+	// Work counts the runs of all nodes that the sampler executes or has queued.
 	Work     int
 	Versions map[string]uint64
 }
@@ -62,13 +61,13 @@
 type VersionOrder struct {
 	Model   string
 	Version uint64
-	// Holder and Fence name the node that gives the order and its right to.
+	// Holder is the node that gives the order, Fence its fencing token.
 	Holder string
 	Fence  uint64
-	// FinishRuns lets runs end before the change; else they go on under the new
+	// FinishRuns lets runs finish before the change; otherwise they continue with the new
 	// weights.
 	FinishRuns bool
-	// AfterOrders is the number of orders that the sampler must have taken.
+	// AfterOrders is the number of orders that the sampler must have accepted before this one.
 	AfterOrders uint64
 }
 
@@ -77,21 +76,23 @@
 
 // Answers to orders.
 const (
-	// OrderTaken means that it is in progress.
+	// OrderTaken means that the sampler accepted the order and is executing it.
 	OrderTaken OrderAnswer = iota + 1
-	// OrderHolds means that the sampler serves the version already.
+	// OrderHolds means that the sampler already serves the version.
 	OrderHolds
-	// OrderConflict means that another order is in progress or came before.
+	// OrderConflict means that another order is in progress or was accepted before.
 	OrderConflict
-	// OrderRefused means that the sampler will not take it.
+	// OrderRefused means that the sampler rejected the order.
 	OrderRefused
-	// OrderUnknown means that there was no answer: it may be carried out later.
+	// OrderUnknown means that there was no answer: the sampler may still execute the order.
 	OrderUnknown
 )
 
-// Control asks and orders samplers.
+// Control is the control interface of samplers.
 type Control interface {
+	// Report requests the status of a sampler.
 	Report(ctx context.Context, sampler schedule.Sampler) (SamplerReport, error)
+	// Order orders a sampler to change its weights. A non-nil error explains the answer.
 	Order(ctx context.Context, sampler schedule.Sampler, order VersionOrder) (OrderAnswer, error)
 }
 
@@ -100,96 +101,95 @@
 	Service string
 	Zone    string
 	Desired int
-	// Spot asks for samplers that may be taken away, all those of a zone together.
+	// Spot requests samplers that the platform may reclaim, all those of a zone at once.
 	Spot bool
 }
 
-// Scaler orders samplers.
+// Scaler orders samplers from the platform.
 type Scaler interface {
-	// OrderSamplers returns nil once the platform took the order. Giving the same again
-	// does no harm.
+	// OrderSamplers returns nil once the platform accepted the order. It is idempotent.
 	OrderSamplers(ctx context.Context, right duty.Right, order SamplerOrder) error
 }
 
-// Scored is the answer to a reward call.
+// Scored is the content of an answer to a reward call.
 type Scored struct {
-	// Stamp proves the answer; it is the item's score.
+	// Stamp is the proof of the answer; it is stored as the item's score.
 	Stamp string
 }
 
-// Settings are a hosted node's own settings.
+// Settings are the settings of a hosted node.
 type Settings struct {
-	// Name is the name of the machine. A process that starts again keeps it, and
-	// with it what the group dealt out to the machine.
+	// Name is the name of the machine. A restarted process keeps it, and with it the
+	// partitions that the group assigned to the machine.
 	Name string
 	Zone string
-	// Topology tells the region of each zone.
+	// Topology maps zones to regions.
 	Topology locality.Topology
-	// EvacuateWithin is how soon after its acknowledgement an evacuation must be in force;
-	// 0 where zones are not evacuated.
+	// EvacuateWithin is the time after its acknowledgement within which an evacuation must be
+	// in force; 0 if zones are not evacuated.
 	EvacuateWithin time.Duration
-	// A cold sampler may get ColdOver times what its service says that it bears a second,
-	// and ColdSlack requests more, in any second and from all nodes together; both are 0
-	// where there is no such bound.
+	// ColdOver and ColdSlack bound the requests that a cold sampler may get in any second from
+	// all nodes together: ColdOver times the rate that its service declares, plus ColdSlack.
+	// Both are 0 if there is no such bound.
 	ColdOver  float64
 	ColdSlack float64
-	// PeerPorts are the ports, from the first to the second, on which nodes may listen to
-	// each other, 0 where there are none; IP is the address of the machine.
+	// PeerPorts are the first and last port on which nodes may listen for calls of each other,
+	// 0 if there are none. IP is the address of the machine.
 	PeerPorts [2]int
 	IP        string
-	// DrainWithin is how soon a sampler that leaves must get nothing new, 0 if that is not told.
+	// DrainWithin is the time after which a leaving sampler must get nothing new, 0 if the
+	// platform does not state one.
 	DrainWithin time.Duration
-	// Sharing tells from when on nodes share what they read of the samplers.
+	// Sharing determines from how many nodes on some read the samplers' entries on behalf of
+	// the others.
 	Sharing fanout.Sizes
-	// NodesTopic is a keyed topic in which nodes tell of their machines.
+	// NodesTopic is the keyed topic in which nodes announce their machines.
 	NodesTopic string
 	// MaxRecordBytes bounds a record of the log, MaxCallBytes one append.
 	MaxRecordBytes int
 	MaxCallBytes   int
 	// Partitions is the number of partitions of a topic.
 	Partitions int
-	// ShortestTTL is the shortest time for which the group deals out a share.
+	// ShortestTTL is the shortest time for which the group assigns a share.
 	ShortestTTL time.Duration
-	// OrderGrace is how far apart orders of two nodes to one sampler must lie.
+	// OrderGrace is the minimum time between orders of two different nodes to one sampler.
 	OrderGrace time.Duration
-	// Settle is how old a node's knowledge may be when it denies a job or a
-	// result.
+	// Settle bounds the age of the state by which a node denies that a job or a result exists.
 	Settle time.Duration
 	// KeepJobs is how long jobs can be read after their submission.
 	KeepJobs time.Duration
-	// ReadsPerSecond is how often all nodes together may read the log, 0 if that is
-	// not known.
+	// ReadsPerSecond is the rate at which all nodes together may read the log, 0 if unknown.
 	ReadsPerSecond float64
-	// Millicores is the processor time a second that the node may use, 0 if that
-	// is not known.
+	// Millicores is the CPU limit of the node in thousandths of a core, 0 if unknown.
 	Millicores uint64
-	// OrderSamplers is set where the number of samplers is this system's to order.
+	// OrderSamplers is set if this system controls the number of samplers.
 	OrderSamplers bool
-	// UsageTopic is where nodes tell what tenants used, UsageWindow the length of a
-	// window of usage, 0 if nothing is to be reported, and UsageLate how long after its
-	// end the report of a window is due.
+	// UsageTopic is the topic to which nodes write the usage of tenants. UsageWindow is the
+	// length of a reporting window, 0 if nothing is reported. UsageLate is how long after the
+	// end of its window a report is due.
 	UsageTopic  string
 	UsageWindow time.Duration
 	UsageLate   time.Duration
-	// RevokeAfter is how long a node that hears nothing of the configuration goes on
-	// with the keys that it knows; 0 for as long as that lasts.
+	// RevokeAfter is how long a node without news of the configuration continues to accept the
+	// keys that it knows; 0 for no limit.
 	RevokeAfter time.Duration
 }
 
 const (
-	// shareTTLFactor is how long a share outlasts the last renewal, in units of the
-	// shortest time.
+	// shareTTLFactor is the time for which a share outlasts its last renewal, as a multiple of
+	// Settings.ShortestTTL.
 	shareTTLFactor = 1.5
-	// loadsTogether is the number of samplers that change weights at once in a
-	// small fleet: more slow each other's loads down.
+	// loadsTogether is the number of samplers that change weights concurrently in a small
+	// fleet: more of them slow each other's loads down.
 	loadsTogether = 2
-	// answerMargin is kept free for an answer's way to the client.
+	// answerMargin is reserved for the transit of an answer to the client.
 	answerMargin = 200 * time.Millisecond
-	// keepMargin is how much longer than promised jobs can be read.
+	// keepMargin is the time for which jobs can be read beyond Settings.KeepJobs.
 	keepMargin = 30 * time.Second
 )
 
-// PeerAddress is where this node listens to others, empty where there is no port for that.
+// PeerAddress returns the address at which this node accepts calls to the log on behalf of
+// other nodes, empty if it has no port for them.
 func (s *Settings) PeerAddress() string {
 	if s.PeerPorts[0] == 0 {
 		return ""
@@ -197,17 +197,17 @@
 	return net.JoinHostPort(s.IP, strconv.Itoa(s.PeerPorts[0]))
 }
 
-// shareTTL is how long a share of the partitions outlasts the last renewal.
+// shareTTL returns how long a share of the partitions outlasts its last renewal.
 func (s *Settings) shareTTL() time.Duration {
 	return time.Duration(float64(s.ShortestTTL) * shareTTLFactor)
 }
 
-// member is what the node is a member of the group with.
+// member returns the settings of the node's membership of the group.
 func (s *Settings) member() ownership.Settings {
 	return ownership.Settings{
 		Member: s.Name, Millicores: s.Millicores, Group: jobGroup, Topic: jobTopic, Partition: jobPartition, TTL: s.shareTTL(),
 	}
 }
 
-// freshness is how old a node's knowledge may be when it denies something.
+// freshness returns the largest age of the state by which a node denies that something exists.
 func (s *Settings) freshness() time.Duration { return max(s.Settle-answerMargin, answerMargin) }
--- a/internal/hosted/readers.go
+++ b/internal/hosted/readers.go
@@ -12,23 +12,26 @@
 	"github.com/pathbend/pathbend/internal/wait"
 )
 
-// maxPlanAge is how old a plan may be while the directory does not change: entries of nodes
-// that are gone run out (chosen).
+// maxPlanAge is the largest age of a plan while the directory does not change. The plan is
+// renewed because entries of nodes that are gone expire without a change.
 const maxPlanAge = 5 * time.Second
 
-// readers tells which nodes read the samplers' entries for the others, by the directory.
+// readers determines from the directory which nodes read the samplers' entries on behalf of
+// the others.
 type readers struct {
 	node *Node
 
 	mutex     sync.Mutex
 	plan      fanout.Plan
 	plannedAt time.Time
-	changes   uint64
+	// changes is the change count of the directory at which the plan was made.
+	changes uint64
 	// readAll is set while this node needs every entry although it does not read for others.
 	readAll bool
 }
 
-// Plan returns what this node does now.
+// Plan returns this node's current part in the reading: whether it reads for others, and from
+// whom it gets entries otherwise.
 func (r *readers) Plan() fanout.Plan {
 	now := time.Now()
 	changes := r.node.directory.Changes()
@@ -42,7 +45,8 @@
 	return r.plan
 }
 
-// SetReadAll makes this node read every entry, or leave that again.
+// SetReadAll makes this node read the entries of all services, or only those it needs for
+// requests.
 func (r *readers) SetReadAll(whole bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -50,7 +54,7 @@
 }
 
 // wanted returns the services whose samplers this node needs: those to which requests of
-// clients and reward calls may go. Who executes needs all.
+// clients and reward calls may go. The executor needs all services.
 func (r *readers) wanted() fanout.Groups {
 	r.mutex.Lock()
 	whole := r.readAll
@@ -62,31 +66,34 @@
 	return fanout.Only(current.RequestServices()...)
 }
 
-// Candidate implements ownership.Candidacy: where some nodes read for the others, they stand
-// for the jobs, as they have the list of samplers already.
+// Candidate implements ownership.Candidacy: if some nodes read for the others, these are the
+// candidates for the jobs, as they already have the list of samplers.
 func (r *readers) Candidate() (stands bool, candidates int) {
 	plan := r.Plan()
 	return plan.Reads, plan.Readers
 }
 
-// Able implements ownership.Candidacy.
+// Able implements ownership.Candidacy: it returns false while this node has the entries of
+// some services only.
 func (r *readers) Able() bool { return !r.node.samplerFeed.Partial() }
 
-// Prepare and Release implement ownership.Candidacy: who executes needs every entry.
+// Prepare and Release implement ownership.Candidacy: the executor needs the entries of all
+// services.
 func (r *readers) Prepare() { r.SetReadAll(true) }
 func (r *readers) Release() { r.SetReadAll(false) }
 
-// Topics are the keyed topics that nodes read for each other.
+// Topics are the keyed topics that nodes read on behalf of each other.
 type Topics struct {
-	// Samplers holds the samplers' entries; ServiceOf names the service of one, empty if it
-	// names no sampler.
+	// Samplers is the topic of the samplers' entries. ServiceOf returns the service of an
+	// entry, empty if the entry is not one of a sampler.
 	Samplers  string
 	ServiceOf func(sharedlog.KeyedRecord) string
-	// Operator holds what the operator writes.
+	// Operator is the topic of the operator's documents.
 	Operator string
 }
 
-// createFeeds makes the feeds through which topics are read.
+// createFeeds creates the feeds through which this node reads the topics, and the server that
+// passes their entries to other nodes.
 func (n *Node) createFeeds(topics Topics) {
 	shared := feed.Config{
 		Log: n.log, Plan: n.readers.Plan, Caller: n.peers, Counts: n.metrics, Logger: n.logger,
@@ -94,13 +101,13 @@
 	samplers, operator := shared, shared
 	samplers.Topic, samplers.GroupOf, samplers.Wanted = topics.Samplers, topics.serviceOf, n.readers.wanted
 	operator.Topic, operator.GroupOf, operator.Wanted = topics.Operator, ungrouped, fanout.All
-	// Routes are small, and nothing is served without them.
+	// Routes are small, and no request can be served without them.
 	operator.Hurried = true
 	n.samplerFeed, n.operatorFeed = feed.New(samplers), feed.New(operator)
 	n.entries = feed.NewServer(n.samplerFeed, n.operatorFeed)
 }
 
-// serviceOf names the service of a sampler's entry.
+// serviceOf calls ServiceOf if it is set; otherwise entries have no service.
 func (t Topics) serviceOf(record sharedlog.KeyedRecord) string {
 	if t.ServiceOf == nil {
 		return ""
@@ -108,26 +115,29 @@
 	return t.ServiceOf(record)
 }
 
-// nodesPollInterval is the pause between two looks whether all nodes are known (chosen; 985 nodes
-// that look each 20 ms wake up 49,000 times a second, worked out).
+// nodesPollInterval is the interval between checks whether all nodes are known. At 20 ms,
+// 985 nodes would wake up 49,000 times a second.
 const nodesPollInterval = 100 * time.Millisecond
 
-// AwaitNodes waits until it is known which nodes there are, as far as they tell. Where many
-// start at once, each would follow all samplers itself before it knows of any other: 246
-// nodes that did so kept the log busy for 8 s.
+// AwaitNodes waits until the directory has settled, if nodes accept calls of each other. If
+// many nodes start at once, each would otherwise read all samplers itself before it knows of
+// the others: 246 nodes that did so kept the log busy for 8 s.
 func (n *Node) AwaitNodes(ctx context.Context) {
 	for n.settings.takesCalls() && !n.directory.Settled() && wait.For(ctx, nodesPollInterval) {
 	}
 }
 
+// ungrouped puts all records of a topic into one group.
 func ungrouped(sharedlog.KeyedRecord) string { return "" }
 
-// SamplerFeed returns what the samplers' entries are read through, OperatorFeed what the
-// operator's documents are.
-func (n *Node) SamplerFeed() *feed.Feed  { return n.samplerFeed }
+// SamplerFeed returns the feed of the samplers' entries.
+func (n *Node) SamplerFeed() *feed.Feed { return n.samplerFeed }
+
+// OperatorFeed returns the feed of the operator's documents.
 func (n *Node) OperatorFeed() *feed.Feed { return n.operatorFeed }
 
-// peerHandler hands calls of other nodes to whoever they are for.
+// peerHandler dispatches calls of other nodes: reads of entries to the feeds' server, all
+// others to the worker.
 type peerHandler struct{ node *Node }
 
 // HandlePeer implements peer.Handler.
--- a/internal/hosted/remote_test.go
+++ b/internal/hosted/remote_test.go
@@ -19,15 +19,15 @@
 	"github.com/pathbend/pathbend/internal/sharedlog"
 )
 
-// unreachableNetwork reaches nobody.
+// unreachableNetwork fails every dial and listen.
 type unreachableNetwork struct{}
 
 func (unreachableNetwork) Dial(context.Context, string) (net.Conn, error) { return nil, net.ErrClosed }
 
 func (unreachableNetwork) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
 
-// runWithExecutor runs a test with an executor in the north, in session, that knows of a worker
-// in the south which it does not reach.
+// runWithExecutor runs a test with an executor in the region "north" that holds the jobs. It
+// knows a worker in the region "south" but cannot reach it.
 func runWithExecutor(t *testing.T, route locality.Regions, test func(t *testing.T, e *executor)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -46,7 +46,7 @@
 	})
 }
 
-// catalogWithRegions is a configuration with one route, whose regions are those named.
+// catalogWithRegions returns a configuration with one route that is bound to the regions.
 func catalogWithRegions(t *testing.T, version uint64, regions locality.Regions) *catalog.Catalog {
 	t.Helper()
 	built, err := catalog.New(version, []catalog.Route{{
@@ -56,14 +56,16 @@
 	return built
 }
 
+// lockedLinkTo calls linkTo under the executor's lock.
 func (e *executor) lockedLinkTo(regions locality.Regions) *link {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.linkTo(regions)
 }
 
-// A worker that was given up and taken again within a session obeyed no start: it measured
-// how long calls are on their way by a clock that began anew.
+// A worker detects delayed calls by their send times. If it is abandoned and selected again
+// within a session, the send times must continue: restarted ones would make every call look
+// delayed, and the worker would execute no start.
 func TestSendTimesContinueAcrossLinksOfASession(t *testing.T) {
 	runWithExecutor(t, locality.Only("south"), func(t *testing.T, e *executor) {
 		var way carry.Way
@@ -71,7 +73,7 @@
 		first := e.lockedLinkTo(locality.Only("south"))
 		require.Zero(t, heldUp(first))
 		first.abandon("test")
-		require.Nil(t, e.lockedLinkTo(locality.Only("south")), "it is passed over")
+		require.Nil(t, e.lockedLinkTo(locality.Only("south")), "the worker is in its cooldown")
 		time.Sleep(workerCooldown)
 		next := e.lockedLinkTo(locality.Only("south"))
 		require.NotSame(t, first, next)
@@ -100,7 +102,8 @@
 	}
 }
 
-// The outline of a worker that was given up was awaited for as long as that of any other.
+// A caller that waits for the outline of a job must not wait for the full outlineTimeout once
+// the worker is abandoned.
 func TestOutlineFailsOnceItsWorkerIsAbandoned(t *testing.T) {
 	runWithExecutor(t, locality.Only("south"), func(t *testing.T, e *executor) {
 		began := time.Now()
@@ -110,7 +113,7 @@
 	})
 }
 
-// submitJob lets the executor read of a job "j" with one item.
+// submitJob lets the executor read a job "j" with one item from the log. It returns the log.
 func submitJob(t *testing.T, e *executor) *bodyLog {
 	t.Helper()
 	item := &pathbendv1.BatchItem{Id: "i", Body: []byte("secret")}
@@ -128,7 +131,7 @@
 	return e.node.ports.Log.(*bodyLog)
 }
 
-// emptyCatalog is a configuration without routes.
+// emptyCatalog returns a configuration without routes.
 func emptyCatalog(t *testing.T, version uint64) *catalog.Catalog {
 	t.Helper()
 	built, err := catalog.New(version, nil, nil, catalog.Limits{}, nil)
@@ -136,8 +139,9 @@
 	return built
 }
 
-// A job was read by the configuration of before and taken in by that: its items went to
-// samplers in all regions until the next configuration.
+// A job that is read under one configuration and added under the next must be bound to the
+// regions of the next one. Otherwise its items would go to samplers in all regions until the
+// configuration changes again.
 func TestRegionChangeDuringAJobReadIsApplied(t *testing.T) {
 	runWithExecutor(t, locality.Regions{}, func(t *testing.T, e *executor) {
 		e.node.ports.Log.(*bodyLog).readDelay = 50 * time.Millisecond
@@ -151,21 +155,22 @@
 		e.mutex.Lock()
 		defer e.mutex.Unlock()
 		regions, known := e.scheduler.Regions("j")
-		require.True(t, !known || regions.Bound(), "it is taken in without a bound")
+		require.True(t, !known || regions.Bound(), "the job was added without its regions")
 		require.Empty(t, e.scheduler.Starts(time.Now()))
 	})
 }
 
-// A job whose route was taken off the configuration was no longer bound to its tenant's
-// regions, and the node that executes read its bodies.
+// A job whose route is removed from the configuration must stay bound to its tenant's regions.
+// Otherwise an executor outside of them would read its bodies.
 func TestTenantRegionsBindAJobWithoutARoute(t *testing.T) {
 	node := boundNode(t, locality.Regions{}, locality.Only("south"), locality.Regions{})
 	regions := node.regionsOfJob(&pathbendv1.BatchJob{Host: "gone", Path: "/", Tenant: "T"})
 	require.Equal(t, locality.Only("south"), regions)
 }
 
-// A job that came while its route was not known was never served: it was taken in without
-// any service. Whether this node may read its bodies is not known before.
+// A job that arrives before its route is known must be read once the route exists. Added at
+// once, it would have no service and never run, and until then it is unknown whether this node
+// may read its bodies.
 func TestJobIsReadOnceItsRouteExists(t *testing.T) {
 	runWithExecutor(t, locality.Regions{}, func(t *testing.T, e *executor) {
 		e.node.TakeCatalog(emptyCatalog(t, 2))
--- a/internal/hosted/scaler.go
+++ b/internal/hosted/scaler.go
@@ -13,17 +13,18 @@
 )
 
 const (
-	// scalerInterval is how often the holder looks whether samplers are to be ordered.
+	// scalerInterval is how often the holder of the jobs plans sampler orders.
 	scalerInterval = 500 * time.Millisecond
-	// samplerOrderTimeout bounds an order. It is below the time for which another holder waits
-	// after this one's claim.
+	// samplerOrderTimeout bounds an order. It is shorter than the time for which another
+	// holder waits after this one's claim.
 	samplerOrderTimeout = 1800 * time.Millisecond
 )
 
-// scaler orders samplers while this node holds the duty.
+// scaler orders spot samplers from the platform while this node holds the jobs.
 type scaler struct {
 	node *Node
-	// planners are those of the services, for the generation in which they began.
+	// planners holds the planners by service. They belong to one generation of the group and
+	// are replaced in the next one.
 	planners   map[string]*scaling.Planner
 	generation uint64
 }
@@ -56,7 +57,7 @@
 	}
 }
 
-// peakOf sums the work that a service's models were wanted for.
+// peakOf returns the peak demand of a service, the sum of its models' peaks.
 func peakOf(service catalog.Service, peaks map[string]int) int {
 	peak := 0
 	for _, model := range service.Models {
@@ -65,6 +66,7 @@
 	return peak
 }
 
+// scale plans the orders for a service and gives them to the platform.
 func (s *scaler) scale(ctx context.Context, service catalog.Service, peak int) {
 	planner := s.planners[service.Name]
 	if planner == nil {
@@ -89,8 +91,9 @@
 	}
 }
 
-// countByZone counts a service's samplers by zone, and the ordinary ones of evacuated zones,
-// which are left out: nothing is ordered there, and what it has is kept for its return.
+// countByZone counts a service's samplers by zone. It leaves out evacuated zones, in which
+// nothing is ordered, and counts their ordinary samplers separately: these are kept for the
+// time after the evacuation.
 func (s *scaler) countByZone(service catalog.Service) (zones []scaling.Zone, evacuated int) {
 	byZone := make(map[string]*scaling.Zone)
 	for name, price := range service.Scaling.ZonePrices {
@@ -119,7 +122,7 @@
 	return zones, evacuated
 }
 
-// order gives an order and reports whether the platform took it.
+// order gives an order and reports whether the platform accepted it.
 func (s *scaler) order(ctx context.Context, service string, order scaling.Order, peak, reserve int) bool {
 	right, ok := s.node.claims.Claim(ctx, "duty/scale/"+service+"/"+order.Zone)
 	if !ok {
--- a/internal/hosted/usage.go
+++ b/internal/hosted/usage.go
@@ -16,24 +16,25 @@
 )
 
 const (
-	// minGatherInterval is how long a node gathers counts at least before it writes them.
+	// minGatherInterval is the shortest time for which a node gathers counts before it writes
+	// them.
 	minGatherInterval = 300 * time.Millisecond
-	// gatherIntervalPerNode lengthens that so that all nodes together append no more than a
-	// hundred times a second: a partition takes an append each 4 ms.
+	// gatherIntervalPerNode lengthens the interval with the number of nodes, so that all nodes
+	// together append at most 100 times a second: a partition accepts one append per 4 ms.
 	gatherIntervalPerNode = 10 * time.Millisecond
-	// maxGatherInterval bounds it, since reports wait for it and a killed process loses what
-	// it gathered.
+	// maxGatherInterval bounds the interval, since reports wait for it and a killed process
+	// loses the counts it gathered.
 	maxGatherInterval = 3 * time.Second
 )
 
-// usage counts what tenants use and reports it where the platform asks for that.
+// usage counts the requests of tenants and reports them if the platform wants reports.
 type usage struct {
 	node     *Node
 	recorder *metering.Recorder
 	reporter *metering.Reporter
 }
 
-// newUsage returns a usage that counts nothing if nothing is to be reported.
+// newUsage returns the node's usage; it counts nothing if the platform wants no reports.
 func newUsage(n *Node) *usage {
 	u := &usage{node: n}
 	window := n.settings.UsageWindow
@@ -61,7 +62,7 @@
 	u.node.loops.Go(func() { u.reporter.Run(ctx) })
 }
 
-// gatherInterval is how long a node gathers counts before it writes them.
+// gatherInterval returns how long a node gathers counts before it writes them.
 func (u *usage) gatherInterval() time.Duration {
 	announced, ok := u.node.directory.Announced()
 	if !ok {
@@ -70,15 +71,15 @@
 	return min(max(minGatherInterval, time.Duration(announced.Nodes)*gatherIntervalPerNode), maxGatherInterval)
 }
 
-// count counts a request of a tenant that began at a time.
+// count counts a request of a tenant at the time when it began.
 func (u *usage) count(tenant credential.Tenant, began time.Time) {
 	if u.recorder != nil && tenant.Name != "" {
 		u.recorder.Count(tenant.Name, began)
 	}
 }
 
-// meter counts one request once, however many attempts it takes. A request began to run
-// when a back end got it; a stream when its first event came.
+// meter counts one request once, however many attempts it takes. A request begins when a back
+// end receives it, a stream when its first bytes arrive.
 type meter struct {
 	usage  *usage
 	tenant credential.Tenant
@@ -92,7 +93,8 @@
 	return &meter{usage: u, tenant: admitted.Tenant, stream: admitted.Route.Kind == catalog.Stream}
 }
 
-// sent records an attempt that its back end ran or may have.
+// sent counts the request at an attempt that the back end ran or may have run. Streams are
+// counted by watch instead.
 func (m *meter) sent(at time.Time) {
 	if !m.stream {
 		m.count(at)
@@ -116,7 +118,7 @@
 	}
 }
 
-// meteredBody tells its meter of the first bytes.
+// meteredBody is the body of a stream whose meter counts the request at the first bytes read.
 type meteredBody struct {
 	io.ReadCloser
 	meter *meter
--- a/internal/hosted/weights_test.go
+++ b/internal/hosted/weights_test.go
@@ -20,13 +20,13 @@
 	"github.com/pathbend/pathbend/internal/weights"
 )
 
-// jobsLog keeps the records of one partition.
+// jobsLog stores the records of one partition in memory.
 type jobsLog struct {
 	sharedlog.Log
 
 	mutex   sync.Mutex
 	records [][]byte
-	// hidden hides so many of the newest records from reads.
+	// hidden is the number of newest records that reads do not return yet.
 	hidden int
 }
 
@@ -41,14 +41,13 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if ctx.Err() != nil {
-		return sharedlog.Batch{}, result.New(result.LogUnavailable, "too late")
+		return sharedlog.Batch{}, result.New(result.LogUnavailable, "read canceled")
 	}
 	end := len(l.records) - l.hidden
 	return sharedlog.Batch{Records: l.records[min(int(from), end):end], End: uint64(end)}, nil
 }
 
-// newHolder returns a node that takes itself for the holder of the jobs under a
-// generation.
+// newHolder returns the executor of a node that believes it holds the jobs under a generation.
 func newHolder(name string, generation uint64, log sharedlog.Log) *executor {
 	settings := Settings{
 		Name: name, Zone: "a", ShortestTTL: time.Second, OrderGrace: 3 * time.Second, MaxRecordBytes: 1 << 10, MaxCallBytes: 1 << 12,
@@ -58,6 +57,7 @@
 	return node.executor
 }
 
+// canClaim claims the right to order a sampler and reports whether that succeeded.
 func canClaim(t *testing.T, e *executor, samplerID string) bool {
 	t.Helper()
 	right, ok := e.node.claims.Claim(t.Context(), samplerID)
@@ -75,16 +75,16 @@
 	})
 }
 
-// All partitions were dealt anew at once, and the former holder ordered until its
-// next renewal (tpl-dakar mix --seed 522902039884). A new holder waited 1.7 s for
-// that; now the log tells the former one.
+// If the group reassigns all partitions at once, the former holder learns of it only at its
+// next renewal. Until then it must find the new holder's claims in the log and stop ordering,
+// so that the new holder need not wait 1.7 s for that renewal.
 func TestFormerHolderFindsTheNewOneInTheLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := &jobsLog{}
 		former, next := newHolder("former", 4, log), newHolder("next", 5, log)
 		require.True(t, canClaim(t, former, "s1"))
 		require.True(t, canClaim(t, next, "s2"))
-		require.False(t, canClaim(t, former, "s3"), "to whichever sampler")
+		require.False(t, canClaim(t, former, "s3"), "the former holder may not order any sampler")
 		require.True(t, canClaim(t, next, "s4"))
 	})
 }
@@ -102,7 +102,8 @@
 	})
 }
 
-// The log may answer reads from a state of seconds ago.
+// The log may answer reads from a state that is seconds old, so a claim counts only once it
+// has been read back.
 func TestNoOrderUntilTheClaimIsReadBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := &jobsLog{hidden: 1}
@@ -110,7 +111,8 @@
 	})
 }
 
-// 430 samplers that loaded at once were asked 7,000 times a second.
+// Without a bound on all polls together, 430 samplers that loaded at once were polled 7,000
+// times a second.
 func TestPollRateOfLoadingSamplersIsBounded(t *testing.T) {
 	e := newHolder("a", 1, emptyLog{})
 	require.Equal(t, minPollInterval, e.pollInterval())
--- a/internal/hosted/worker_test.go
+++ b/internal/hosted/worker_test.go
@@ -22,13 +22,15 @@
 	"github.com/pathbend/pathbend/internal/sharedlog"
 )
 
-// eventPace is the time between two events of a pacedGenerator.
+// eventPace is the interval between two events of a pacedGenerator.
 const eventPace = 10 * time.Millisecond
 
-// pacedGenerator makes an event now and again until the run is stopped, or length events.
+// pacedGenerator generates events at the interval eventPace, up to the event with number
+// length, until the run is stopped.
 type pacedGenerator struct {
 	length uint64
-	// started are the events after which runs began, ended counts those that ended.
+	// started receives the AfterEvent of each run that starts, stopped a value for each run
+	// that ends.
 	started chan uint64
 	stopped chan struct{}
 }
@@ -49,7 +51,7 @@
 	return RunEnd{Ending: schedule.Complete}
 }
 
-// bodyLog keeps the records of its appends, and takes a time for each read of them.
+// bodyLog stores appended records and delays each read by readDelay.
 type bodyLog struct {
 	emptyLog
 
@@ -75,29 +77,30 @@
 	return sharedlog.Batch{Records: l.records[from:], End: uint64(len(l.records))}, nil
 }
 
-// readCount counts the reads of bodies.
+// readCount returns the number of reads of bodies.
 func (l *bodyLog) readCount() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.reads
 }
 
-// workerFixture is a worker in the north that holds the bodies of a job "j" with an item "i",
-// and what its caller knows.
+// workerFixture is a worker in the region "north" that holds the bodies of a job "j" with an
+// item "i", together with the state of the executor that calls it.
 type workerFixture struct {
 	*worker
 	t            *testing.T
 	generator    *pacedGenerator
 	log          *bodyLog
 	acknowledged uint64
-	// sent is when the next call is sent, on the caller's clock.
+	// sent is the send time of the next call, on the executor's clock.
 	sent     time.Duration
 	outlines []*pathbendv1.JobOutline
 	lost     int
-	// states are the last ones of runs, by number.
+	// states holds the last reported state of each run, by number.
 	states map[uint64]*pathbendv1.RunState
 }
 
+// runWithWorker runs a test with a worker and a route that is bound to some regions.
 func runWithWorker(t *testing.T, bound locality.Regions, test func(b *workerFixture)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -130,7 +133,7 @@
 	})
 }
 
-// endJob lets the worker read of the end of the job.
+// endJob lets the worker's node read the end of the job from the log.
 func (b *workerFixture) endJob() {
 	entry := &pathbendv1.LedgerEntry{JobId: "j", Fact: &pathbendv1.LedgerEntry_Ended{Ended: &pathbendv1.BatchEnd{}}}
 	records, err := ledger.Encode(entry, 2, 1<<10)
@@ -138,7 +141,8 @@
 	b.node.jobs.apply(1, records)
 }
 
-// dropBodies lets the worker read the bodies from the log again, for so long.
+// dropBodies removes the bodies from the worker's memory. The worker must read them from the
+// log again, where each read takes readDelay.
 func (b *workerFixture) dropBodies(takes time.Duration) {
 	job := b.jobs["j"]
 	delete(b.jobs, "j")
@@ -148,7 +152,7 @@
 	b.log.readDelay = takes
 }
 
-// call makes a call of a session with a generation and takes its reports.
+// call makes a call of the session of a generation and collects the reports.
 func (b *workerFixture) call(generation uint64, orders ...*pathbendv1.CarryOrder) error {
 	reply, err := b.handleCall(b.t.Context(), &pathbendv1.CarryCall{
 		Decider: "d", Generation: generation, Session: generation, Orders: orders, Acknowledged: b.acknowledged, HoldMs: 1,
@@ -212,14 +216,15 @@
 		<-b.generator.stopped
 		b.acknowledged = 0
 		require.InDelta(t, 20, <-b.generator.started, 3)
-		require.True(t, result.Is(b.call(1), result.LeaseConflict), "the former decider is replaced")
+		require.True(t, result.Is(b.call(1), result.LeaseConflict), "the former executor was replaced")
 		time.Sleep(10 * eventPace)
 		require.NoError(t, b.call(2))
 		require.Greater(t, b.states[1].Events, uint64(25))
 	})
 }
 
-// A start that came twice, as its answer was lost, would run beside itself.
+// A start is sent again if its reply was lost. The duplicate must not start a second run of
+// the item.
 func TestDuplicateStartRunsOnce(t *testing.T) {
 	runWithWorker(t, locality.Only("north"), func(b *workerFixture) {
 		require.NoError(t, b.call(1, startOrder(1)))
@@ -240,7 +245,7 @@
 	})
 }
 
-// The configuration that the worker knows counts too: a decider may know an older one.
+// The worker checks regions by its own configuration, as that of the executor may be older.
 func TestWorkerRefusesRunsBoundToAnotherRegion(t *testing.T) {
 	runWithWorker(t, locality.Only("south"), func(b *workerFixture) {
 		require.NoError(t, b.call(1, startOrder(1)))
@@ -262,7 +267,7 @@
 	})
 }
 
-// Reports are sent until the caller has them, also if an answer is lost.
+// Reports are sent again until they are acknowledged, so that a lost reply loses none.
 func TestUnacknowledgedReportsAreSentAgain(t *testing.T) {
 	runWithWorker(t, locality.Only("north"), func(b *workerFixture) {
 		require.NoError(t, b.call(1, startOrder(1)))
@@ -275,7 +280,8 @@
 	})
 }
 
-// A worker that wakes, or a link that is mended, must not begin what was wanted long ago.
+// After a suspension of the worker or a network outage, old starts arrive late. They must not
+// be executed, as the executor's decision may be outdated.
 func TestDelayedStartIsSkipped(t *testing.T) {
 	runWithWorker(t, locality.Only("north"), func(b *workerFixture) {
 		require.NoError(t, b.call(1))
@@ -287,8 +293,8 @@
 	})
 }
 
-// Each decider numbers its runs from 1: the end of a run of the former one took the new run
-// of the same number off the list, and no order stopped it any more.
+// Each session numbers its runs from 1. The end of a run of an earlier session must not remove
+// the current run with the same number: no order could stop that run any more.
 func TestStopReachesARunWhoseNumberAnEarlierSessionUsed(t *testing.T) {
 	runWithWorker(t, locality.Only("north"), func(b *workerFixture) {
 		require.NoError(t, b.call(1, startOrder(1)))
@@ -303,7 +309,7 @@
 	})
 }
 
-// The body of a job that is bound elsewhere is not read either.
+// A worker must not even read the bodies of a job that is bound to another region.
 func TestWorkerReadsNoBodiesOfAJobBoundToAnotherRegion(t *testing.T) {
 	runWithWorker(t, locality.Only("south"), func(b *workerFixture) {
 		b.dropBodies(0)
@@ -316,8 +322,8 @@
 	})
 }
 
-// A worker that takes a job over was told to start all its runs at once, and each of them
-// read all bodies of the job.
+// A worker that takes over a job gets the starts of all its runs at once. The runs must share
+// one read of the job's bodies instead of each reading all of them.
 func TestConcurrentRunsShareOneReadOfTheBodies(t *testing.T) {
 	runWithWorker(t, locality.Only("north"), func(b *workerFixture) {
 		b.dropBodies(50 * time.Millisecond)
@@ -328,7 +334,8 @@
 	})
 }
 
-// A worker was given up, with all its runs, as it knew sooner that a job had ended.
+// A worker may learn of the end of a job before the executor does. The failed outline must not
+// make the executor abandon the worker with all its runs.
 func TestOutlineOfAnEndedJobIsNotAWorkerFailure(t *testing.T) {
 	runWithWorker(t, locality.Only("north"), func(b *workerFixture) {
 		require.NoError(t, b.call(1, &pathbendv1.CarryOrder{Order: &pathbendv1.CarryOrder_Open{Open: "ended"}}))
@@ -340,8 +347,8 @@
 	})
 }
 
-// A run that a job's end stopped while the bodies were read was reported as its worker's
-// fault, and the job's bodies were kept for good.
+// A job may end while its bodies are read. The stopped run must not be reported as a failure
+// of the worker, and the bodies must not stay in memory forever.
 func TestJobEndDuringABodyReadIsNotAWorkerFailure(t *testing.T) {
 	runWithWorker(t, locality.Only("north"), func(b *workerFixture) {
 		b.dropBodies(100 * time.Millisecond)
@@ -359,8 +366,9 @@
 	})
 }
 
-// The bodies of a job were read for longer than a start may be on its way, and the run
-// began all the same: the second for which a cold sampler's budget counted it was over.
+// If reading the bodies takes longer than a start may be delayed, the run must not start: the
+// second for which the budget of a cold sampler counted it is over. The next start uses the
+// bodies that were read.
 func TestRunIsSkippedAfterASlowBodyRead(t *testing.T) {
 	runWithWorker(t, locality.Only("north"), func(b *workerFixture) {
 		b.dropBodies(maxStartDelay + time.Millisecond)
