--- a/internal/hosted/admission.go
+++ b/internal/hosted/admission.go
@@ -68,7 +68,6 @@
 	return current, nil
 }
 
-// notReady returns a NotReady error with a jittered retry hint.
 // notReady returns a NotReady error with a jittered retry hint.
 func notReady(detail string) error {
 	return spread(result.New(result.NotReady, "%s", detail).WithRetryAfter(notReadyHint))
--- a/internal/hosted/forward.go
+++ b/internal/hosted/forward.go
@@ -94,8 +94,6 @@
 	return typed
 }
 
-// requestTimeout returns the time limit of a request: the client's, defaultWait if it set
-// none, and no more than the route's.
 // requestTimeout returns the time limit of a request: the client's, defaultWait if it set
 // none, and no more than the route's.
 func requestTimeout(route *catalog.Route, in *Inbound) time.Duration {
--- a/internal/hosted/metrics.go
+++ b/internal/hosted/metrics.go
@@ -214,23 +214,23 @@
 	return strconv.Itoa(int(result.From(err).Code))
 }
 
-func (m *Metrics) recordRequest(route string, answer *dispatch.Answer, err error, took time.Duration) {
+func (m *Metrics) recordRequest(route string, answer *dispatch.Answer, err error, duration time.Duration) {
 	outcome := resultCode(err)
 	if answer != nil {
 		outcome = strconv.Itoa(answer.Status)
 	}
 	m.requests.WithLabelValues(route, outcome).Inc()
-	m.requestDuration.WithLabelValues(route).Observe(took.Seconds())
+	m.requestDuration.WithLabelValues(route).Observe(duration.Seconds())
 }
 
-func (m *Metrics) submission(err error, took time.Duration) {
+func (m *Metrics) submission(err error, duration time.Duration) {
 	m.submissions.WithLabelValues(resultCode(err)).Inc()
-	m.submissionDuration.Observe(took.Seconds())
+	m.submissionDuration.Observe(duration.Seconds())
 }
 
-func (m *Metrics) logAppend(err error, took time.Duration) {
+func (m *Metrics) logAppend(err error, duration time.Duration) {
 	m.appends.WithLabelValues(resultCode(err)).Inc()
-	m.appendDuration.Observe(took.Seconds())
+	m.appendDuration.Observe(duration.Seconds())
 }
 
 // recordUsageReport counts a usage report, whether the platform accepted it or not. The age is
@@ -256,7 +256,7 @@
 	m.runEnds.WithLabelValues(ending.String()).Inc()
 }
 
-func (m *Metrics) recordVersionMove(reached bool, took time.Duration) {
+func (m *Metrics) recordVersionMove(reached bool, duration time.Duration) {
 	m.versionMoves.WithLabelValues(strconv.FormatBool(reached)).Inc()
-	m.versionMoveDuration.Observe(took.Seconds())
+	m.versionMoveDuration.Observe(duration.Seconds())
 }
--- a/internal/hosted/node.go
+++ b/internal/hosted/node.go
@@ -239,21 +239,21 @@
 func (n *Node) Catalog() *catalog.Catalog { return n.catalog.Load() }
 
 // TakeCatalog applies a configuration unless the one in force is as new or newer.
-func (n *Node) TakeCatalog(taken *catalog.Catalog) {
+func (n *Node) TakeCatalog(update *catalog.Catalog) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	current := n.catalog.Load()
-	if current != nil && current.Version >= taken.Version {
+	if current != nil && current.Version >= update.Version {
 		return
 	}
-	n.catalog.Store(taken)
-	n.logger.Log(event.CatalogApplied, "version", taken.Version, "routes", taken.Routes(), "services", len(taken.Services))
+	n.catalog.Store(update)
+	n.logger.Log(event.CatalogApplied, "version", update.Version, "routes", update.Routes(), "services", len(update.Services))
 	if current == nil {
-		n.logger.Log(event.NodeReady, "version", taken.Version)
+		n.logger.Log(event.NodeReady, "version", update.Version)
 	}
 	n.updateFleet()
 	n.configuredOnce.Do(func() { close(n.configured) })
-	n.noteInformed()
+	n.checkInformed()
 	n.executor.wake()
 }
 
@@ -261,7 +261,7 @@
 // request needs it, so larger data is better read afterwards.
 func (n *Node) Configured() <-chan struct{} { return n.configured }
 
-func (n *Node) noteInformed() {
+func (n *Node) checkInformed() {
 	if n.catalog.Load() != nil && n.samplers.Load() != nil {
 		n.informedOnce.Do(func() { close(n.informed) })
 	}
@@ -306,7 +306,6 @@
 	n.executor.wake()
 }
 
-// targets returns the newest announced version of each model.
 // targets returns the newest announced version of each model.
 func (n *Node) targets() map[string]uint64 {
 	n.mutex.Lock()
@@ -319,10 +318,10 @@
 }
 
 // TakeSamplers applies a complete list of samplers.
-func (n *Node) TakeSamplers(listed []schedule.Sampler) {
-	n.samplers.Store(&listed)
+func (n *Node) TakeSamplers(samplers []schedule.Sampler) {
+	n.samplers.Store(&samplers)
 	n.updateFleet()
-	n.noteInformed()
+	n.checkInformed()
 	n.executor.wake()
 }
 
--- a/internal/hosted/readers.go
+++ b/internal/hosted/readers.go
@@ -57,10 +57,10 @@
 // clients and reward calls may go. The executor needs all services.
 func (r *readers) wanted() fanout.Groups {
 	r.mutex.Lock()
-	whole := r.readAll
+	readAll := r.readAll
 	r.mutex.Unlock()
 	current := r.node.Catalog()
-	if whole || current == nil {
+	if readAll || current == nil {
 		return fanout.All()
 	}
 	return fanout.Only(current.RequestServices()...)
@@ -142,11 +142,11 @@
 
 // HandlePeer implements peer.Handler.
 func (c peerHandler) HandlePeer(ctx context.Context, call *pathbendv1.Envelope) (*pathbendv1.Envelope, error) {
-	question := call.GetReadEntries()
-	if question == nil {
+	request := call.GetReadEntries()
+	if request == nil {
 		return c.node.worker.HandlePeer(ctx, call)
 	}
-	answer, err := c.node.entries.Answer(ctx, question)
+	answer, err := c.node.entries.Answer(ctx, request)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/hosted/remote.go
+++ b/internal/hosted/remote.go
@@ -41,7 +41,7 @@
 // by the executor's lock.
 type remoteWork struct {
 	jobs  map[string]*remoteJob
-	links map[string]*link
+	links map[string]*workerLink
 	// avoidedUntil holds the end of the cooldown of workers that failed, by name.
 	avoidedUntil map[string]time.Time
 	// workerMissing is set while a job has no worker.
@@ -49,19 +49,19 @@
 }
 
 func newRemoteWork() remoteWork {
-	return remoteWork{jobs: make(map[string]*remoteJob), links: make(map[string]*link), avoidedUntil: make(map[string]time.Time)}
+	return remoteWork{jobs: make(map[string]*remoteJob), links: make(map[string]*workerLink), avoidedUntil: make(map[string]time.Time)}
 }
 
 // remoteJob is a job whose runs a worker executes.
 type remoteJob struct {
 	regions locality.Regions
 	// link leads to the worker, nil while there is none.
-	link *link
+	link *workerLink
 }
 
-// link is the connection to a worker for one session of the executor. One loop sends it
+// workerLink is the connection to a worker for one session of the executor. One loop sends it
 // orders, another polls it for reports.
-type link struct {
+type workerLink struct {
 	executor     *executor
 	worker       carry.Node
 	session      carry.Session
@@ -81,7 +81,7 @@
 
 // linkTo returns the link to the worker for the given regions and opens it if necessary. It
 // returns nil if there is no eligible node. The caller holds the lock.
-func (e *executor) linkTo(regions locality.Regions) *link {
+func (e *executor) linkTo(regions locality.Regions) *workerLink {
 	now := time.Now()
 	chosen, found := carry.Choose(e.node.directory.Workers(), e.node.settings.Topology, regions, func(name string) bool {
 		return now.Before(e.remote.avoidedUntil[name])
@@ -93,7 +93,7 @@
 		return existing
 	}
 	ctx, cancel := context.WithCancel(e.session)
-	created := &link{
+	created := &workerLink{
 		executor: e, worker: chosen, cancel: cancel, closed: ctx.Done(), sessionStart: e.beganAt, wakeup: make(chan struct{}, 1),
 		session: carry.Session{
 			Decider: e.node.settings.Name, Generation: e.node.ownership.Current(), ID: e.sessionID,
@@ -113,7 +113,7 @@
 
 // closeLink abandons a worker: its runs end and its jobs wait for another worker. The worker
 // is not selected again for workerCooldown. The caller holds the lock.
-func (e *executor) closeLink(l *link, detail string, now time.Time) {
+func (e *executor) closeLink(l *workerLink, detail string, now time.Time) {
 	if e.remote.links[l.worker.Name] != l {
 		return
 	}
@@ -139,7 +139,7 @@
 }
 
 // abandon closes the link to a worker that failed.
-func (l *link) abandon(detail string) {
+func (l *workerLink) abandon(detail string) {
 	e := l.executor
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -150,7 +150,7 @@
 
 // abandonUnserved closes the link to a worker that the log did not serve. It keeps the link
 // if the log does not serve this node either, as another worker would fare no better.
-func (l *link) abandonUnserved(detail string) {
+func (l *workerLink) abandonUnserved(detail string) {
 	if l.executor.node.jobs.inTouch() {
 		l.abandon(detail)
 	}
@@ -159,7 +159,7 @@
 // reviewRemote removes remote jobs that the scheduler no longer has and looks for workers
 // for jobs without one. The caller holds the lock.
 func (e *executor) reviewRemote() {
-	missing := false
+	workerMissing := false
 	for id, job := range e.remote.jobs {
 		if !e.scheduler.HasJob(id) {
 			delete(e.remote.jobs, id)
@@ -169,21 +169,21 @@
 			if job.link = e.linkTo(job.regions); job.link != nil {
 				e.scheduler.Hold(id, false)
 			} else {
-				missing = true
+				workerMissing = true
 			}
 		}
 	}
-	if missing && !e.remote.workerMissing {
+	if workerMissing && !e.remote.workerMissing {
 		e.node.logger.Log(event.WorkerMissing, "jobs", len(e.remote.jobs))
 	}
-	e.remote.workerMissing = missing
+	e.remote.workerMissing = workerMissing
 	e.node.metrics.remoteJobs.Set(float64(len(e.remote.jobs)))
 }
 
 // outline asks the worker for the given regions for the items of a job, without bodies.
 func (e *executor) outline(ctx context.Context, job *ledger.Job, regions locality.Regions) ([]*pathbendv1.BatchItem, error) {
 	e.mutex.Lock()
-	var target *link
+	var target *workerLink
 	if e.scheduler != nil {
 		target = e.linkTo(regions)
 	}
@@ -246,7 +246,7 @@
 }
 
 // enqueue appends an order for the worker and wakes the send loop.
-func (l *link) enqueue(order *pathbendv1.CarryOrder) {
+func (l *workerLink) enqueue(order *pathbendv1.CarryOrder) {
 	l.mutex.Lock()
 	l.orders = append(l.orders, order)
 	l.mutex.Unlock()
@@ -258,10 +258,10 @@
 
 // sessionTime returns the time since the start of the session, the clock of send times. It
 // is not that of the link, as a session may have several links to a worker in succession.
-func (l *link) sessionTime() time.Duration { return l.sessionStart.Age() }
+func (l *workerLink) sessionTime() time.Duration { return l.sessionStart.Age() }
 
 // call makes one call to the worker. It fills in the session and the send time.
-func (l *link) call(ctx context.Context, call *pathbendv1.CarryCall) (*pathbendv1.CarryReply, error) {
+func (l *workerLink) call(ctx context.Context, call *pathbendv1.CarryCall) (*pathbendv1.CarryReply, error) {
 	call.Decider, call.Generation, call.Session = l.session.Decider, l.session.Generation, l.session.ID
 	call.SentMs = uint64(l.sessionTime().Milliseconds())
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(call.HoldMs)*time.Millisecond+callTimeoutMargin)
@@ -279,7 +279,7 @@
 
 // send delivers the queued orders in sequence until ctx ends. Orders of a failed call are
 // sent again.
-func (l *link) send(ctx context.Context) {
+func (l *workerLink) send(ctx context.Context) {
 	for ctx.Err() == nil {
 		l.mutex.Lock()
 		orders := l.orders[:min(len(l.orders), maxOrdersPerCall)]
@@ -302,7 +302,7 @@
 }
 
 // poll long-polls the worker for reports until ctx ends or the worker is abandoned.
-func (l *link) poll(ctx context.Context) {
+func (l *workerLink) poll(ctx context.Context) {
 	lastReplyAt, acknowledged, process := clock.Mark(), uint64(0), uint64(0)
 	for ctx.Err() == nil {
 		reply, err := l.call(ctx, &pathbendv1.CarryCall{Acknowledged: acknowledged, HoldMs: uint32(reportLongPoll.Milliseconds())})
@@ -340,7 +340,7 @@
 }
 
 // applyReport applies a report of the worker.
-func (l *link) applyReport(report *pathbendv1.CarryReport, now time.Time) {
+func (l *workerLink) applyReport(report *pathbendv1.CarryReport, now time.Time) {
 	switch body := report.Report.(type) {
 	case *pathbendv1.CarryReport_Outline:
 		l.mutex.Lock()
@@ -358,7 +358,7 @@
 }
 
 // reopenItem lets an item run again whose text the worker does not have.
-func (e *executor) reopenItem(l *link, lost *pathbendv1.LostItem) {
+func (e *executor) reopenItem(l *workerLink, lost *pathbendv1.LostItem) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if e.scheduler != nil && e.remote.links[l.worker.Name] == l {
@@ -369,7 +369,7 @@
 
 // applyRunState applies the reported state of a run. Reports of closed links and of unknown
 // runs are ignored.
-func (e *executor) applyRunState(l *link, state *pathbendv1.RunState, now time.Time) {
+func (e *executor) applyRunState(l *workerLink, state *pathbendv1.RunState, now time.Time) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if e.scheduler == nil || e.remote.links[l.worker.Name] != l {
--- a/internal/hosted/remote_test.go
+++ b/internal/hosted/remote_test.go
@@ -57,7 +57,7 @@
 }
 
 // lockedLinkTo calls linkTo under the executor's lock.
-func (e *executor) lockedLinkTo(regions locality.Regions) *link {
+func (e *executor) lockedLinkTo(regions locality.Regions) *workerLink {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.linkTo(regions)
@@ -69,7 +69,7 @@
 func TestSendTimesContinueAcrossLinksOfASession(t *testing.T) {
 	runWithExecutor(t, locality.Only("south"), func(t *testing.T, e *executor) {
 		var way carry.Way
-		heldUp := func(l *link) time.Duration { return way.HeldUp(time.Now(), l.sessionTime()) }
+		heldUp := func(l *workerLink) time.Duration { return way.HeldUp(time.Now(), l.sessionTime()) }
 		first := e.lockedLinkTo(locality.Only("south"))
 		require.Zero(t, heldUp(first))
 		first.abandon("test")
--- a/internal/hosted/scaler.go
+++ b/internal/hosted/scaler.go
@@ -45,8 +45,8 @@
 		s.generation, s.planners = generation, make(map[string]*scaling.Planner)
 	}
 	current := s.node.Catalog()
-	peaks, executing := s.node.executor.peaks(time.Now())
-	if current == nil || !executing {
+	peaks, isExecuting := s.node.executor.peaks(time.Now())
+	if current == nil || !isExecuting {
 		return
 	}
 	for _, name := range slices.Sorted(maps.Keys(current.Services)) {
--- a/internal/hosted/weights.go
+++ b/internal/hosted/weights.go
@@ -176,7 +176,6 @@
 // progress before the order counts as not accepted.
 const maxIdleReports = 2
 
-// countIdleReports returns the number of consecutive idle reports after one more report.
 // countIdleReports returns the number of consecutive idle reports after one more report.
 func countIdleReports(previous int, report SamplerReport) int {
 	if report.Busy {
@@ -197,7 +196,6 @@
 	return report, err
 }
 
-// recordVersions passes the versions that a sampler reported to the scheduler.
 // recordVersions passes the versions that a sampler reported to the scheduler.
 func (e *executor) recordVersions(scheduler *schedule.Scheduler, sampler schedule.Sampler, versions map[string]uint64) {
 	e.mutex.Lock()
@@ -216,7 +214,6 @@
 	return scheduler.SingleVersion(model)
 }
 
-// setLoading tells the scheduler that a sampler is changing weights.
 // setLoading tells the scheduler that a sampler is changing weights.
 func (e *executor) setLoading(scheduler *schedule.Scheduler, sampler schedule.Sampler, step weights.Step) {
 	e.mutex.Lock()
