--- a/internal/hosted/readers.go
+++ b/internal/hosted/readers.go
@@ -47,10 +47,10 @@
 
 // SetReadAll makes this node read the entries of all services, or only those it needs for
 // requests.
-func (r *readers) SetReadAll(whole bool) {
+func (r *readers) SetReadAll(readAll bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.readAll = whole
+	r.readAll = readAll
 }
 
 // wanted returns the services whose samplers this node needs: those to which requests of
--- a/internal/hosted/scaler.go
+++ b/internal/hosted/scaler.go
@@ -29,6 +29,8 @@
 	generation uint64
 }
 
+// run plans and gives orders until ctx ends. It returns at once if this system does not order
+// samplers.
 func (s *scaler) run(ctx context.Context) {
 	if !s.node.settings.OrderSamplers || s.node.ports.Scaler == nil {
 		return
@@ -40,6 +42,8 @@
 	}
 }
 
+// step plans the orders of all services that scale, unless this node does not execute the
+// jobs.
 func (s *scaler) step(ctx context.Context) {
 	if generation := s.node.ownership.Current(); generation != s.generation {
 		s.generation, s.planners = generation, make(map[string]*scaling.Planner)
--- a/internal/hosted/worker.go
+++ b/internal/hosted/worker.go
@@ -140,7 +140,7 @@
 	for ctx.Err() == nil {
 		ticks := ticker.C
 		if !w.active.Load() {
-			// A node that never executed runs for others is woken by the first call.
+			// Until the first call there is nothing to check, so the node is spared the ticks.
 			ticks = nil
 		}
 		select {
@@ -178,6 +178,8 @@
 	}
 }
 
+// step applies queued changes of the ledger, stops all runs if the executor is silent for
+// longer than workerLease, saves progress and removes expired state.
 func (w *worker) step(now time.Time) {
 	w.changesMutex.Lock()
 	changes := w.changes
@@ -200,6 +202,8 @@
 	w.removeExpired(now)
 }
 
+// applyChange stops the runs of items that have a result, and those of a job that ended or is
+// complete, except for runs ahead of a later job. The caller holds the lock.
 func (w *worker) applyChange(change ledger.Change, now time.Time) {
 	for _, listed := range change.Listed {
 		w.stopRuns(func(run *carriedRun) bool { return run.key.Item == listed.ItemID })
@@ -228,9 +232,9 @@
 	}
 }
 
-// removeExpired removes jobs that ended longer than schedule.AheadPatience ago, with their
-// remaining runs for later jobs, and texts that no run has continued within textRetention.
-// The caller holds the lock.
+// removeExpired removes jobs that ended longer than schedule.AheadPatience ago and stops their
+// remaining runs, which are ahead of a later job. It also removes texts that no run has
+// continued within textRetention. The caller holds the lock.
 func (w *worker) removeExpired(now time.Time) {
 	for id, job := range w.jobs {
 		if !job.endedAt.IsZero() && now.Sub(job.endedAt) > schedule.AheadPatience {
@@ -323,7 +327,7 @@
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if w.session != session {
-		return nil, result.New(result.LeaseConflict, "session was replaced: node %s is the executor since generation %d", w.session.Decider, w.session.Generation)
+		return nil, result.New(result.LeaseConflict, "session was replaced: node %s has been the executor since generation %d", w.session.Decider, w.session.Generation)
 	}
 	reply := &pathbendv1.CarryReply{Process: w.process, Leaving: w.leaving, OutOfTouch: !w.node.jobs.inTouch()}
 	if call.HoldMs > 0 {
--- a/internal/hosted/worker_test.go
+++ b/internal/hosted/worker_test.go
@@ -101,11 +101,11 @@
 }
 
 // runWithWorker runs a test with a worker and a route that is bound to some regions.
-func runWithWorker(t *testing.T, bound locality.Regions, test func(b *workerFixture)) {
+func runWithWorker(t *testing.T, bound locality.Regions, test func(f *workerFixture)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		const many, long = 100, 1000
-		generator := &pacedGenerator{length: long, started: make(chan uint64, many), stopped: make(chan struct{}, many)}
+		const channelSize, events = 100, 1000
+		generator := &pacedGenerator{length: events, started: make(chan uint64, channelSize), stopped: make(chan struct{}, channelSize)}
 		log := &bodyLog{}
 		node := New(Settings{Name: "w", Zone: "a", Topology: twoRegions, MaxRecordBytes: 1 << 15, MaxCallBytes: 1 << 18, Partitions: 1},
 			Ports{Network: network.TCP{}, Log: log, Generator: generator}, event.Discard())
@@ -134,42 +134,42 @@
 }
 
 // endJob lets the worker's node read the end of the job from the log.
-func (b *workerFixture) endJob() {
+func (f *workerFixture) endJob() {
 	entry := &pathbendv1.LedgerEntry{JobId: "j", Fact: &pathbendv1.LedgerEntry_Ended{Ended: &pathbendv1.BatchEnd{}}}
 	records, err := ledger.Encode(entry, 2, 1<<10)
-	require.NoError(b.t, err)
-	b.node.jobs.apply(1, records)
+	require.NoError(f.t, err)
+	f.node.jobs.apply(1, records)
 }
 
 // dropBodies removes the bodies from the worker's memory. The worker must read them from the
 // log again, where each read takes readDelay.
-func (b *workerFixture) dropBodies(takes time.Duration) {
-	job := b.jobs["j"]
-	delete(b.jobs, "j")
-	blobs, err := b.node.jobs.contents.PutItems(b.t.Context(), time.Second, slices.Collect(maps.Values(job.items)))
-	require.NoError(b.t, err)
-	b.node.jobs.view("j", func(known *ledger.Job) { known.Spec.Items = blobs })
-	b.log.readDelay = takes
+func (f *workerFixture) dropBodies(readDelay time.Duration) {
+	job := f.jobs["j"]
+	delete(f.jobs, "j")
+	blobs, err := f.node.jobs.contents.PutItems(f.t.Context(), time.Second, slices.Collect(maps.Values(job.items)))
+	require.NoError(f.t, err)
+	f.node.jobs.view("j", func(known *ledger.Job) { known.Spec.Items = blobs })
+	f.log.readDelay = readDelay
 }
 
 // call makes a call of the session of a generation and collects the reports.
-func (b *workerFixture) call(generation uint64, orders ...*pathbendv1.CarryOrder) error {
-	reply, err := b.handleCall(b.t.Context(), &pathbendv1.CarryCall{
-		Decider: "d", Generation: generation, Session: generation, Orders: orders, Acknowledged: b.acknowledged, HoldMs: 1,
-		SentMs: uint64(b.sent.Milliseconds()),
+func (f *workerFixture) call(generation uint64, orders ...*pathbendv1.CarryOrder) error {
+	reply, err := f.handleCall(f.t.Context(), &pathbendv1.CarryCall{
+		Decider: "d", Generation: generation, Session: generation, Orders: orders, Acknowledged: f.acknowledged, HoldMs: 1,
+		SentMs: uint64(f.sent.Milliseconds()),
 	})
 	if err != nil {
 		return err
 	}
 	for _, report := range reply.Reports {
-		b.acknowledged = max(b.acknowledged, report.Sequence)
+		f.acknowledged = max(f.acknowledged, report.Sequence)
 		switch body := report.Report.(type) {
 		case *pathbendv1.CarryReport_Run:
-			b.states[body.Run.Run] = body.Run
+			f.states[body.Run.Run] = body.Run
 		case *pathbendv1.CarryReport_Outline:
-			b.outlines = append(b.outlines, body.Outline)
+			f.outlines = append(f.outlines, body.Outline)
 		case *pathbendv1.CarryReport_Lost:
-			b.lost++
+			f.lost++
 		}
 	}
 	return nil
@@ -182,13 +182,13 @@
 }
 
 func TestOutlineOfAJobHasNoBodies(t *testing.T) {
-	runWithWorker(t, locality.Only("north"), func(b *workerFixture) {
-		require.NoError(t, b.call(1, &pathbendv1.CarryOrder{Order: &pathbendv1.CarryOrder_Open{Open: "j"}}))
+	runWithWorker(t, locality.Only("north"), func(f *workerFixture) {
+		require.NoError(t, f.call(1, &pathbendv1.CarryOrder{Order: &pathbendv1.CarryOrder_Open{Open: "j"}}))
 		synctest.Wait()
-		require.NoError(t, b.call(1))
-		require.Len(t, b.outlines, 1)
-		require.Len(t, b.outlines[0].Items, 1)
-		item := b.outlines[0].Items[0]
+		require.NoError(t, f.call(1))
+		require.Len(t, f.outlines, 1)
+		require.Len(t, f.outlines[0].Items, 1)
+		item := f.outlines[0].Items[0]
 		require.Equal(t, "g", item.Group)
 		require.Equal(t, "c", item.Reward.Id)
 		require.Empty(t, item.Body)
@@ -197,172 +197,172 @@
 }
 
 func TestRunsStopWhenTheExecutorIsSilent(t *testing.T) {
-	runWithWorker(t, locality.Only("north"), func(b *workerFixture) {
-		require.NoError(t, b.call(1, startOrder(1)))
-		require.Zero(t, <-b.generator.started)
+	runWithWorker(t, locality.Only("north"), func(f *workerFixture) {
+		require.NoError(t, f.call(1, startOrder(1)))
+		require.Zero(t, <-f.generator.started)
 		called := time.Now()
-		<-b.generator.stopped
+		<-f.generator.stopped
 		require.LessOrEqual(t, time.Since(called), workerLease+2*workerInterval)
 		require.Greater(t, time.Since(called), workerLease-eventPace)
 	})
 }
 
 func TestNewExecutorContinuesTextsThatTheWorkerHolds(t *testing.T) {
-	runWithWorker(t, locality.Only("north"), func(b *workerFixture) {
-		require.NoError(t, b.call(1, startOrder(1)))
-		require.Zero(t, <-b.generator.started)
+	runWithWorker(t, locality.Only("north"), func(f *workerFixture) {
+		require.NoError(t, f.call(1, startOrder(1)))
+		require.Zero(t, <-f.generator.started)
 		time.Sleep(20*eventPace + time.Millisecond)
-		require.NoError(t, b.call(2, startOrder(1)))
-		<-b.generator.stopped
-		b.acknowledged = 0
-		require.InDelta(t, 20, <-b.generator.started, 3)
-		require.True(t, result.Is(b.call(1), result.LeaseConflict), "the former executor was replaced")
+		require.NoError(t, f.call(2, startOrder(1)))
+		<-f.generator.stopped
+		f.acknowledged = 0
+		require.InDelta(t, 20, <-f.generator.started, 3)
+		require.True(t, result.Is(f.call(1), result.LeaseConflict), "the former executor was replaced")
 		time.Sleep(10 * eventPace)
-		require.NoError(t, b.call(2))
-		require.Greater(t, b.states[1].Events, uint64(25))
+		require.NoError(t, f.call(2))
+		require.Greater(t, f.states[1].Events, uint64(25))
 	})
 }
 
 // A start is sent again if its reply was lost. The duplicate must not start a second run of
 // the item.
 func TestDuplicateStartRunsOnce(t *testing.T) {
-	runWithWorker(t, locality.Only("north"), func(b *workerFixture) {
-		require.NoError(t, b.call(1, startOrder(1)))
-		require.NoError(t, b.call(1, startOrder(1)))
+	runWithWorker(t, locality.Only("north"), func(f *workerFixture) {
+		require.NoError(t, f.call(1, startOrder(1)))
+		require.NoError(t, f.call(1, startOrder(1)))
 		time.Sleep(10 * eventPace)
-		require.Len(t, b.generator.started, 1)
+		require.Len(t, f.generator.started, 1)
 	})
 }
 
 func TestRunsOfAnEndedJobStopWithoutTheExecutor(t *testing.T) {
-	runWithWorker(t, locality.Only("north"), func(b *workerFixture) {
-		require.NoError(t, b.call(1, startOrder(1)))
-		require.Zero(t, <-b.generator.started)
+	runWithWorker(t, locality.Only("north"), func(f *workerFixture) {
+		require.NoError(t, f.call(1, startOrder(1)))
+		require.Zero(t, <-f.generator.started)
 		ended := time.Now()
-		b.endJob()
-		<-b.generator.stopped
+		f.endJob()
+		<-f.generator.stopped
 		require.LessOrEqual(t, time.Since(ended), workerInterval)
 	})
 }
 
 // The worker checks regions by its own configuration, as that of the executor may be older.
 func TestWorkerRefusesRunsBoundToAnotherRegion(t *testing.T) {
-	runWithWorker(t, locality.Only("south"), func(b *workerFixture) {
-		require.NoError(t, b.call(1, startOrder(1)))
+	runWithWorker(t, locality.Only("south"), func(f *workerFixture) {
+		require.NoError(t, f.call(1, startOrder(1)))
 		synctest.Wait()
-		require.NoError(t, b.call(1))
-		require.Empty(t, b.generator.started)
-		require.EqualValues(t, schedule.Refused, b.states[1].Ending)
+		require.NoError(t, f.call(1))
+		require.Empty(t, f.generator.started)
+		require.EqualValues(t, schedule.Refused, f.states[1].Ending)
 	})
 }
 
 func TestMissingTextIsReportedAsLost(t *testing.T) {
-	runWithWorker(t, locality.Only("north"), func(b *workerFixture) {
-		require.NoError(t, b.call(1, &pathbendv1.CarryOrder{Order: &pathbendv1.CarryOrder_Finish{
+	runWithWorker(t, locality.Only("north"), func(f *workerFixture) {
+		require.NoError(t, f.call(1, &pathbendv1.CarryOrder{Order: &pathbendv1.CarryOrder_Finish{
 			Finish: &pathbendv1.FinishItem{JobId: "j", ItemId: "i"},
 		}}))
 		synctest.Wait()
-		require.NoError(t, b.call(1))
-		require.Equal(t, 1, b.lost)
+		require.NoError(t, f.call(1))
+		require.Equal(t, 1, f.lost)
 	})
 }
 
 // Reports are sent again until they are acknowledged, so that a lost reply loses none.
 func TestUnacknowledgedReportsAreSentAgain(t *testing.T) {
-	runWithWorker(t, locality.Only("north"), func(b *workerFixture) {
-		require.NoError(t, b.call(1, startOrder(1)))
+	runWithWorker(t, locality.Only("north"), func(f *workerFixture) {
+		require.NoError(t, f.call(1, startOrder(1)))
 		time.Sleep(5 * eventPace)
-		require.NoError(t, b.call(1))
-		before := b.states[1].Events
-		b.states, b.acknowledged = make(map[uint64]*pathbendv1.RunState), 0
-		require.NoError(t, b.call(1))
-		require.GreaterOrEqual(t, b.states[1].Events, before)
+		require.NoError(t, f.call(1))
+		before := f.states[1].Events
+		f.states, f.acknowledged = make(map[uint64]*pathbendv1.RunState), 0
+		require.NoError(t, f.call(1))
+		require.GreaterOrEqual(t, f.states[1].Events, before)
 	})
 }
 
 // After a suspension of the worker or a network outage, old starts arrive late. They must not
 // be executed, as the executor's decision may be outdated.
 func TestDelayedStartIsSkipped(t *testing.T) {
-	runWithWorker(t, locality.Only("north"), func(b *workerFixture) {
-		require.NoError(t, b.call(1))
+	runWithWorker(t, locality.Only("north"), func(f *workerFixture) {
+		require.NoError(t, f.call(1))
 		time.Sleep(maxStartDelay + time.Millisecond)
-		require.NoError(t, b.call(1, startOrder(1)))
+		require.NoError(t, f.call(1, startOrder(1)))
 		synctest.Wait()
-		require.Empty(t, b.generator.started)
-		require.EqualValues(t, schedule.Stopped, b.states[1].Ending)
+		require.Empty(t, f.generator.started)
+		require.EqualValues(t, schedule.Stopped, f.states[1].Ending)
 	})
 }
 
 // Each session numbers its runs from 1. The end of a run of an earlier session must not remove
 // the current run with the same number: no order could stop that run any more.
 func TestStopReachesARunWhoseNumberAnEarlierSessionUsed(t *testing.T) {
-	runWithWorker(t, locality.Only("north"), func(b *workerFixture) {
-		require.NoError(t, b.call(1, startOrder(1)))
-		<-b.generator.started
-		require.NoError(t, b.call(2, startOrder(1)))
-		<-b.generator.stopped
-		<-b.generator.started
+	runWithWorker(t, locality.Only("north"), func(f *workerFixture) {
+		require.NoError(t, f.call(1, startOrder(1)))
+		<-f.generator.started
+		require.NoError(t, f.call(2, startOrder(1)))
+		<-f.generator.stopped
+		<-f.generator.started
 		synctest.Wait()
-		require.NoError(t, b.call(2, &pathbendv1.CarryOrder{Order: &pathbendv1.CarryOrder_Stop{Stop: 1}}))
+		require.NoError(t, f.call(2, &pathbendv1.CarryOrder{Order: &pathbendv1.CarryOrder_Stop{Stop: 1}}))
 		synctest.Wait()
-		require.Len(t, b.generator.stopped, 1)
+		require.Len(t, f.generator.stopped, 1)
 	})
 }
 
 // A worker must not even read the bodies of a job that is bound to another region.
 func TestWorkerReadsNoBodiesOfAJobBoundToAnotherRegion(t *testing.T) {
-	runWithWorker(t, locality.Only("south"), func(b *workerFixture) {
-		b.dropBodies(0)
-		require.NoError(t, b.call(1, &pathbendv1.CarryOrder{Order: &pathbendv1.CarryOrder_Open{Open: "j"}}))
+	runWithWorker(t, locality.Only("south"), func(f *workerFixture) {
+		f.dropBodies(0)
+		require.NoError(t, f.call(1, &pathbendv1.CarryOrder{Order: &pathbendv1.CarryOrder_Open{Open: "j"}}))
 		synctest.Wait()
-		require.NoError(t, b.call(1))
-		require.Len(t, b.outlines, 1)
-		require.Contains(t, b.outlines[0].Failure, "bound")
-		require.Zero(t, b.log.readCount())
+		require.NoError(t, f.call(1))
+		require.Len(t, f.outlines, 1)
+		require.Contains(t, f.outlines[0].Failure, "bound")
+		require.Zero(t, f.log.readCount())
 	})
 }
 
 // A worker that takes over a job gets the starts of all its runs at once. The runs must share
 // one read of the job's bodies instead of each reading all of them.
 func TestConcurrentRunsShareOneReadOfTheBodies(t *testing.T) {
-	runWithWorker(t, locality.Only("north"), func(b *workerFixture) {
-		b.dropBodies(50 * time.Millisecond)
-		require.NoError(t, b.call(1, startOrder(1), startOrder(2), startOrder(3)))
+	runWithWorker(t, locality.Only("north"), func(f *workerFixture) {
+		f.dropBodies(50 * time.Millisecond)
+		require.NoError(t, f.call(1, startOrder(1), startOrder(2), startOrder(3)))
 		time.Sleep(100 * time.Millisecond)
-		require.Len(t, b.generator.started, 3)
-		require.Equal(t, 1, b.log.readCount())
+		require.Len(t, f.generator.started, 3)
+		require.Equal(t, 1, f.log.readCount())
 	})
 }
 
 // A worker may learn of the end of a job before the executor does. The failed outline must not
 // make the executor abandon the worker with all its runs.
 func TestOutlineOfAnEndedJobIsNotAWorkerFailure(t *testing.T) {
-	runWithWorker(t, locality.Only("north"), func(b *workerFixture) {
-		require.NoError(t, b.call(1, &pathbendv1.CarryOrder{Order: &pathbendv1.CarryOrder_Open{Open: "ended"}}))
+	runWithWorker(t, locality.Only("north"), func(f *workerFixture) {
+		require.NoError(t, f.call(1, &pathbendv1.CarryOrder{Order: &pathbendv1.CarryOrder_Open{Open: "ended"}}))
 		synctest.Wait()
-		require.NoError(t, b.call(1))
-		require.Len(t, b.outlines, 1)
-		require.NotEmpty(t, b.outlines[0].Failure)
-		require.False(t, b.outlines[0].Unserved)
+		require.NoError(t, f.call(1))
+		require.Len(t, f.outlines, 1)
+		require.NotEmpty(t, f.outlines[0].Failure)
+		require.False(t, f.outlines[0].Unserved)
 	})
 }
 
 // A job may end while its bodies are read. The stopped run must not be reported as a failure
 // of the worker, and the bodies must not stay in memory forever.
 func TestJobEndDuringABodyReadIsNotAWorkerFailure(t *testing.T) {
-	runWithWorker(t, locality.Only("north"), func(b *workerFixture) {
-		b.dropBodies(100 * time.Millisecond)
-		require.NoError(t, b.call(1, startOrder(1)))
-		b.endJob()
+	runWithWorker(t, locality.Only("north"), func(f *workerFixture) {
+		f.dropBodies(100 * time.Millisecond)
+		require.NoError(t, f.call(1, startOrder(1)))
+		f.endJob()
 		time.Sleep(200 * time.Millisecond)
-		require.NoError(t, b.call(1))
-		require.EqualValues(t, schedule.Stopped, b.states[1].Ending)
-		require.False(t, b.states[1].Unserved)
-		require.Empty(t, b.generator.started)
+		require.NoError(t, f.call(1))
+		require.EqualValues(t, schedule.Stopped, f.states[1].Ending)
+		require.False(t, f.states[1].Unserved)
+		require.Empty(t, f.generator.started)
 		time.Sleep(2 * schedule.AheadPatience)
-		b.mutex.Lock()
-		defer b.mutex.Unlock()
-		require.Empty(t, b.jobs)
+		f.mutex.Lock()
+		defer f.mutex.Unlock()
+		require.Empty(t, f.jobs)
 	})
 }
 
@@ -370,15 +370,15 @@
 // second for which the budget of a cold sampler counted it is over. The next start uses the
 // bodies that were read.
 func TestRunIsSkippedAfterASlowBodyRead(t *testing.T) {
-	runWithWorker(t, locality.Only("north"), func(b *workerFixture) {
-		b.dropBodies(maxStartDelay + time.Millisecond)
-		require.NoError(t, b.call(1, startOrder(1)))
-		b.sent = maxStartDelay + 100*time.Millisecond
-		time.Sleep(b.sent)
-		require.NoError(t, b.call(1))
-		require.Empty(t, b.generator.started)
-		require.EqualValues(t, schedule.Stopped, b.states[1].Ending)
-		require.NoError(t, b.call(1, startOrder(2)))
-		require.Zero(t, <-b.generator.started)
+	runWithWorker(t, locality.Only("north"), func(f *workerFixture) {
+		f.dropBodies(maxStartDelay + time.Millisecond)
+		require.NoError(t, f.call(1, startOrder(1)))
+		f.sent = maxStartDelay + 100*time.Millisecond
+		time.Sleep(f.sent)
+		require.NoError(t, f.call(1))
+		require.Empty(t, f.generator.started)
+		require.EqualValues(t, schedule.Stopped, f.states[1].Ending)
+		require.NoError(t, f.call(1, startOrder(2)))
+		require.Zero(t, <-f.generator.started)
 	})
 }
