--- a/internal/hosted/admission_test.go
+++ b/internal/hosted/admission_test.go
@@ -15,8 +15,9 @@
 	"github.com/pathbend/pathbend/internal/schedule"
 )
 
-// closedCatalog has one route that needs a key.
-func closedCatalog(t *testing.T, version uint64, keys ...string) *catalog.Catalog {
+// catalogWithKeys returns a configuration with one route that requires a key. The keys are
+// those of tenant "T"; tenant "U" has the key "of-u".
+func catalogWithKeys(t *testing.T, version uint64, keys ...string) *catalog.Catalog {
 	t.Helper()
 	built := catalogOf(t, version)
 	built.Keys = credential.NewKeyring([]credential.Grant{
@@ -25,30 +26,30 @@
 	return built
 }
 
-func closedNode(t *testing.T) *Node {
+func nodeWithKeys(t *testing.T) *Node {
 	t.Helper()
 	node := newTestNode()
-	node.TakeCatalog(closedCatalog(t, 1, "of-t"))
+	node.TakeCatalog(catalogWithKeys(t, 1, "of-t"))
 	node.TakeSamplers([]schedule.Sampler{})
 	return node
 }
 
-func TestKeyThatWasTakenAwayIsDeniedBeforeTheNextAttempt(t *testing.T) {
-	node := closedNode(t)
+func TestRevokedKeyIsDeniedBeforeTheNextAttempt(t *testing.T) {
+	node := nodeWithKeys(t)
 	admitted, err := node.Admit(t.Context(), "h", "/x", "of-t")
 	require.NoError(t, err)
 	require.Equal(t, "T", admitted.Tenant.Name)
-	permits := node.permits(admitted, "of-t")
+	permits := node.keyCheck(admitted, "of-t")
 	require.NoError(t, permits())
-	node.TakeCatalog(closedCatalog(t, 2))
+	node.TakeCatalog(catalogWithKeys(t, 2))
 	require.True(t, result.Is(permits(), result.Unauthenticated))
 	_, err = node.Admit(t.Context(), "h", "/x", "of-t")
 	require.True(t, result.Is(err, result.Unauthenticated))
 }
 
-func TestNodeThatMayBeOutOfDateDeniesNothing(t *testing.T) {
+func TestStaleNodeDeniesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		node := closedNode(t)
+		node := nodeWithKeys(t)
 		knownAt := time.Now()
 		node.WatchConfiguration(func() time.Duration { return time.Since(knownAt) })
 		for _, path := range []struct{ host, key string }{{"h", "new-key"}, {"other", "of-t"}} {
@@ -62,15 +63,15 @@
 			require.Positive(t, result.From(err).RetryAfter)
 		}
 		_, err := node.Admit(t.Context(), "h", "/x", "of-t")
-		require.NoError(t, err, "what was held still is, where revocation is not strict")
+		require.NoError(t, err, "without a revocation limit known keys stay valid")
 		node.settings.RevokeAfter = time.Second
 		_, err = node.Admit(t.Context(), "h", "/x", "of-t")
-		require.True(t, result.Is(err, result.NotReady), "strict: the key may have been taken away")
+		require.True(t, result.Is(err, result.NotReady), "with a revocation limit the key may have been revoked")
 	})
 }
 
-func TestJobsAreTheirTenantsOnly(t *testing.T) {
-	node := closedNode(t)
+func TestJobsAreAccessibleOnlyToTheirTenant(t *testing.T) {
+	node := nodeWithKeys(t)
 	node.jobs.ledger = ledger.New()
 	put := func(id, tenant string) {
 		records, err := ledger.Encode(&pathbendv1.LedgerEntry{JobId: id, Fact: &pathbendv1.LedgerEntry_Submitted{
@@ -87,11 +88,11 @@
 	require.True(t, result.Is(node.requireJob(t.Context(), "job-of-t", "nobody's"), result.Unauthenticated))
 	require.NoError(t, node.requireJob(t.Context(), "open-job", ""))
 	err := node.Submit(t.Context(), "job-of-t", &pathbendv1.BatchJob{Tenant: "U"}, nil)
-	require.True(t, result.Is(err, result.JobConflict), "an id is its first tenant's")
+	require.True(t, result.Is(err, result.JobConflict), "a job id belongs to the tenant that submitted it first")
 	require.NoError(t, node.Submit(t.Context(), "job-of-t", &pathbendv1.BatchJob{Tenant: "T"}, nil))
 }
 
-func TestRouteRanksAfterItsTenant(t *testing.T) {
+func TestTenantPriorityPrecedesRoutePriority(t *testing.T) {
 	node := newTestNode()
 	built := catalogOf(t, 1)
 	built.Keys = credential.NewKeyring([]credential.Grant{
@@ -102,5 +103,5 @@
 	require.Less(t, node.rankOf("first", last), node.rankOf("second", foremost))
 	require.Less(t, node.rankOf("first", foremost), node.rankOf("first", last))
 	node.TakeCatalog(catalogOf(t, 2))
-	require.Equal(t, 2, node.rankOf("first", last), "without tenants the route's alone counts")
+	require.Equal(t, 2, node.rankOf("first", last), "without tenants only the route's priority counts")
 }
--- a/internal/hosted/distance.go
+++ b/internal/hosted/distance.go
@@ -10,36 +10,36 @@
 )
 
 const (
-	// distanceInterval is how often a node looks how far away the log is (chosen).
-	distanceInterval = 2 * time.Second
-	// muchFarther is by how many times the round trip changes before that is told: a log
-	// that is twice as far is another deployment, or is slow (chosen).
-	muchFarther = 2
-	// nearEnough is a round trip below which no difference matters: all that is added to
-	// the constants for a log next door is nothing there (chosen).
-	nearEnough = 25 * time.Millisecond
+	// roundTripCheckInterval is how often a node checks the round trip to the log.
+	roundTripCheckInterval = 2 * time.Second
+	// roundTripChangeFactor is the factor by which the round trip must change to be logged: a
+	// log with twice the round trip is another deployment, or is slow.
+	roundTripChangeFactor = 2
+	// minNotableRoundTrip is a round trip below which differences do not matter: the amount
+	// that it adds to timeouts meant for a nearby log is negligible.
+	minNotableRoundTrip = 25 * time.Millisecond
 )
 
-// tellDistance logs how far away the log is, when that changes much.
-func (n *Node) tellDistance(ctx context.Context) {
-	var told roundtrip.Estimate
-	wait.Every(ctx, distanceInterval, func() {
-		now := n.log.Way().Read()
-		if !differsMuch(told, now) {
+// logRoundTripChanges logs the round trip to the log service when it changes significantly.
+func (n *Node) logRoundTripChanges(ctx context.Context) {
+	var logged roundtrip.Estimate
+	wait.Every(ctx, roundTripCheckInterval, func() {
+		current := n.log.Way().Read()
+		if !changedSignificantly(logged, current) {
 			return
 		}
-		told = now
-		n.logger.Log(event.LogDistanceChanged, "smoothed_ms", now.Smoothed.Milliseconds(),
-			"deviation_ms", now.Deviation.Milliseconds(), "timeout_ms", now.Timeout.Milliseconds())
+		logged = current
+		n.logger.Log(event.LogDistanceChanged, "smoothed_ms", current.Smoothed.Milliseconds(),
+			"deviation_ms", current.Deviation.Milliseconds(), "timeout_ms", current.Timeout.Milliseconds())
 	})
 }
 
-// differsMuch reports whether an estimate is worth a line after the one that was told
-// last. That of a node that heard no answer yet is not.
-func differsMuch(told, now roundtrip.Estimate) bool {
-	if told.Smoothed == 0 || now.Smoothed == 0 {
-		return now.Smoothed > 0
+// changedSignificantly reports whether an estimate differs enough from the one logged last to
+// be logged. An estimate without any answer from the log never is.
+func changedSignificantly(previous, current roundtrip.Estimate) bool {
+	if previous.Smoothed == 0 || current.Smoothed == 0 {
+		return current.Smoothed > 0
 	}
-	before, after := max(told.Smoothed, nearEnough), max(now.Smoothed, nearEnough)
-	return after >= muchFarther*before || before >= muchFarther*after
+	before, after := max(previous.Smoothed, minNotableRoundTrip), max(current.Smoothed, minNotableRoundTrip)
+	return after >= roundTripChangeFactor*before || before >= roundTripChangeFactor*after
 }
--- a/internal/hosted/forward.go
+++ b/internal/hosted/forward.go
@@ -14,48 +14,48 @@
 	"github.com/pathbend/pathbend/internal/result"
 )
 
-// Inbound is a client's request.
+// Inbound is a request of a client.
 type Inbound struct {
 	ID     string
 	Method string
 	Host   string
-	// Path is the path and query.
+	// Path holds the path and query.
 	Path   string
 	Header http.Header
 	Body   []byte
-	// Key is what the client showed to prove its tenant.
+	// Key is the client's API key, which identifies its tenant.
 	Key string
-	// Wait is how long the client waits; 0 if it does not say.
+	// Wait is how long the client waits; 0 if unknown.
 	Wait time.Duration
 }
 
 const (
-	// assumedWait bounds a request whose client and route name no bound.
-	assumedWait = 30 * time.Second
-	// attemptObjectives is how many objectives an attempt may take before
-	// another sampler is tried.
-	attemptObjectives = 2
-	// hedgePart is the part of the objective after which a request goes to a second back
-	// end too: what is left of it is enough there (chosen; at half of 150 ms some 1 % of
-	// requests of 25 ms have no answer).
-	hedgePart = 2
-	// minAttemptTimeout bounds that from below.
+	// defaultWait bounds a request for which neither client nor route set a time limit.
+	defaultWait = 30 * time.Second
+	// attemptTimeoutObjectives is the timeout of an attempt as a multiple of the route's
+	// latency objective; after it another sampler is tried.
+	attemptTimeoutObjectives = 2
+	// hedgeObjectiveDivisor divides the objective to get the delay after which a request is
+	// hedged: the remaining time suffices for a second back end. At half of 150 ms about 1 %
+	// of requests that take 25 ms have no answer yet.
+	hedgeObjectiveDivisor = 2
+	// minAttemptTimeout is the lower bound of the timeout of an attempt.
 	minAttemptTimeout = 200 * time.Millisecond
 )
 
-// Forward sends a request to a sampler of its route's service and returns the
-// answer, or a *result.Error that tells whether it ran.
+// Forward sends a request to a sampler of its route's service and returns the answer, or a
+// *result.Error that states whether the request ran.
 func (n *Node) Forward(ctx context.Context, admitted Admitted, in *Inbound) (*dispatch.Answer, error) {
 	route := admitted.Route
 	n.active.Add(1)
 	defer n.active.Add(-1)
 	received := clock.Mark()
 	began := received.Time()
-	deadline := began.Add(holdTime(route, in))
+	deadline := began.Add(requestTimeout(route, in))
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	if err := n.servable(admitted.Regions); err != nil {
 		cancel()
-		n.metrics.request(route.Name, nil, err, time.Since(began))
+		n.metrics.recordRequest(route.Name, nil, err, time.Since(began))
 		n.LogRefusal(in.ID, in.Host, in.Path, err)
 		return nil, err
 	}
@@ -63,12 +63,12 @@
 	request.Regions, request.Received = admitted.Regions, received
 	if err := n.awaitSampler(ctx, request); err != nil {
 		cancel()
-		n.metrics.request(route.Name, nil, err, time.Since(began))
+		n.metrics.recordRequest(route.Name, nil, err, time.Since(began))
 		n.LogRefusal(in.ID, in.Host, in.Path, err)
 		return nil, spread(err)
 	}
 	request.Tenant = admitted.Tenant.Name
-	request.Permitted = n.permits(admitted, in.Key)
+	request.Permitted = n.keyCheck(admitted, in.Key)
 	meter := n.usage.meter(admitted)
 	request.Began = meter.sent
 	answer, err := n.dispatcher.Do(ctx, request)
@@ -78,32 +78,33 @@
 	} else {
 		answer.Body = dispatch.OnClose(answer.Body, cancel)
 	}
-	n.metrics.request(route.Name, answer, err, time.Since(began))
+	n.metrics.recordRequest(route.Name, answer, err, time.Since(began))
 	return answer, spread(err)
 }
 
-// spread draws the time after which a refused caller comes back around the one
-// that was set, so that callers that were refused together do not come back
-// together.
+// spread applies jitter of 0.6 to 1.4 to the retry delay of an error, so that callers that
+// were refused at the same time do not all retry at the same time. It returns nil for nil.
 func spread(err error) error {
 	if err == nil {
 		return nil
 	}
 	typed := result.From(err)
-	const least, width = 0.6, 0.8
-	typed.RetryAfter = time.Duration(float64(typed.RetryAfter) * (least + width*rand.Float64()))
+	const minFactor, factorRange = 0.6, 0.8
+	typed.RetryAfter = time.Duration(float64(typed.RetryAfter) * (minFactor + factorRange*rand.Float64()))
 	return typed
 }
 
-func holdTime(route *catalog.Route, in *Inbound) time.Duration {
-	hold := in.Wait
-	if hold <= 0 {
-		hold = assumedWait
+// requestTimeout returns the time limit of a request: the client's, defaultWait if it set
+// none, and no more than the route's.
+func requestTimeout(route *catalog.Route, in *Inbound) time.Duration {
+	timeout := in.Wait
+	if timeout <= 0 {
+		timeout = defaultWait
 	}
 	if route.Timeout > 0 {
-		hold = min(hold, route.Timeout)
+		timeout = min(timeout, route.Timeout)
 	}
-	return hold
+	return timeout
 }
 
 func requestOf(route *catalog.Route, in *Inbound, deadline time.Time) *dispatch.Request {
@@ -118,19 +119,19 @@
 		MaxAttempts:    route.MaxAttempts,
 		Deadline:       deadline,
 		ID:             in.ID,
-		HedgeAfter:     route.Objective / hedgePart,
-		AttemptTimeout: max(attemptObjectives*route.Objective, minAttemptTimeout),
+		HedgeAfter:     route.Objective / hedgeObjectiveDivisor,
+		AttemptTimeout: max(attemptTimeoutObjectives*route.Objective, minAttemptTimeout),
 	}
 }
 
-// LogRefusal records a request that was refused before it was sent anywhere.
+// LogRefusal logs a request that was refused before any attempt.
 func (n *Node) LogRefusal(requestID, host, path string, err error) {
 	typed := result.From(err)
 	n.logger.Log(event.RequestRefused, "request_id", requestID, "host", host, "path", path,
 		"code", int(typed.Code), "detail", typed.Detail, "retry_after_ms", typed.RetryAfter.Milliseconds())
 }
 
-// newID returns a random id of 16 hexadecimal digits.
+// newID returns a random 64-bit id in hexadecimal.
 func newID() string {
 	var raw [8]byte
 	value := rand.Uint64()
--- a/internal/hosted/remote.go
+++ b/internal/hosted/remote.go
@@ -17,106 +17,109 @@
 )
 
 const (
-	// reportHold is how long a worker holds a call that asks for reports.
-	reportHold = 250 * time.Millisecond
-	// callPatience is how much longer a call to a worker may take (chosen: the bound for
-	// regions 120 ms apart, one way, and as much for a busy machine).
-	callPatience = 500 * time.Millisecond
-	// callPause is the pause after a call that failed.
-	callPause = 30 * time.Millisecond
-	// workerPatience is how long a worker may be silent before another one takes its
-	// place: two calls that fail and the next one's way.
-	workerPatience = 1200 * time.Millisecond
-	// avoidFor is how long a worker that failed is passed over.
-	avoidFor = 5 * time.Second
-	// outlinePatience bounds the wait for the outline of a job.
-	outlinePatience = 2 * time.Second
-	// mostOrders bounds the orders of one call.
-	mostOrders = 256
+	// reportLongPoll is how long a worker may hold a call that waits for reports.
+	reportLongPoll = 250 * time.Millisecond
+	// callTimeoutMargin is the time that a call to a worker may take beyond its long poll.
+	// It suits regions that are 120 ms apart, one way, and allows as much again for a busy
+	// machine.
+	callTimeoutMargin = 500 * time.Millisecond
+	// callRetryDelay is the delay after a failed call.
+	callRetryDelay = 30 * time.Millisecond
+	// workerTimeout is how long a worker may be silent before it is replaced: two failed
+	// calls and the transit time of the next one.
+	workerTimeout = 1200 * time.Millisecond
+	// workerCooldown is how long a worker that failed is not selected again.
+	workerCooldown = 5 * time.Second
+	// outlineTimeout bounds the wait for the outline of a job.
+	outlineTimeout = 2 * time.Second
+	// maxOrdersPerCall bounds the orders of one call.
+	maxOrdersPerCall = 256
 )
 
-// remoteWork is the work of the executor whose bodies and texts are not for this node:
-// workers in its regions carry it. It is used under the executor's lock.
+// remoteWork is the executor's state of jobs that are bound to other regions. This node may
+// not read their bodies and texts; workers in those regions execute their runs. It is guarded
+// by the executor's lock.
 type remoteWork struct {
 	jobs  map[string]*remoteJob
-	links map[string]*link
-	// avoided tells until when a worker is passed over.
-	avoided map[string]time.Time
-	// missing is set while a job has no worker.
-	missing bool
+	links map[string]*workerLink
+	// avoidedUntil holds the end of the cooldown of workers that failed, by name.
+	avoidedUntil map[string]time.Time
+	// workerMissing is set while a job has no worker.
+	workerMissing bool
 }
 
 func newRemoteWork() remoteWork {
-	return remoteWork{jobs: make(map[string]*remoteJob), links: make(map[string]*link), avoided: make(map[string]time.Time)}
+	return remoteWork{jobs: make(map[string]*remoteJob), links: make(map[string]*workerLink), avoidedUntil: make(map[string]time.Time)}
 }
 
-// remoteJob is a job that a worker carries.
+// remoteJob is a job whose runs a worker executes.
 type remoteJob struct {
 	regions locality.Regions
-	// link is the way to its worker, nil while there is none.
-	link *link
+	// link leads to the worker, nil while there is none.
+	link *workerLink
 }
 
-// link is the way to a worker, for one session of the executor.
-type link struct {
-	executor *executor
-	worker   carry.Node
-	session  carry.Session
-	cancel   context.CancelFunc
-	// began is when the session began.
-	began clock.Moment
-	woken chan struct{}
-	// given is closed once the worker is given up.
-	given <-chan struct{}
+// workerLink is the connection to a worker for one session of the executor. One loop sends it
+// orders, another polls it for reports.
+type workerLink struct {
+	executor     *executor
+	worker       carry.Node
+	session      carry.Session
+	cancel       context.CancelFunc
+	sessionStart clock.Moment
+	wakeup       chan struct{}
+	// closed is closed once the link is closed.
+	closed <-chan struct{}
 
 	mutex  sync.Mutex
 	orders []*pathbendv1.CarryOrder
-	// outlines are those who wait for a job's outline.
-	outlines map[string][]chan *pathbendv1.JobOutline
-	// runs are those under way, used under the executor's lock.
+	// outlineWaiters holds the channels of callers that wait for a job's outline, by job.
+	outlineWaiters map[string][]chan *pathbendv1.JobOutline
+	// runs are the runs in progress, by number. It is guarded by the executor's lock.
 	runs map[uint64]schedule.Start
 }
 
-// linkTo returns the way to the worker for some regions, nil if no node may be it. It is
-// called under the lock.
-func (e *executor) linkTo(regions locality.Regions) *link {
+// linkTo returns the link to the worker for the given regions and opens it if necessary. It
+// returns nil if there is no eligible node. The caller holds the lock.
+func (e *executor) linkTo(regions locality.Regions) *workerLink {
 	now := time.Now()
 	chosen, found := carry.Choose(e.node.directory.Workers(), e.node.settings.Topology, regions, func(name string) bool {
-		return now.Before(e.remote.avoided[name])
+		return now.Before(e.remote.avoidedUntil[name])
 	})
 	if !found {
 		return nil
 	}
-	if known, ok := e.remote.links[chosen.Name]; ok && known.worker == chosen {
-		return known
+	if existing, ok := e.remote.links[chosen.Name]; ok && existing.worker == chosen {
+		return existing
 	}
 	ctx, cancel := context.WithCancel(e.session)
-	opened := &link{
-		executor: e, worker: chosen, cancel: cancel, given: ctx.Done(), began: e.beganAt, woken: make(chan struct{}, 1),
+	created := &workerLink{
+		executor: e, worker: chosen, cancel: cancel, closed: ctx.Done(), sessionStart: e.beganAt, wakeup: make(chan struct{}, 1),
 		session: carry.Session{
 			Decider: e.node.settings.Name, Generation: e.node.ownership.Current(), ID: e.sessionID,
 		},
-		outlines: make(map[string][]chan *pathbendv1.JobOutline), runs: make(map[uint64]schedule.Start),
+		outlineWaiters: make(map[string][]chan *pathbendv1.JobOutline), runs: make(map[uint64]schedule.Start),
 	}
-	if former := e.remote.links[chosen.Name]; former != nil {
-		e.dropLink(former, "it has another address", now)
-		delete(e.remote.avoided, chosen.Name)
+	if previous := e.remote.links[chosen.Name]; previous != nil {
+		e.closeLink(previous, "the worker has a new address", now)
+		delete(e.remote.avoidedUntil, chosen.Name)
 	}
-	e.remote.links[chosen.Name] = opened
-	e.node.logger.Log(event.WorkerChosen, "worker", chosen.Name, "zone", chosen.Zone, "regions", regions.String(), "generation", opened.session.Generation)
-	e.work.Go(func() { opened.poll(ctx) })
-	e.work.Go(func() { opened.send(ctx) })
-	return opened
+	e.remote.links[chosen.Name] = created
+	e.node.logger.Log(event.WorkerChosen, "worker", chosen.Name, "zone", chosen.Zone, "regions", regions.String(), "generation", created.session.Generation)
+	e.work.Go(func() { created.poll(ctx) })
+	e.work.Go(func() { created.send(ctx) })
+	return created
 }
 
-// dropLink gives a worker up: its jobs wait for another one. It is called under the lock.
-func (e *executor) dropLink(l *link, detail string, now time.Time) {
+// closeLink abandons a worker: its runs end and its jobs wait for another worker. The worker
+// is not selected again for workerCooldown. The caller holds the lock.
+func (e *executor) closeLink(l *workerLink, detail string, now time.Time) {
 	if e.remote.links[l.worker.Name] != l {
 		return
 	}
 	delete(e.remote.links, l.worker.Name)
 	l.cancel()
-	e.remote.avoided[l.worker.Name] = now.Add(avoidFor)
+	e.remote.avoidedUntil[l.worker.Name] = now.Add(workerCooldown)
 	e.node.metrics.workersLost.Inc()
 	e.node.logger.Log(event.WorkerLost, "worker", l.worker.Name, "runs", len(l.runs), "detail", detail)
 	for id, job := range e.remote.jobs {
@@ -135,28 +138,28 @@
 	e.wake()
 }
 
-// lost gives a worker up whose calls fail.
-func (l *link) lost(detail string) {
+// abandon closes the link to a worker that failed.
+func (l *workerLink) abandon(detail string) {
 	e := l.executor
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if e.scheduler != nil && e.sessionID == l.session.ID {
-		e.dropLink(l, detail, time.Now())
+		e.closeLink(l, detail, time.Now())
 	}
 }
 
-// unserved gives a worker up that could not begin. Where the log does not serve this node
-// either, another worker would do no better.
-func (l *link) unserved(detail string) {
+// abandonUnserved closes the link to a worker that the log did not serve. It keeps the link
+// if the log does not serve this node either, as another worker would fare no better.
+func (l *workerLink) abandonUnserved(detail string) {
 	if l.executor.node.jobs.inTouch() {
-		l.lost(detail)
+		l.abandon(detail)
 	}
 }
 
-// reviewRemote gives jobs without a worker one, forgets jobs that are over, and takes in
-// jobs anew whose regions changed. It is called under the lock.
+// reviewRemote removes remote jobs that the scheduler no longer has and looks for workers
+// for jobs without one. The caller holds the lock.
 func (e *executor) reviewRemote() {
-	missing := false
+	workerMissing := false
 	for id, job := range e.remote.jobs {
 		if !e.scheduler.HasJob(id) {
 			delete(e.remote.jobs, id)
@@ -166,128 +169,130 @@
 			if job.link = e.linkTo(job.regions); job.link != nil {
 				e.scheduler.Hold(id, false)
 			} else {
-				missing = true
+				workerMissing = true
 			}
 		}
 	}
-	if missing && !e.remote.missing {
+	if workerMissing && !e.remote.workerMissing {
 		e.node.logger.Log(event.WorkerMissing, "jobs", len(e.remote.jobs))
 	}
-	e.remote.missing = missing
-	e.node.metrics.boundJobs.Set(float64(len(e.remote.jobs)))
+	e.remote.workerMissing = workerMissing
+	e.node.metrics.remoteJobs.Set(float64(len(e.remote.jobs)))
 }
 
-// outline asks the worker of some regions for the items of a job without bodies.
+// outline asks the worker for the given regions for the items of a job, without bodies.
 func (e *executor) outline(ctx context.Context, job *ledger.Job, regions locality.Regions) ([]*pathbendv1.BatchItem, error) {
 	e.mutex.Lock()
-	var asked *link
+	var target *workerLink
 	if e.scheduler != nil {
-		asked = e.linkTo(regions)
+		target = e.linkTo(regions)
 	}
 	e.mutex.Unlock()
-	if asked == nil {
-		return nil, result.New(result.RegionUnavailable, "no node in %v takes calls", regions)
+	if target == nil {
+		return nil, result.New(result.RegionUnavailable, "no node in %v accepts calls to execute runs", regions)
 	}
-	ctx, cancel := context.WithTimeout(ctx, outlinePatience)
+	ctx, cancel := context.WithTimeout(ctx, outlineTimeout)
 	defer cancel()
 	answer := make(chan *pathbendv1.JobOutline, 1)
-	asked.mutex.Lock()
-	asked.outlines[job.ID] = append(asked.outlines[job.ID], answer)
-	asked.mutex.Unlock()
-	asked.order(&pathbendv1.CarryOrder{Order: &pathbendv1.CarryOrder_Open{Open: job.ID}})
+	target.mutex.Lock()
+	target.outlineWaiters[job.ID] = append(target.outlineWaiters[job.ID], answer)
+	target.mutex.Unlock()
+	target.enqueue(&pathbendv1.CarryOrder{Order: &pathbendv1.CarryOrder_Open{Open: job.ID}})
 	select {
 	case outline := <-answer:
 		if outline.Failure == "" {
 			return outline.Items, nil
 		}
 		if outline.Unserved {
-			asked.unserved(outline.Failure)
+			target.abandonUnserved(outline.Failure)
 		}
-		return nil, result.New(result.PeerLost, "%s cannot read the job: %s", asked.worker.Name, outline.Failure)
-	case <-asked.given:
-		return nil, result.New(result.PeerLost, "%s was given up", asked.worker.Name)
+		return nil, result.New(result.PeerLost, "worker %s cannot read the job: %s", target.worker.Name, outline.Failure)
+	case <-target.closed:
+		return nil, result.New(result.PeerLost, "worker %s was abandoned while it read the job", target.worker.Name)
 	case <-ctx.Done():
-		asked.lost("it gave no outline")
-		return nil, result.Wrap(result.PeerLost, ctx.Err(), "await the outline of "+asked.worker.Name)
+		target.abandon("the worker did not report the outline of a job in time")
+		return nil, result.Wrap(result.PeerLost, ctx.Err(), "wait for the job outline of worker "+target.worker.Name)
 	}
 }
 
-// startRemote lets the job's worker carry a run. It is called under the lock.
+// startRemote orders the job's worker to execute a run. The caller holds the lock.
 func (e *executor) startRemote(job *remoteJob, start schedule.Start) {
 	l := job.link
 	l.runs[start.Run] = start
 	e.runs[start.Key] = func() {
 		delete(l.runs, start.Run)
-		l.order(&pathbendv1.CarryOrder{Order: &pathbendv1.CarryOrder_Stop{Stop: start.Run}})
+		l.enqueue(&pathbendv1.CarryOrder{Order: &pathbendv1.CarryOrder_Stop{Stop: start.Run}})
 	}
 	e.node.metrics.remoteRuns.WithLabelValues(l.worker.Name).Inc()
-	l.order(&pathbendv1.CarryOrder{Order: &pathbendv1.CarryOrder_Start{Start: &pathbendv1.StartRun{
+	l.enqueue(&pathbendv1.CarryOrder{Order: &pathbendv1.CarryOrder_Start{Start: &pathbendv1.StartRun{
 		Run: start.Run, JobId: start.Key.Job, ItemId: start.Key.Item, Ahead: start.Key.Ahead,
 		SamplerId: start.Sampler.ID, Address: start.Sampler.Address, Zone: start.Sampler.Zone,
 		MinVersion: start.Job.MinVersion, SingleVersion: start.SingleVersion,
 	}}})
 }
 
-// finishRemote lets the job's worker score a text that the log has, or that the worker
-// holds. It is called under the lock.
+// finishRemote orders the job's worker to score a complete text, from the log or from the
+// worker's memory. Without a worker it reopens the item. The caller holds the lock.
 func (e *executor) finishRemote(completed schedule.Finished) {
 	job := e.remote.jobs[completed.Key.Job]
 	if job == nil || job.link == nil {
 		e.scheduler.Reopen(completed.Key)
 		return
 	}
-	job.link.order(&pathbendv1.CarryOrder{Order: &pathbendv1.CarryOrder_Finish{Finish: &pathbendv1.FinishItem{
+	job.link.enqueue(&pathbendv1.CarryOrder{Order: &pathbendv1.CarryOrder_Finish{Finish: &pathbendv1.FinishItem{
 		JobId: completed.Key.Job, ItemId: completed.Key.Item, Text: completed.Kept, Versions: completed.Versions,
 		MinVersion: completed.MinVersion, SingleVersion: completed.SingleVersion,
 	}}})
 }
 
-func (l *link) order(order *pathbendv1.CarryOrder) {
+// enqueue appends an order for the worker and wakes the send loop.
+func (l *workerLink) enqueue(order *pathbendv1.CarryOrder) {
 	l.mutex.Lock()
 	l.orders = append(l.orders, order)
 	l.mutex.Unlock()
 	select {
-	case l.woken <- struct{}{}:
+	case l.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// clock is what times of sending are told by. It is that of the session, which may have
-// several links to a worker one after the other.
-func (l *link) clock() time.Duration { return l.began.Age() }
+// sessionTime returns the time since the start of the session, the clock of send times. It
+// is not that of the link, as a session may have several links to a worker in succession.
+func (l *workerLink) sessionTime() time.Duration { return l.sessionStart.Age() }
 
-// call makes one call to the worker.
-func (l *link) call(ctx context.Context, call *pathbendv1.CarryCall) (*pathbendv1.CarryReply, error) {
+// call makes one call to the worker. It fills in the session and the send time.
+func (l *workerLink) call(ctx context.Context, call *pathbendv1.CarryCall) (*pathbendv1.CarryReply, error) {
 	call.Decider, call.Generation, call.Session = l.session.Decider, l.session.Generation, l.session.ID
-	call.SentMs = uint64(l.clock().Milliseconds())
-	ctx, cancel := context.WithTimeout(ctx, time.Duration(call.HoldMs)*time.Millisecond+callPatience)
+	call.SentMs = uint64(l.sessionTime().Milliseconds())
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(call.HoldMs)*time.Millisecond+callTimeoutMargin)
 	defer cancel()
 	reply, err := l.executor.node.peers.Call(ctx, l.worker.Address, &pathbendv1.Envelope{Body: &pathbendv1.Envelope_CarryCall{CarryCall: call}})
 	if err != nil {
 		return nil, err
 	}
-	carried := reply.GetCarryReply()
-	if carried == nil {
-		return nil, result.New(result.FrameMalformed, "no answer to a call to a worker")
+	carryReply := reply.GetCarryReply()
+	if carryReply == nil {
+		return nil, result.New(result.FrameMalformed, "worker answered with a message of another kind")
 	}
-	return carried, nil
+	return carryReply, nil
 }
 
-// send gives the worker its orders, in order, until ctx ends.
-func (l *link) send(ctx context.Context) {
+// send delivers the queued orders in sequence until ctx ends. Orders of a failed call are
+// sent again.
+func (l *workerLink) send(ctx context.Context) {
 	for ctx.Err() == nil {
 		l.mutex.Lock()
-		orders := l.orders[:min(len(l.orders), mostOrders)]
+		orders := l.orders[:min(len(l.orders), maxOrdersPerCall)]
 		l.mutex.Unlock()
 		if len(orders) == 0 {
 			select {
-			case <-l.woken:
+			case <-l.wakeup:
 			case <-ctx.Done():
 			}
 			continue
 		}
 		if _, err := l.call(ctx, &pathbendv1.CarryCall{Orders: orders}); err != nil {
-			wait.For(ctx, callPause)
+			wait.For(ctx, callRetryDelay)
 			continue
 		}
 		l.mutex.Lock()
@@ -296,63 +301,64 @@
 	}
 }
 
-// poll asks the worker for reports until ctx ends or the worker is lost.
-func (l *link) poll(ctx context.Context) {
-	heardAt, acknowledged, process := clock.Mark(), uint64(0), uint64(0)
+// poll long-polls the worker for reports until ctx ends or the worker is abandoned.
+func (l *workerLink) poll(ctx context.Context) {
+	lastReplyAt, acknowledged, process := clock.Mark(), uint64(0), uint64(0)
 	for ctx.Err() == nil {
-		reply, err := l.call(ctx, &pathbendv1.CarryCall{Acknowledged: acknowledged, HoldMs: uint32(reportHold.Milliseconds())})
+		reply, err := l.call(ctx, &pathbendv1.CarryCall{Acknowledged: acknowledged, HoldMs: uint32(reportLongPoll.Milliseconds())})
 		now := time.Now()
 		switch {
 		case ctx.Err() != nil:
 			return
-		case result.Is(err, result.LeaseConflict) || err != nil && heardAt.AgeAt(now) > workerPatience:
-			l.lost(err.Error())
+		case result.Is(err, result.LeaseConflict) || err != nil && lastReplyAt.AgeAt(now) > workerTimeout:
+			l.abandon(err.Error())
 			return
 		case err != nil:
-			wait.For(ctx, callPause)
+			wait.For(ctx, callRetryDelay)
 			continue
 		}
 		if process != 0 && reply.Process != process {
-			l.lost("it started anew")
+			l.abandon("the worker process restarted")
 			return
 		}
-		heardAt, process = clock.At(now), reply.Process
+		lastReplyAt, process = clock.At(now), reply.Process
 		for _, report := range reply.Reports {
 			if report.Sequence > acknowledged {
 				acknowledged = report.Sequence
-				l.take(report, now)
+				l.applyReport(report, now)
 			}
 		}
 		switch {
 		case reply.Leaving:
-			l.lost("it is leaving")
+			l.abandon("the worker is shutting down")
 			return
 		case reply.OutOfTouch && l.executor.node.jobs.inTouch():
-			l.lost("the log does not serve it")
+			l.abandon("the worker is out of touch with the log")
 			return
 		}
 	}
 }
 
-// take applies a report.
-func (l *link) take(report *pathbendv1.CarryReport, now time.Time) {
-	switch told := report.Report.(type) {
+// applyReport applies a report of the worker.
+func (l *workerLink) applyReport(report *pathbendv1.CarryReport, now time.Time) {
+	switch body := report.Report.(type) {
 	case *pathbendv1.CarryReport_Outline:
 		l.mutex.Lock()
-		waiting := l.outlines[told.Outline.JobId]
-		delete(l.outlines, told.Outline.JobId)
+		waiting := l.outlineWaiters[body.Outline.JobId]
+		delete(l.outlineWaiters, body.Outline.JobId)
 		l.mutex.Unlock()
 		for _, answer := range waiting {
-			answer <- told.Outline
+			answer <- body.Outline
 		}
 	case *pathbendv1.CarryReport_Run:
-		l.executor.takeRun(l, told.Run, now)
+		l.executor.applyRunState(l, body.Run, now)
 	case *pathbendv1.CarryReport_Lost:
-		l.executor.reopen(l, told.Lost)
+		l.executor.reopenItem(l, body.Lost)
 	}
 }
 
-func (e *executor) reopen(l *link, lost *pathbendv1.LostItem) {
+// reopenItem lets an item run again whose text the worker does not have.
+func (e *executor) reopenItem(l *workerLink, lost *pathbendv1.LostItem) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if e.scheduler != nil && e.remote.links[l.worker.Name] == l {
@@ -361,8 +367,9 @@
 	}
 }
 
-// takeRun applies the state of a run.
-func (e *executor) takeRun(l *link, state *pathbendv1.RunState, now time.Time) {
+// applyRunState applies the reported state of a run. Reports of closed links and of unknown
+// runs are ignored.
+func (e *executor) applyRunState(l *workerLink, state *pathbendv1.RunState, now time.Time) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if e.scheduler == nil || e.remote.links[l.worker.Name] != l {
@@ -384,11 +391,11 @@
 	delete(l.runs, state.Run)
 	delete(e.runs, start.Key)
 	if state.Ended {
-		// The worker told the log; this node may not have read it yet.
+		// The worker recorded it in the log; this node may not have read that entry yet.
 		e.node.suspects.items.Heard(itemDigest(start.Key.Item), start.Sampler.ID)
 	}
 	e.endRun(start, RunEnd{Ending: schedule.Ending(state.Ending), Detail: state.Detail}, now)
 	if state.Unserved && e.node.jobs.inTouch() {
-		e.dropLink(l, state.Detail, now)
+		e.closeLink(l, state.Detail, now)
 	}
 }
--- a/internal/hosted/remote_test.go
+++ b/internal/hosted/remote_test.go
@@ -19,21 +19,21 @@
 	"github.com/pathbend/pathbend/internal/sharedlog"
 )
 
-// noNetwork reaches nobody.
-type noNetwork struct{}
+// unreachableNetwork fails every dial and listen.
+type unreachableNetwork struct{}
 
-func (noNetwork) Dial(context.Context, string) (net.Conn, error) { return nil, net.ErrClosed }
+func (unreachableNetwork) Dial(context.Context, string) (net.Conn, error) { return nil, net.ErrClosed }
 
-func (noNetwork) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
+func (unreachableNetwork) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
 
-// withDecider runs a test with an executor in the north, in session, that knows of a worker
-// in the south which it does not reach.
-func withDecider(t *testing.T, route locality.Regions, test func(t *testing.T, e *executor)) {
+// runWithExecutor runs a test with an executor in the region "north" that holds the jobs. It
+// knows a worker in the region "south" but cannot reach it.
+func runWithExecutor(t *testing.T, route locality.Regions, test func(t *testing.T, e *executor)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		node := New(Settings{Name: "n", Zone: "a", Topology: twoRegions, MaxRecordBytes: 1 << 15, MaxCallBytes: 1 << 18, Partitions: 1},
-			Ports{Network: noNetwork{}, Log: &bodyLog{}}, event.Discard())
-		node.TakeCatalog(routeIn(t, 1, route))
+			Ports{Network: unreachableNetwork{}, Log: &bodyLog{}}, event.Discard())
+		node.TakeCatalog(catalogWithRegions(t, 1, route))
 		value, err := proto.Marshal(&pathbendv1.NodeCapacity{Node: "w", Zone: "b", WorkerAddress: "w:1"})
 		require.NoError(t, err)
 		node.directory.Apply([]sharedlog.KeyedRecord{{Key: "w", Value: value}}, 1)
@@ -46,8 +46,8 @@
 	})
 }
 
-// routeIn is a configuration with one route, whose regions are those named.
-func routeIn(t *testing.T, version uint64, regions locality.Regions) *catalog.Catalog {
+// catalogWithRegions returns a configuration with one route that is bound to the regions.
+func catalogWithRegions(t *testing.T, version uint64, regions locality.Regions) *catalog.Catalog {
 	t.Helper()
 	built, err := catalog.New(version, []catalog.Route{{
 		Name: "r", Host: "h", Prefix: "/", Kind: catalog.Rollout, Shares: []catalog.Share{{Service: "s", Weight: 1}}, Regions: regions,
@@ -56,40 +56,42 @@
 	return built
 }
 
-func (e *executor) linkNow(regions locality.Regions) *link {
+// lockedLinkTo calls linkTo under the executor's lock.
+func (e *executor) lockedLinkTo(regions locality.Regions) *workerLink {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.linkTo(regions)
 }
 
-// A worker that was given up and taken again within a session obeyed no start: it measured
-// how long calls are on their way by a clock that began anew.
-func TestTimeOfSendingGoesOnWithTheNextLinkOfASession(t *testing.T) {
-	withDecider(t, locality.Only("south"), func(t *testing.T, e *executor) {
+// A worker detects delayed calls by their send times. If it is abandoned and selected again
+// within a session, the send times must continue: restarted ones would make every call look
+// delayed, and the worker would execute no start.
+func TestSendTimesContinueAcrossLinksOfASession(t *testing.T) {
+	runWithExecutor(t, locality.Only("south"), func(t *testing.T, e *executor) {
 		var way carry.Way
-		heldUp := func(l *link) time.Duration { return way.HeldUp(time.Now(), l.clock()) }
-		first := e.linkNow(locality.Only("south"))
+		heldUp := func(l *workerLink) time.Duration { return way.HeldUp(time.Now(), l.sessionTime()) }
+		first := e.lockedLinkTo(locality.Only("south"))
 		require.Zero(t, heldUp(first))
-		first.lost("test")
-		require.Nil(t, e.linkNow(locality.Only("south")), "it is passed over")
-		time.Sleep(avoidFor)
-		next := e.linkNow(locality.Only("south"))
+		first.abandon("test")
+		require.Nil(t, e.lockedLinkTo(locality.Only("south")), "the worker is in its cooldown")
+		time.Sleep(workerCooldown)
+		next := e.lockedLinkTo(locality.Only("south"))
 		require.NotSame(t, first, next)
 		require.Zero(t, heldUp(next))
 	})
 }
 
-func TestWorkerIsKeptThatCannotReadAJobForAReasonOfTheJob(t *testing.T) {
+func TestWorkerIsKeptWhenTheJobItselfCannotBeRead(t *testing.T) {
 	for _, unserved := range []bool{false, true} {
-		withDecider(t, locality.Only("south"), func(t *testing.T, e *executor) {
-			l := e.linkNow(locality.Only("south"))
+		runWithExecutor(t, locality.Only("south"), func(t *testing.T, e *executor) {
+			l := e.lockedLinkTo(locality.Only("south"))
 			answered := make(chan error, 1)
 			go func() {
 				_, err := e.outline(t.Context(), &ledger.Job{ID: "j"}, locality.Only("south"))
 				answered <- err
 			}()
 			synctest.Wait()
-			l.take(&pathbendv1.CarryReport{Report: &pathbendv1.CarryReport_Outline{
+			l.applyReport(&pathbendv1.CarryReport{Report: &pathbendv1.CarryReport_Outline{
 				Outline: &pathbendv1.JobOutline{JobId: "j", Failure: "not open", Unserved: unserved},
 			}}, time.Now())
 			require.Error(t, <-answered)
@@ -100,18 +102,19 @@
 	}
 }
 
-// The outline of a worker that was given up was awaited for as long as that of any other.
-func TestNobodyWaitsForAWorkerThatWasGivenUp(t *testing.T) {
-	withDecider(t, locality.Only("south"), func(t *testing.T, e *executor) {
+// A caller that waits for the outline of a job must not wait for the full outlineTimeout once
+// the worker is abandoned.
+func TestOutlineFailsOnceItsWorkerIsAbandoned(t *testing.T) {
+	runWithExecutor(t, locality.Only("south"), func(t *testing.T, e *executor) {
 		began := time.Now()
 		_, err := e.outline(t.Context(), &ledger.Job{ID: "j"}, locality.Only("south"))
 		require.Error(t, err)
-		require.Less(t, time.Since(began), workerPatience+2*callPause)
+		require.Less(t, time.Since(began), workerTimeout+2*callRetryDelay)
 	})
 }
 
-// submitOne lets the executor read of a job "j" with one item.
-func submitOne(t *testing.T, e *executor) *bodyLog {
+// submitJob lets the executor read a job "j" with one item from the log. It returns the log.
+func submitJob(t *testing.T, e *executor) *bodyLog {
 	t.Helper()
 	item := &pathbendv1.BatchItem{Id: "i", Body: []byte("secret")}
 	blobs, err := e.node.jobs.contents.PutItems(t.Context(), time.Second, []*pathbendv1.BatchItem{item})
@@ -128,7 +131,7 @@
 	return e.node.ports.Log.(*bodyLog)
 }
 
-// emptyCatalog is a configuration without routes.
+// emptyCatalog returns a configuration without routes.
 func emptyCatalog(t *testing.T, version uint64) *catalog.Catalog {
 	t.Helper()
 	built, err := catalog.New(version, nil, nil, catalog.Limits{}, nil)
@@ -136,14 +139,15 @@
 	return built
 }
 
-// A job was read by the configuration of before and taken in by that: its items went to
-// samplers in all regions until the next configuration.
-func TestJobWhoseRegionsChangeWhileItIsReadIsBound(t *testing.T) {
-	withDecider(t, locality.Regions{}, func(t *testing.T, e *executor) {
-		e.node.ports.Log.(*bodyLog).takes = 50 * time.Millisecond
-		submitOne(t, e)
+// A job that is read under one configuration and added under the next must be bound to the
+// regions of the next one. Otherwise its items would go to samplers in all regions until the
+// configuration changes again.
+func TestRegionChangeDuringAJobReadIsApplied(t *testing.T) {
+	runWithExecutor(t, locality.Regions{}, func(t *testing.T, e *executor) {
+		e.node.ports.Log.(*bodyLog).readDelay = 50 * time.Millisecond
+		submitJob(t, e)
 		time.Sleep(10 * time.Millisecond)
-		e.node.TakeCatalog(routeIn(t, 2, locality.Only("south")))
+		e.node.TakeCatalog(catalogWithRegions(t, 2, locality.Only("south")))
 		e.mutex.Lock()
 		e.takeConfiguration()
 		e.mutex.Unlock()
@@ -151,28 +155,29 @@
 		e.mutex.Lock()
 		defer e.mutex.Unlock()
 		regions, known := e.scheduler.Regions("j")
-		require.True(t, !known || regions.Bound(), "it is taken in without a bound")
+		require.True(t, !known || regions.Bound(), "the job was added without its regions")
 		require.Empty(t, e.scheduler.Starts(time.Now()))
 	})
 }
 
-// A job whose route was taken off the configuration was no longer bound to its tenant's
-// regions, and the node that executes read its bodies.
-func TestTenantBindsAJobWithoutARoute(t *testing.T) {
+// A job whose route is removed from the configuration must stay bound to its tenant's regions.
+// Otherwise an executor outside of them would read its bodies.
+func TestTenantRegionsBindAJobWithoutARoute(t *testing.T) {
 	node := boundNode(t, locality.Regions{}, locality.Only("south"), locality.Regions{})
 	regions := node.regionsOfJob(&pathbendv1.BatchJob{Host: "gone", Path: "/", Tenant: "T"})
 	require.Equal(t, locality.Only("south"), regions)
 }
 
-// A job that came while its route was not known was never served: it was taken in without
-// any service. Whether this node may read its bodies is not known before.
-func TestJobWithoutARouteIsReadOnceThereIsOne(t *testing.T) {
-	withDecider(t, locality.Regions{}, func(t *testing.T, e *executor) {
+// A job that arrives before its route is known must be read once the route exists. Added at
+// once, it would have no service and never run, and until then it is unknown whether this node
+// may read its bodies.
+func TestJobIsReadOnceItsRouteExists(t *testing.T) {
+	runWithExecutor(t, locality.Regions{}, func(t *testing.T, e *executor) {
 		e.node.TakeCatalog(emptyCatalog(t, 2))
-		log := submitOne(t, e)
+		log := submitJob(t, e)
 		time.Sleep(time.Second)
 		require.Zero(t, log.readCount())
-		e.node.TakeCatalog(routeIn(t, 3, locality.Regions{}))
+		e.node.TakeCatalog(catalogWithRegions(t, 3, locality.Regions{}))
 		time.Sleep(2 * adoptPause)
 		require.Equal(t, 1, log.readCount())
 		e.mutex.Lock()
--- a/internal/hosted/scaler.go
+++ b/internal/hosted/scaler.go
@@ -13,39 +13,44 @@
 )
 
 const (
-	// scalerTick is how often the holder looks whether samplers are to be ordered.
-	scalerTick = 500 * time.Millisecond
-	// scaleTimeout bounds an order. It is below the time for which another holder waits
-	// after this one's claim.
-	scaleTimeout = 1800 * time.Millisecond
+	// scalerInterval is how often the holder of the jobs plans sampler orders.
+	scalerInterval = 500 * time.Millisecond
+	// samplerOrderTimeout bounds an order. It is shorter than the time for which another
+	// holder waits after this one's claim.
+	samplerOrderTimeout = 1800 * time.Millisecond
 )
 
-// scaler orders samplers while this node holds the duty.
+// scaler orders spot samplers from the platform while this node holds the jobs.
 type scaler struct {
 	node *Node
-	// planners are those of the services, for the generation in which they began.
+	// planners holds the planners by service. They belong to one generation of the group and
+	// are replaced in the next one.
 	planners   map[string]*scaling.Planner
 	generation uint64
 }
 
+// run plans and gives orders until ctx ends. It returns at once if this system does not order
+// samplers.
 func (s *scaler) run(ctx context.Context) {
 	if !s.node.settings.OrderSamplers || s.node.ports.Scaler == nil {
 		return
 	}
-	for wait.For(ctx, scalerTick) {
+	for wait.For(ctx, scalerInterval) {
 		if s.node.claims.MayAct(time.Now()) {
 			s.step(ctx)
 		}
 	}
 }
 
+// step plans the orders of all services that scale, unless this node does not execute the
+// jobs.
 func (s *scaler) step(ctx context.Context) {
 	if generation := s.node.ownership.Current(); generation != s.generation {
 		s.generation, s.planners = generation, make(map[string]*scaling.Planner)
 	}
 	current := s.node.Catalog()
-	peaks, executing := s.node.executor.peaks(time.Now())
-	if current == nil || !executing {
+	peaks, isExecuting := s.node.executor.peaks(time.Now())
+	if current == nil || !isExecuting {
 		return
 	}
 	for _, name := range slices.Sorted(maps.Keys(current.Services)) {
@@ -56,7 +61,7 @@
 	}
 }
 
-// peakOf sums the work that a service's models were wanted for.
+// peakOf returns the peak demand of a service, the sum of its models' peaks.
 func peakOf(service catalog.Service, peaks map[string]int) int {
 	peak := 0
 	for _, model := range service.Models {
@@ -65,23 +70,24 @@
 	return peak
 }
 
+// scale plans the orders for a service and gives them to the platform.
 func (s *scaler) scale(ctx context.Context, service catalog.Service, peak int) {
 	planner := s.planners[service.Name]
 	if planner == nil {
 		planner = scaling.NewPlanner(time.Now())
 		s.planners[service.Name] = planner
 	}
-	zones, evacuated := s.zones(service)
-	known := scaling.Service{
+	zones, evacuated := s.countByZone(service)
+	state := scaling.Service{
 		Zones: zones, Evacuated: evacuated, Max: service.Scaling.Max, Slots: service.Slots,
 		SpotPrice: service.Scaling.SpotPrice, Boot: service.Scaling.Boot,
 	}
-	orders := planner.Plan(time.Now(), known, peak)
-	s.node.metrics.reserve.WithLabelValues(service.Name).Set(float64(planner.Reserve()))
+	orders := planner.Plan(time.Now(), state, peak)
+	s.node.metrics.samplerReserve.WithLabelValues(service.Name).Set(float64(planner.Reserve()))
 	for _, order := range orders {
-		taken := s.order(ctx, service.Name, order, peak, planner.Reserve())
-		s.node.metrics.samplerOrder(order.Zone, taken)
-		if taken {
+		accepted := s.order(ctx, service.Name, order, peak, planner.Reserve())
+		s.node.metrics.recordSamplerOrder(order.Zone, accepted)
+		if accepted {
 			planner.Taken(order, time.Now())
 		} else {
 			planner.Refused(order, time.Now())
@@ -89,16 +95,17 @@
 	}
 }
 
-// zones counts a service's samplers by zone, and the ordinary ones of evacuated zones,
-// which are left out: nothing is ordered there, and what it has is kept for its return.
-func (s *scaler) zones(service catalog.Service) (zones []scaling.Zone, evacuated int) {
-	counted := make(map[string]*scaling.Zone)
+// countByZone counts a service's samplers by zone. It leaves out evacuated zones, in which
+// nothing is ordered, and counts their ordinary samplers separately: these are kept for the
+// time after the evacuation.
+func (s *scaler) countByZone(service catalog.Service) (zones []scaling.Zone, evacuated int) {
+	byZone := make(map[string]*scaling.Zone)
 	for name, price := range service.Scaling.ZonePrices {
-		counted[name] = &scaling.Zone{Name: name, Price: price}
+		byZone[name] = &scaling.Zone{Name: name, Price: price}
 	}
 	if listed := s.node.samplers.Load(); listed != nil {
 		for _, sampler := range *listed {
-			zone, known := counted[sampler.Zone]
+			zone, known := byZone[sampler.Zone]
 			switch {
 			case !known || sampler.Service != service.Name || sampler.Leaving:
 			case sampler.Spot:
@@ -108,27 +115,27 @@
 			}
 		}
 	}
-	out := s.node.evacuated.Load()
-	for _, name := range slices.Sorted(maps.Keys(counted)) {
-		if out.Has(name) {
-			evacuated += counted[name].Ordinary
+	evacuatedZones := s.node.evacuated.Load()
+	for _, name := range slices.Sorted(maps.Keys(byZone)) {
+		if evacuatedZones.Has(name) {
+			evacuated += byZone[name].Ordinary
 			continue
 		}
-		zones = append(zones, *counted[name])
+		zones = append(zones, *byZone[name])
 	}
 	return zones, evacuated
 }
 
-// order gives an order and reports whether the platform took it.
+// order gives an order and reports whether the platform accepted it.
 func (s *scaler) order(ctx context.Context, service string, order scaling.Order, peak, reserve int) bool {
 	right, ok := s.node.claims.Claim(ctx, "duty/scale/"+service+"/"+order.Zone)
 	if !ok {
 		return false
 	}
-	callCtx, cancel := context.WithTimeout(ctx, scaleTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, samplerOrderTimeout)
 	defer cancel()
-	asked := SamplerOrder{Service: service, Zone: order.Zone, Desired: order.Desired, Spot: true}
-	if err := s.node.ports.Scaler.OrderSamplers(callCtx, right, asked); err != nil {
+	request := SamplerOrder{Service: service, Zone: order.Zone, Desired: order.Desired, Spot: true}
+	if err := s.node.ports.Scaler.OrderSamplers(callCtx, right, request); err != nil {
 		s.node.logger.Log(event.SamplersUnordered, "service", service, "zone", order.Zone, "desired", order.Desired,
 			"spot", true, "fence", right.Fence, "detail", err.Error())
 		return false
--- a/internal/hosted/worker_test.go
+++ b/internal/hosted/worker_test.go
@@ -22,20 +22,22 @@
 	"github.com/pathbend/pathbend/internal/sharedlog"
 )
 
-// eventPace is the time between two events of a pacedGenerator.
+// eventPace is the interval between two events of a pacedGenerator.
 const eventPace = 10 * time.Millisecond
 
-// pacedGenerator makes an event now and again until the run is stopped, or length events.
+// pacedGenerator generates events at the interval eventPace, up to the event with number
+// length, until the run is stopped.
 type pacedGenerator struct {
 	length uint64
-	// begun are the events after which runs began, ended counts those that ended.
-	begun chan uint64
-	ended chan struct{}
+	// started receives the AfterEvent of each run that starts, stopped a value for each run
+	// that ends.
+	started chan uint64
+	stopped chan struct{}
 }
 
 func (g *pacedGenerator) Generate(ctx context.Context, run Run, take func(schedule.Event) bool) RunEnd {
-	g.begun <- run.AfterEvent
-	defer func() { g.ended <- struct{}{} }()
+	g.started <- run.AfterEvent
+	defer func() { g.stopped <- struct{}{} }()
 	for id := run.AfterEvent + 1; id <= g.length; id++ {
 		select {
 		case <-time.After(eventPace):
@@ -49,11 +51,11 @@
 	return RunEnd{Ending: schedule.Complete}
 }
 
-// bodyLog keeps the records of its appends, and takes a time for each read of them.
+// bodyLog stores appended records and delays each read by readDelay.
 type bodyLog struct {
 	emptyLog
 
-	takes time.Duration
+	readDelay time.Duration
 
 	mutex   sync.Mutex
 	records [][]byte
@@ -68,41 +70,42 @@
 }
 
 func (l *bodyLog) ReadPart(_ context.Context, _ sharedlog.Partition, from uint64, _ int) (sharedlog.Batch, error) {
-	time.Sleep(l.takes)
+	time.Sleep(l.readDelay)
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.reads++
 	return sharedlog.Batch{Records: l.records[from:], End: uint64(len(l.records))}, nil
 }
 
-// readCount counts the reads of bodies.
+// readCount returns the number of reads of bodies.
 func (l *bodyLog) readCount() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.reads
 }
 
-// workerBench is a worker in the north that holds the bodies of a job "j" with an item "i",
-// and what its caller knows.
-type workerBench struct {
+// workerFixture is a worker in the region "north" that holds the bodies of a job "j" with an
+// item "i", together with the state of the executor that calls it.
+type workerFixture struct {
 	*worker
 	t            *testing.T
 	generator    *pacedGenerator
 	log          *bodyLog
 	acknowledged uint64
-	// sent is when the next call is sent, on the caller's clock.
+	// sent is the send time of the next call, on the executor's clock.
 	sent     time.Duration
 	outlines []*pathbendv1.JobOutline
 	lost     int
-	// states are the last ones of runs, by number.
+	// states holds the last reported state of each run, by number.
 	states map[uint64]*pathbendv1.RunState
 }
 
-func withWorker(t *testing.T, bound locality.Regions, test func(b *workerBench)) {
+// runWithWorker runs a test with a worker and a route that is bound to some regions.
+func runWithWorker(t *testing.T, bound locality.Regions, test func(f *workerFixture)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		const many, long = 100, 1000
-		generator := &pacedGenerator{length: long, begun: make(chan uint64, many), ended: make(chan struct{}, many)}
+		const channelSize, events = 100, 1000
+		generator := &pacedGenerator{length: events, started: make(chan uint64, channelSize), stopped: make(chan struct{}, channelSize)}
 		log := &bodyLog{}
 		node := New(Settings{Name: "w", Zone: "a", Topology: twoRegions, MaxRecordBytes: 1 << 15, MaxCallBytes: 1 << 18, Partitions: 1},
 			Ports{Network: network.TCP{}, Log: log, Generator: generator}, event.Discard())
@@ -117,55 +120,56 @@
 		require.NoError(t, err)
 		node.jobs.apply(0, records)
 		w := node.worker
-		w.jobs["j"] = &carriedJob{spec: spec, items: map[string]*pathbendv1.BatchItem{
+		w.jobs["j"] = &loadedJob{spec: spec, items: map[string]*pathbendv1.BatchItem{
 			"i": {Id: "i", Body: []byte("secret"), Group: "g", Reward: &pathbendv1.RewardCall{Id: "c", Body: []byte("secret")}},
 		}}
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() { defer close(done); w.run(ctx) }()
 		synctest.Wait()
-		test(&workerBench{worker: w, t: t, generator: generator, log: log, states: make(map[uint64]*pathbendv1.RunState)})
+		test(&workerFixture{worker: w, t: t, generator: generator, log: log, states: make(map[uint64]*pathbendv1.RunState)})
 		cancel()
 		<-done
 	})
 }
 
-// endJob lets the worker read of the end of the job.
-func (b *workerBench) endJob() {
+// endJob lets the worker's node read the end of the job from the log.
+func (f *workerFixture) endJob() {
 	entry := &pathbendv1.LedgerEntry{JobId: "j", Fact: &pathbendv1.LedgerEntry_Ended{Ended: &pathbendv1.BatchEnd{}}}
 	records, err := ledger.Encode(entry, 2, 1<<10)
-	require.NoError(b.t, err)
-	b.node.jobs.apply(1, records)
+	require.NoError(f.t, err)
+	f.node.jobs.apply(1, records)
 }
 
-// forgetBodies lets the worker read the bodies from the log again, for so long.
-func (b *workerBench) forgetBodies(takes time.Duration) {
-	job := b.jobs["j"]
-	delete(b.jobs, "j")
-	blobs, err := b.node.jobs.contents.PutItems(b.t.Context(), time.Second, slices.Collect(maps.Values(job.items)))
-	require.NoError(b.t, err)
-	b.node.jobs.view("j", func(known *ledger.Job) { known.Spec.Items = blobs })
-	b.log.takes = takes
+// dropBodies removes the bodies from the worker's memory. The worker must read them from the
+// log again, where each read takes readDelay.
+func (f *workerFixture) dropBodies(readDelay time.Duration) {
+	job := f.jobs["j"]
+	delete(f.jobs, "j")
+	blobs, err := f.node.jobs.contents.PutItems(f.t.Context(), time.Second, slices.Collect(maps.Values(job.items)))
+	require.NoError(f.t, err)
+	f.node.jobs.view("j", func(known *ledger.Job) { known.Spec.Items = blobs })
+	f.log.readDelay = readDelay
 }
 
-// call makes a call of a session with a generation and takes its reports.
-func (b *workerBench) call(generation uint64, orders ...*pathbendv1.CarryOrder) error {
-	reply, err := b.carry(b.t.Context(), &pathbendv1.CarryCall{
-		Decider: "d", Generation: generation, Session: generation, Orders: orders, Acknowledged: b.acknowledged, HoldMs: 1,
-		SentMs: uint64(b.sent.Milliseconds()),
+// call makes a call of the session of a generation and collects the reports.
+func (f *workerFixture) call(generation uint64, orders ...*pathbendv1.CarryOrder) error {
+	reply, err := f.handleCall(f.t.Context(), &pathbendv1.CarryCall{
+		Decider: "d", Generation: generation, Session: generation, Orders: orders, Acknowledged: f.acknowledged, HoldMs: 1,
+		SentMs: uint64(f.sent.Milliseconds()),
 	})
 	if err != nil {
 		return err
 	}
 	for _, report := range reply.Reports {
-		b.acknowledged = max(b.acknowledged, report.Sequence)
-		switch told := report.Report.(type) {
+		f.acknowledged = max(f.acknowledged, report.Sequence)
+		switch body := report.Report.(type) {
 		case *pathbendv1.CarryReport_Run:
-			b.states[told.Run.Run] = told.Run
+			f.states[body.Run.Run] = body.Run
 		case *pathbendv1.CarryReport_Outline:
-			b.outlines = append(b.outlines, told.Outline)
+			f.outlines = append(f.outlines, body.Outline)
 		case *pathbendv1.CarryReport_Lost:
-			b.lost++
+			f.lost++
 		}
 	}
 	return nil
@@ -178,13 +182,13 @@
 }
 
 func TestOutlineOfAJobHasNoBodies(t *testing.T) {
-	withWorker(t, locality.Only("north"), func(b *workerBench) {
-		require.NoError(t, b.call(1, &pathbendv1.CarryOrder{Order: &pathbendv1.CarryOrder_Open{Open: "j"}}))
+	runWithWorker(t, locality.Only("north"), func(f *workerFixture) {
+		require.NoError(t, f.call(1, &pathbendv1.CarryOrder{Order: &pathbendv1.CarryOrder_Open{Open: "j"}}))
 		synctest.Wait()
-		require.NoError(t, b.call(1))
-		require.Len(t, b.outlines, 1)
-		require.Len(t, b.outlines[0].Items, 1)
-		item := b.outlines[0].Items[0]
+		require.NoError(t, f.call(1))
+		require.Len(t, f.outlines, 1)
+		require.Len(t, f.outlines[0].Items, 1)
+		item := f.outlines[0].Items[0]
 		require.Equal(t, "g", item.Group)
 		require.Equal(t, "c", item.Reward.Id)
 		require.Empty(t, item.Body)
@@ -192,185 +196,189 @@
 	})
 }
 
-func TestRunsEndWhenTheirDeciderIsSilent(t *testing.T) {
-	withWorker(t, locality.Only("north"), func(b *workerBench) {
-		require.NoError(t, b.call(1, startOrder(1)))
-		require.Zero(t, <-b.generator.begun)
+func TestRunsStopWhenTheExecutorIsSilent(t *testing.T) {
+	runWithWorker(t, locality.Only("north"), func(f *workerFixture) {
+		require.NoError(t, f.call(1, startOrder(1)))
+		require.Zero(t, <-f.generator.started)
 		called := time.Now()
-		<-b.generator.ended
-		require.LessOrEqual(t, time.Since(called), workerLease+2*workerTick)
+		<-f.generator.stopped
+		require.LessOrEqual(t, time.Since(called), workerLease+2*workerInterval)
 		require.Greater(t, time.Since(called), workerLease-eventPace)
 	})
 }
 
-func TestSuccessorGoesOnWithTheTextsThatAWorkerHolds(t *testing.T) {
-	withWorker(t, locality.Only("north"), func(b *workerBench) {
-		require.NoError(t, b.call(1, startOrder(1)))
-		require.Zero(t, <-b.generator.begun)
+func TestNewExecutorContinuesTextsThatTheWorkerHolds(t *testing.T) {
+	runWithWorker(t, locality.Only("north"), func(f *workerFixture) {
+		require.NoError(t, f.call(1, startOrder(1)))
+		require.Zero(t, <-f.generator.started)
 		time.Sleep(20*eventPace + time.Millisecond)
-		require.NoError(t, b.call(2, startOrder(1)))
-		<-b.generator.ended
-		b.acknowledged = 0
-		require.InDelta(t, 20, <-b.generator.begun, 3)
-		require.True(t, result.Is(b.call(1), result.LeaseConflict), "the former decider is replaced")
+		require.NoError(t, f.call(2, startOrder(1)))
+		<-f.generator.stopped
+		f.acknowledged = 0
+		require.InDelta(t, 20, <-f.generator.started, 3)
+		require.True(t, result.Is(f.call(1), result.LeaseConflict), "the former executor was replaced")
 		time.Sleep(10 * eventPace)
-		require.NoError(t, b.call(2))
-		require.Greater(t, b.states[1].Events, uint64(25))
+		require.NoError(t, f.call(2))
+		require.Greater(t, f.states[1].Events, uint64(25))
 	})
 }
 
-// A start that came twice, as its answer was lost, would run beside itself.
-func TestStartThatComesTwiceRunsOnce(t *testing.T) {
-	withWorker(t, locality.Only("north"), func(b *workerBench) {
-		require.NoError(t, b.call(1, startOrder(1)))
-		require.NoError(t, b.call(1, startOrder(1)))
+// A start is sent again if its reply was lost. The duplicate must not start a second run of
+// the item.
+func TestDuplicateStartRunsOnce(t *testing.T) {
+	runWithWorker(t, locality.Only("north"), func(f *workerFixture) {
+		require.NoError(t, f.call(1, startOrder(1)))
+		require.NoError(t, f.call(1, startOrder(1)))
 		time.Sleep(10 * eventPace)
-		require.Len(t, b.generator.begun, 1)
+		require.Len(t, f.generator.started, 1)
 	})
 }
 
-func TestRunsOfAnEndedJobEndWithoutTheDecider(t *testing.T) {
-	withWorker(t, locality.Only("north"), func(b *workerBench) {
-		require.NoError(t, b.call(1, startOrder(1)))
-		require.Zero(t, <-b.generator.begun)
+func TestRunsOfAnEndedJobStopWithoutTheExecutor(t *testing.T) {
+	runWithWorker(t, locality.Only("north"), func(f *workerFixture) {
+		require.NoError(t, f.call(1, startOrder(1)))
+		require.Zero(t, <-f.generator.started)
 		ended := time.Now()
-		b.endJob()
-		<-b.generator.ended
-		require.LessOrEqual(t, time.Since(ended), workerTick)
+		f.endJob()
+		<-f.generator.stopped
+		require.LessOrEqual(t, time.Since(ended), workerInterval)
 	})
 }
 
-// The configuration that the worker knows counts too: a decider may know an older one.
-func TestWorkerCarriesNothingThatIsBoundElsewhere(t *testing.T) {
-	withWorker(t, locality.Only("south"), func(b *workerBench) {
-		require.NoError(t, b.call(1, startOrder(1)))
+// The worker checks regions by its own configuration, as that of the executor may be older.
+func TestWorkerRefusesRunsBoundToAnotherRegion(t *testing.T) {
+	runWithWorker(t, locality.Only("south"), func(f *workerFixture) {
+		require.NoError(t, f.call(1, startOrder(1)))
 		synctest.Wait()
-		require.NoError(t, b.call(1))
-		require.Empty(t, b.generator.begun)
-		require.EqualValues(t, schedule.Refused, b.states[1].Ending)
+		require.NoError(t, f.call(1))
+		require.Empty(t, f.generator.started)
+		require.EqualValues(t, schedule.Refused, f.states[1].Ending)
 	})
 }
 
-func TestTextThatAWorkerLacksIsReportedAsLost(t *testing.T) {
-	withWorker(t, locality.Only("north"), func(b *workerBench) {
-		require.NoError(t, b.call(1, &pathbendv1.CarryOrder{Order: &pathbendv1.CarryOrder_Finish{
+func TestMissingTextIsReportedAsLost(t *testing.T) {
+	runWithWorker(t, locality.Only("north"), func(f *workerFixture) {
+		require.NoError(t, f.call(1, &pathbendv1.CarryOrder{Order: &pathbendv1.CarryOrder_Finish{
 			Finish: &pathbendv1.FinishItem{JobId: "j", ItemId: "i"},
 		}}))
 		synctest.Wait()
-		require.NoError(t, b.call(1))
-		require.Equal(t, 1, b.lost)
+		require.NoError(t, f.call(1))
+		require.Equal(t, 1, f.lost)
 	})
 }
 
-// Reports are sent until the caller has them, also if an answer is lost.
-func TestReportsOfALostAnswerComeAgain(t *testing.T) {
-	withWorker(t, locality.Only("north"), func(b *workerBench) {
-		require.NoError(t, b.call(1, startOrder(1)))
+// Reports are sent again until they are acknowledged, so that a lost reply loses none.
+func TestUnacknowledgedReportsAreSentAgain(t *testing.T) {
+	runWithWorker(t, locality.Only("north"), func(f *workerFixture) {
+		require.NoError(t, f.call(1, startOrder(1)))
 		time.Sleep(5 * eventPace)
-		require.NoError(t, b.call(1))
-		before := b.states[1].Events
-		b.states, b.acknowledged = make(map[uint64]*pathbendv1.RunState), 0
-		require.NoError(t, b.call(1))
-		require.GreaterOrEqual(t, b.states[1].Events, before)
+		require.NoError(t, f.call(1))
+		before := f.states[1].Events
+		f.states, f.acknowledged = make(map[uint64]*pathbendv1.RunState), 0
+		require.NoError(t, f.call(1))
+		require.GreaterOrEqual(t, f.states[1].Events, before)
 	})
 }
 
-// A worker that wakes, or a link that is mended, must not begin what was wanted long ago.
-func TestStartThatWasHeldUpIsPassedOver(t *testing.T) {
-	withWorker(t, locality.Only("north"), func(b *workerBench) {
-		require.NoError(t, b.call(1))
-		time.Sleep(heldUpLimit + time.Millisecond)
-		require.NoError(t, b.call(1, startOrder(1)))
+// After a suspension of the worker or a network outage, old starts arrive late. They must not
+// be executed, as the executor's decision may be outdated.
+func TestDelayedStartIsSkipped(t *testing.T) {
+	runWithWorker(t, locality.Only("north"), func(f *workerFixture) {
+		require.NoError(t, f.call(1))
+		time.Sleep(maxStartDelay + time.Millisecond)
+		require.NoError(t, f.call(1, startOrder(1)))
 		synctest.Wait()
-		require.Empty(t, b.generator.begun)
-		require.EqualValues(t, schedule.Stopped, b.states[1].Ending)
+		require.Empty(t, f.generator.started)
+		require.EqualValues(t, schedule.Stopped, f.states[1].Ending)
 	})
 }
 
-// Each decider numbers its runs from 1: the end of a run of the former one took the new run
-// of the same number off the list, and no order stopped it any more.
-func TestRunOfASuccessorIsStoppedThoughAFormerOneHadItsNumber(t *testing.T) {
-	withWorker(t, locality.Only("north"), func(b *workerBench) {
-		require.NoError(t, b.call(1, startOrder(1)))
-		<-b.generator.begun
-		require.NoError(t, b.call(2, startOrder(1)))
-		<-b.generator.ended
-		<-b.generator.begun
+// Each session numbers its runs from 1. The end of a run of an earlier session must not remove
+// the current run with the same number: no order could stop that run any more.
+func TestStopReachesARunWhoseNumberAnEarlierSessionUsed(t *testing.T) {
+	runWithWorker(t, locality.Only("north"), func(f *workerFixture) {
+		require.NoError(t, f.call(1, startOrder(1)))
+		<-f.generator.started
+		require.NoError(t, f.call(2, startOrder(1)))
+		<-f.generator.stopped
+		<-f.generator.started
 		synctest.Wait()
-		require.NoError(t, b.call(2, &pathbendv1.CarryOrder{Order: &pathbendv1.CarryOrder_Stop{Stop: 1}}))
+		require.NoError(t, f.call(2, &pathbendv1.CarryOrder{Order: &pathbendv1.CarryOrder_Stop{Stop: 1}}))
 		synctest.Wait()
-		require.Len(t, b.generator.ended, 1)
+		require.Len(t, f.generator.stopped, 1)
 	})
 }
 
-// The body of a job that is bound elsewhere is not read either.
-func TestWorkerReadsNoBodiesOfAJobThatIsBoundElsewhere(t *testing.T) {
-	withWorker(t, locality.Only("south"), func(b *workerBench) {
-		b.forgetBodies(0)
-		require.NoError(t, b.call(1, &pathbendv1.CarryOrder{Order: &pathbendv1.CarryOrder_Open{Open: "j"}}))
+// A worker must not even read the bodies of a job that is bound to another region.
+func TestWorkerReadsNoBodiesOfAJobBoundToAnotherRegion(t *testing.T) {
+	runWithWorker(t, locality.Only("south"), func(f *workerFixture) {
+		f.dropBodies(0)
+		require.NoError(t, f.call(1, &pathbendv1.CarryOrder{Order: &pathbendv1.CarryOrder_Open{Open: "j"}}))
 		synctest.Wait()
-		require.NoError(t, b.call(1))
-		require.Len(t, b.outlines, 1)
-		require.Contains(t, b.outlines[0].Failure, "bound")
-		require.Zero(t, b.log.readCount())
+		require.NoError(t, f.call(1))
+		require.Len(t, f.outlines, 1)
+		require.Contains(t, f.outlines[0].Failure, "bound")
+		require.Zero(t, f.log.readCount())
 	})
 }
 
-// A worker that takes a job over was told to start all its runs at once, and each of them
-// read all bodies of the job.
-func TestBodiesOfAJobAreReadOnceForAllRunsThatWait(t *testing.T) {
-	withWorker(t, locality.Only("north"), func(b *workerBench) {
-		b.forgetBodies(50 * time.Millisecond)
-		require.NoError(t, b.call(1, startOrder(1), startOrder(2), startOrder(3)))
+// A worker that takes over a job gets the starts of all its runs at once. The runs must share
+// one read of the job's bodies instead of each reading all of them.
+func TestConcurrentRunsShareOneReadOfTheBodies(t *testing.T) {
+	runWithWorker(t, locality.Only("north"), func(f *workerFixture) {
+		f.dropBodies(50 * time.Millisecond)
+		require.NoError(t, f.call(1, startOrder(1), startOrder(2), startOrder(3)))
 		time.Sleep(100 * time.Millisecond)
-		require.Len(t, b.generator.begun, 3)
-		require.Equal(t, 1, b.log.readCount())
+		require.Len(t, f.generator.started, 3)
+		require.Equal(t, 1, f.log.readCount())
 	})
 }
 
-// A worker was given up, with all its runs, as it knew sooner that a job had ended.
-func TestOutlineOfAnEndedJobIsNoFaultOfTheWorker(t *testing.T) {
-	withWorker(t, locality.Only("north"), func(b *workerBench) {
-		require.NoError(t, b.call(1, &pathbendv1.CarryOrder{Order: &pathbendv1.CarryOrder_Open{Open: "ended"}}))
+// A worker may learn of the end of a job before the executor does. The failed outline must not
+// make the executor abandon the worker with all its runs.
+func TestOutlineOfAnEndedJobIsNotAWorkerFailure(t *testing.T) {
+	runWithWorker(t, locality.Only("north"), func(f *workerFixture) {
+		require.NoError(t, f.call(1, &pathbendv1.CarryOrder{Order: &pathbendv1.CarryOrder_Open{Open: "ended"}}))
 		synctest.Wait()
-		require.NoError(t, b.call(1))
-		require.Len(t, b.outlines, 1)
-		require.NotEmpty(t, b.outlines[0].Failure)
-		require.False(t, b.outlines[0].Unserved)
+		require.NoError(t, f.call(1))
+		require.Len(t, f.outlines, 1)
+		require.NotEmpty(t, f.outlines[0].Failure)
+		require.False(t, f.outlines[0].Unserved)
 	})
 }
 
-// A run that a job's end stopped while the bodies were read was reported as its worker's
-// fault, and the job's bodies were kept for good.
-func TestEndOfAJobWhoseBodiesAreReadIsNoFaultOfTheWorker(t *testing.T) {
-	withWorker(t, locality.Only("north"), func(b *workerBench) {
-		b.forgetBodies(100 * time.Millisecond)
-		require.NoError(t, b.call(1, startOrder(1)))
-		b.endJob()
+// A job may end while its bodies are read. The stopped run must not be reported as a failure
+// of the worker, and the bodies must not stay in memory forever.
+func TestJobEndDuringABodyReadIsNotAWorkerFailure(t *testing.T) {
+	runWithWorker(t, locality.Only("north"), func(f *workerFixture) {
+		f.dropBodies(100 * time.Millisecond)
+		require.NoError(t, f.call(1, startOrder(1)))
+		f.endJob()
 		time.Sleep(200 * time.Millisecond)
-		require.NoError(t, b.call(1))
-		require.EqualValues(t, schedule.Stopped, b.states[1].Ending)
-		require.False(t, b.states[1].Unserved)
-		require.Empty(t, b.generator.begun)
+		require.NoError(t, f.call(1))
+		require.EqualValues(t, schedule.Stopped, f.states[1].Ending)
+		require.False(t, f.states[1].Unserved)
+		require.Empty(t, f.generator.started)
 		time.Sleep(2 * schedule.AheadPatience)
-		b.mutex.Lock()
-		defer b.mutex.Unlock()
-		require.Empty(t, b.jobs)
+		f.mutex.Lock()
+		defer f.mutex.Unlock()
+		require.Empty(t, f.jobs)
 	})
 }
 
-// The bodies of a job were read for longer than a start may be on its way, and the run
-// began all the same: the second for which a cold sampler's budget counted it was over.
-func TestRunWhoseBodyWasReadForLongIsPassedOver(t *testing.T) {
-	withWorker(t, locality.Only("north"), func(b *workerBench) {
-		b.forgetBodies(heldUpLimit + time.Millisecond)
-		require.NoError(t, b.call(1, startOrder(1)))
-		b.sent = heldUpLimit + 100*time.Millisecond
-		time.Sleep(b.sent)
-		require.NoError(t, b.call(1))
-		require.Empty(t, b.generator.begun)
-		require.EqualValues(t, schedule.Stopped, b.states[1].Ending)
-		require.NoError(t, b.call(1, startOrder(2)))
-		require.Zero(t, <-b.generator.begun)
+// If reading the bodies takes longer than a start may be delayed, the run must not start: the
+// second for which the budget of a cold sampler counted it is over. The next start uses the
+// bodies that were read.
+func TestRunIsSkippedAfterASlowBodyRead(t *testing.T) {
+	runWithWorker(t, locality.Only("north"), func(f *workerFixture) {
+		f.dropBodies(maxStartDelay + time.Millisecond)
+		require.NoError(t, f.call(1, startOrder(1)))
+		f.sent = maxStartDelay + 100*time.Millisecond
+		time.Sleep(f.sent)
+		require.NoError(t, f.call(1))
+		require.Empty(t, f.generator.started)
+		require.EqualValues(t, schedule.Stopped, f.states[1].Ending)
+		require.NoError(t, f.call(1, startOrder(2)))
+		require.Zero(t, <-f.generator.started)
 	})
 }
