--- a/internal/hosted/worker.go
+++ b/internal/hosted/worker.go
@@ -67,7 +67,7 @@
 	reported        chan struct{}
 	lastRun         uint64
 	runs            map[uint64]*carriedRun
-	jobs            map[string]*loadedJob
+	jobs            map[string]*workerJob
 	loading         map[string]*jobLoad
 	texts           map[textKey]*heldText
 	finishing       map[schedule.Key]struct{}
@@ -89,8 +89,8 @@
 	receivedAt clock.Moment
 }
 
-// loadedJob is a job whose items have been read from the log.
-type loadedJob struct {
+// workerJob is a job whose items have been read from the log.
+type workerJob struct {
 	spec  *pathbendv1.BatchJob
 	items map[string]*pathbendv1.BatchItem
 	// endedAt is when this node learned that the job ended or was complete; zero before.
@@ -101,7 +101,7 @@
 // are valid once done is closed.
 type jobLoad struct {
 	done chan struct{}
-	job  *loadedJob
+	job  *workerJob
 	err  error
 }
 
@@ -124,7 +124,7 @@
 func newWorker(n *Node) *worker {
 	return &worker{
 		node: n, process: rand.Uint64(), wakeup: make(chan struct{}, 1), reported: make(chan struct{}), runs: make(map[uint64]*carriedRun),
-		jobs: make(map[string]*loadedJob), loading: make(map[string]*jobLoad), texts: make(map[textKey]*heldText), finishing: make(map[schedule.Key]struct{}),
+		jobs: make(map[string]*workerJob), loading: make(map[string]*jobLoad), texts: make(map[textKey]*heldText), finishing: make(map[schedule.Key]struct{}),
 		lifetime: context.Background(),
 	}
 }
--- a/internal/hosted/worker_runs.go
+++ b/internal/hosted/worker_runs.go
@@ -15,7 +15,7 @@
 
 // loadJob returns a job that has not ended, with the bodies of its items. Concurrent calls
 // for the same job share one read.
-func (w *worker) loadJob(ctx context.Context, jobID string) (*loadedJob, error) {
+func (w *worker) loadJob(ctx context.Context, jobID string) (*workerJob, error) {
 	w.mutex.Lock()
 	if job, known := w.jobs[jobID]; known {
 		defer w.mutex.Unlock()
@@ -60,7 +60,7 @@
 
 // fetchJob reads a job and its items from the log. It fails if this node may not read the
 // bodies.
-func (w *worker) fetchJob(ctx context.Context, jobID string) (*loadedJob, error) {
+func (w *worker) fetchJob(ctx context.Context, jobID string) (*workerJob, error) {
 	spec, err := w.openJobSpec(ctx, jobID)
 	if err != nil {
 		return nil, err
@@ -72,7 +72,7 @@
 	if err != nil {
 		return nil, err
 	}
-	job := &loadedJob{spec: spec, items: make(map[string]*pathbendv1.BatchItem, len(items))}
+	job := &workerJob{spec: spec, items: make(map[string]*pathbendv1.BatchItem, len(items))}
 	for _, item := range items {
 		job.items[item.Id] = item
 	}
--- a/internal/hosted/worker_test.go
+++ b/internal/hosted/worker_test.go
@@ -120,7 +120,7 @@
 		require.NoError(t, err)
 		node.jobs.apply(0, records)
 		w := node.worker
-		w.jobs["j"] = &loadedJob{spec: spec, items: map[string]*pathbendv1.BatchItem{
+		w.jobs["j"] = &workerJob{spec: spec, items: map[string]*pathbendv1.BatchItem{
 			"i": {Id: "i", Body: []byte("secret"), Group: "g", Reward: &pathbendv1.RewardCall{Id: "c", Body: []byte("secret")}},
 		}}
 		ctx, cancel := context.WithCancel(t.Context())
