--- a/internal/delivery/cursor.go
+++ b/internal/delivery/cursor.go
@@ -7,67 +7,68 @@
 	"github.com/pathbend/pathbend/internal/result"
 )
 
-// SlotRange is a run of slots, To exclusive.
+// SlotRange is a range of consecutive slots, To exclusive.
 type SlotRange struct {
 	From int `json:"from"`
 	To   int `json:"to"`
 }
 
-// Cursor says which slots a trainer holds, as ascending disjoint ranges.
+// Cursor lists the slots that a trainer holds as ascending, disjoint ranges.
 type Cursor []SlotRange
 
-// Validate checks the cursor against the number of slots.
+// Validate checks that the ranges are non-empty, ascending, disjoint and within the
+// number of slots. The error names the first range that is not.
 func (c Cursor) Validate(slots int) error {
 	previous := -1
-	for i, run := range c {
-		if run.From <= previous || run.To <= run.From || run.To > slots {
+	for i, r := range c {
+		if r.From <= previous || r.To <= r.From || r.To > slots {
 			return result.New(result.MalformedRequest,
-				"range %d..%d must be ascending, non-empty and within %d slots", run.From, run.To, slots).
+				"range %d..%d must be ascending, non-empty and within %d slots", r.From, r.To, slots).
 				WithField(fmt.Sprintf("held[%d]", i))
 		}
-		previous = run.To - 1
+		previous = r.To - 1
 	}
 	return nil
 }
 
-// Has reports whether the trainer holds a slot.
+// Has reports whether the cursor contains a slot.
 func (c Cursor) Has(slot int) bool {
-	at, found := slices.BinarySearchFunc(c, slot, func(run SlotRange, slot int) int {
+	index, found := slices.BinarySearchFunc(c, slot, func(r SlotRange, slot int) int {
 		switch {
-		case run.To <= slot:
+		case r.To <= slot:
 			return -1
-		case run.From > slot:
+		case r.From > slot:
 			return 1
 		default:
 			return 0
 		}
 	})
-	return found && at < len(c)
+	return found && index < len(c)
 }
 
-// Count returns the number of slots held.
+// Count returns the number of slots in the cursor.
 func (c Cursor) Count() int {
 	count := 0
-	for _, run := range c {
-		count += run.To - run.From
+	for _, r := range c {
+		count += r.To - r.From
 	}
 	return count
 }
 
-// Add returns the cursor with one more slot, merging adjacent ranges.
+// Add returns a copy of the cursor with slot added, with adjacent ranges merged.
 func (c Cursor) Add(slot int) Cursor {
 	if c.Has(slot) {
 		return c
 	}
-	at, _ := slices.BinarySearchFunc(c, slot, func(run SlotRange, slot int) int { return run.From - slot })
-	merged := slices.Insert(slices.Clone(c), at, SlotRange{From: slot, To: slot + 1})
-	if at+1 < len(merged) && merged[at].To == merged[at+1].From {
-		merged[at].To = merged[at+1].To
-		merged = slices.Delete(merged, at+1, at+2)
+	index, _ := slices.BinarySearchFunc(c, slot, func(r SlotRange, slot int) int { return r.From - slot })
+	merged := slices.Insert(slices.Clone(c), index, SlotRange{From: slot, To: slot + 1})
+	if index+1 < len(merged) && merged[index].To == merged[index+1].From {
+		merged[index].To = merged[index+1].To
+		merged = slices.Delete(merged, index+1, index+2)
 	}
-	if at > 0 && merged[at-1].To == merged[at].From {
-		merged[at-1].To = merged[at].To
-		merged = slices.Delete(merged, at, at+1)
+	if index > 0 && merged[index-1].To == merged[index].From {
+		merged[index-1].To = merged[index].To
+		merged = slices.Delete(merged, index, index+1)
 	}
 	return merged
 }
--- a/internal/delivery/delivery_test.go
+++ b/internal/delivery/delivery_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestCursorHoldsExactlyWhatWasAdded(t *testing.T) {
+func TestCursorContainsExactlyTheAddedSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const slots = 24
 		var cursor Cursor
@@ -28,13 +28,13 @@
 	})
 }
 
-func TestCursorNamesTheBadRange(t *testing.T) {
+func TestCursorErrorNamesTheInvalidRange(t *testing.T) {
 	for _, cursor := range []Cursor{{{0, 0}}, {{0, 5}}, {{-1, 1}}, {{2, 3}, {1, 2}}, {{0, 2}, {1, 3}}} {
 		require.ErrorContains(t, cursor.Validate(4), "held[")
 	}
 }
 
-func TestSegmentsFollowTheVersionsOnTheStream(t *testing.T) {
+func TestSegmentsCarryTheVersionsOfTheStream(t *testing.T) {
 	var segments []Segment
 	for _, version := range []uint64{3, 3, 4, 3} {
 		segments = AppendTokens(segments, 2, version)
@@ -43,12 +43,12 @@
 	require.Equal(t, uint64(3), OldestVersion(segments))
 }
 
-func TestFreshnessAtTheEdges(t *testing.T) {
-	bound := Bound{MaxVersions: 2, MaxAge: time.Minute}
+func TestFreshnessAtTheLimits(t *testing.T) {
+	limit := FreshnessLimit{MaxVersions: 2, MaxAge: time.Minute}
 	started := time.Unix(100, 0)
-	require.True(t, bound.Fresh(5, started, started.Add(59*time.Second), 7))
-	require.False(t, bound.Fresh(5, started, started, 8))
-	require.False(t, bound.Fresh(5, started, started.Add(time.Minute), 5))
-	require.Equal(t, uint64(5), bound.Minimum(7))
-	require.Zero(t, bound.Minimum(1))
+	require.True(t, limit.Fresh(5, started, started.Add(59*time.Second), 7))
+	require.False(t, limit.Fresh(5, started, started, 8))
+	require.False(t, limit.Fresh(5, started, started.Add(time.Minute), 5))
+	require.Equal(t, uint64(5), limit.MinVersion(7))
+	require.Zero(t, limit.MinVersion(1))
 }
--- a/internal/delivery/sample.go
+++ b/internal/delivery/sample.go
@@ -6,7 +6,7 @@
 	"github.com/pathbend/pathbend/internal/config"
 )
 
-// Segment is a run of tokens made by one weight version.
+// Segment is a range of tokens that one weight version generated.
 type Segment struct {
 	// From and To are token positions, To exclusive.
 	From    int    `json:"from"`
@@ -21,13 +21,13 @@
 	Tokens       []string  `json:"tokens"`
 	Segments     []Segment `json:"segments"`
 	FinishReason string    `json:"finish_reason"`
-	// Attempt identifies the execution that made the sample.
+	// Attempt is the id of the attempt that generated the sample.
 	Attempt string `json:"attempt"`
-	// Started is when the oldest token was requested.
+	// Started is the time at which the sample's oldest token was requested.
 	Started time.Time `json:"-"`
 }
 
-// AppendTokens adds tokens made by a version, extending the last segment if it
+// AppendTokens appends count tokens of a version; it extends the last segment if that
 // has the same version.
 func AppendTokens(segments []Segment, count int, version uint64) []Segment {
 	if count == 0 {
@@ -44,7 +44,7 @@
 	return append(segments, Segment{From: from, To: from + count, Version: version})
 }
 
-// OldestVersion returns the lowest version of the segments; 0 without any.
+// OldestVersion returns the lowest version of the segments; 0 if there are none.
 func OldestVersion(segments []Segment) uint64 {
 	var oldest uint64
 	for i, segment := range segments {
@@ -55,28 +55,31 @@
 	return oldest
 }
 
-// Bound is a tenant's limit on the age of samples.
-type Bound struct {
+// FreshnessLimit is a model's limit on the age of delivered samples.
+type FreshnessLimit struct {
+	// MaxVersions is how many versions a sample's oldest token may be behind the
+	// trainer.
 	MaxVersions uint64
-	MaxAge      time.Duration
+	// MaxAge is the time since the sample's oldest token was requested.
+	MaxAge time.Duration
 }
 
-// BoundOf returns the bound of a model's configuration.
-func BoundOf(freshness config.Freshness) Bound {
-	return Bound{MaxVersions: freshness.MaxVersions, MaxAge: freshness.MaxAge}
+// NewFreshnessLimit returns the limit that a model's configuration sets.
+func NewFreshnessLimit(freshness config.Freshness) FreshnessLimit {
+	return FreshnessLimit{MaxVersions: freshness.MaxVersions, MaxAge: freshness.MaxAge}
 }
 
-// Fresh reports whether a sample that began at a time, with an oldest version,
-// may be handed to a trainer that is at a version.
-func (b Bound) Fresh(oldest uint64, started, now time.Time, trainerVersion uint64) bool {
-	return oldest+b.MaxVersions >= trainerVersion && now.Sub(started) < b.MaxAge
+// Fresh reports whether a sample whose oldest token was requested at started and whose
+// oldest version is oldest may be delivered to a trainer at trainerVersion.
+func (l FreshnessLimit) Fresh(oldest uint64, started, now time.Time, trainerVersion uint64) bool {
+	return oldest+l.MaxVersions >= trainerVersion && now.Sub(started) < l.MaxAge
 }
 
-// Minimum returns the lowest weight version of which a token may reach a
-// trainer at a version.
-func (b Bound) Minimum(trainerVersion uint64) uint64 {
-	if trainerVersion <= b.MaxVersions {
+// MinVersion returns the lowest weight version whose tokens may be delivered to a
+// trainer at trainerVersion.
+func (l FreshnessLimit) MinVersion(trainerVersion uint64) uint64 {
+	if trainerVersion <= l.MaxVersions {
 		return 0
 	}
-	return trainerVersion - b.MaxVersions
+	return trainerVersion - l.MaxVersions
 }
--- a/internal/rollout/bench_test.go
+++ b/internal/rollout/bench_test.go
@@ -9,30 +9,30 @@
 	"github.com/pathbend/pathbend/internal/delivery"
 )
 
-// BenchmarkStep runs a step of 2,048 slots with 400 tokens each and reports the
-// time and the heap of a finished, undelivered slot.
+// BenchmarkStep runs a training step of 2,048 slots with 400 tokens each. It reports
+// the time per step and the heap bytes per finished, undelivered slot.
 func BenchmarkStep(b *testing.B) {
-	const slots, tokens, chunk = 2048, 400, 8
+	const slots, tokens, chunkSize = 2048, 400, 8
 	var before, after runtime.MemStats
 	for b.Loop() {
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		policy := Policy{Bound: delivery.Bound{MaxVersions: 1, MaxAge: time.Hour}, Concurrent: slots, CarryOver: true}
-		job := NewJob(specOf(slots), policy, start)
-		for _, begun := range job.Starts(start) {
-			for first := 0; first < tokens; first += chunk {
-				run := make([]string, 0, chunk)
-				for i := range chunk {
-					run = append(run, fmt.Sprintf("token%d", first+i))
+		policy := Policy{Freshness: delivery.FreshnessLimit{MaxVersions: 1, MaxAge: time.Hour}, MaxConcurrentAttempts: slots, CarryOver: true}
+		job := NewJob(testSpec(slots), policy, baseTime)
+		for _, started := range job.StartAttempts(baseTime) {
+			for first := 0; first < tokens; first += chunkSize {
+				chunkTokens := make([]string, 0, chunkSize)
+				for i := range chunkSize {
+					chunkTokens = append(chunkTokens, fmt.Sprintf("token%d", first+i))
 				}
-				job.Progress(start, begun.Slot, begun.Attempt, run, 1)
+				job.AddTokens(baseTime, started.Slot, started.Attempt, chunkTokens, 1)
 			}
-			job.Finished(start, begun.Slot, begun.Attempt, "stop")
+			job.CompleteAttempt(baseTime, started.Slot, started.Attempt, "stop")
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		if job.Ready() != slots {
-			b.Fatal("slots are missing")
+			b.Fatal("not all slots have a sample")
 		}
 	}
 	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/slots, "heap-B/slot")
--- a/internal/rollout/handover.go
+++ b/internal/rollout/handover.go
@@ -6,7 +6,7 @@
 	"github.com/pathbend/pathbend/internal/delivery"
 )
 
-// Handover is a job on its way to another node.
+// Handover is the state of a job that is transferred to another node.
 type Handover struct {
 	Tenant         string         `json:"tenant"`
 	Spec           Spec           `json:"spec"`
@@ -14,7 +14,7 @@
 	Slots          []HandoverSlot `json:"slots"`
 }
 
-// HandoverSlot is a finished or partial sample.
+// HandoverSlot is a finished or partial sample of a transferred job.
 type HandoverSlot struct {
 	Slot     int                `json:"slot"`
 	Tokens   []string           `json:"tokens"`
@@ -22,11 +22,12 @@
 	// FinishReason is empty for a partial sample.
 	FinishReason string `json:"finish_reason,omitempty"`
 	Attempt      string `json:"attempt,omitempty"`
-	AgeMS        int64  `json:"age_ms"`
+	// AgeMS is the time since the sample's oldest token was requested.
+	AgeMS int64 `json:"age_ms"`
 }
 
-// Export encodes the job with all finished samples and the tokens so far of
-// unfinished ones.
+// Export returns the job's state with all finished samples and, if the policy resumes
+// failed attempts, the tokens of unfinished ones.
 func (j *Job) Export(tenant string, now time.Time) Handover {
 	exported := Handover{Tenant: tenant, Spec: j.spec, TrainerVersion: j.trainerVersion}
 	exported.Spec.Held = nil
@@ -35,13 +36,13 @@
 		switch {
 		case s.held:
 			exported.Spec.Held = exported.Spec.Held.Add(i)
-		case s.ready != nil:
+		case s.sample != nil:
 			exported.Slots = append(exported.Slots, HandoverSlot{
-				Slot: i, Tokens: s.ready.Tokens, Segments: s.ready.Segments, FinishReason: s.ready.FinishReason,
-				Attempt: s.ready.Attempt, AgeMS: now.Sub(s.ready.Started).Milliseconds(),
+				Slot: i, Tokens: s.sample.Tokens, Segments: s.sample.Segments, FinishReason: s.sample.FinishReason,
+				Attempt: s.sample.Attempt, AgeMS: now.Sub(s.sample.Started).Milliseconds(),
 			})
 		case j.policy.CarryOver:
-			if partial, ok := partialOf(s, i, now); ok {
+			if partial, ok := longestPartial(s, i, now); ok {
 				exported.Slots = append(exported.Slots, partial)
 			}
 		}
@@ -49,8 +50,10 @@
 	return exported
 }
 
-func partialOf(s *slot, index int, now time.Time) (HandoverSlot, bool) {
-	tokens, segments, started := s.kept, s.keptSegs, s.keptStarted
+// longestPartial returns the longest token sequence that the attempts of a slot have
+// generated; false if there is none.
+func longestPartial(s *slot, index int, now time.Time) (HandoverSlot, bool) {
+	tokens, segments, started := s.partialTokens, s.partialSegments, s.partialStartedAt
 	for _, running := range s.attempts {
 		if len(running.tokens) > len(tokens) {
 			tokens, segments, started = running.tokens, running.segments, running.started
@@ -60,23 +63,24 @@
 	return partial, len(tokens) > 0
 }
 
-// Import returns the state of a job that another node handed over.
+// Import returns a job with the state that another node exported. Slots outside the
+// job or already held by the trainer are ignored.
 func Import(handover Handover, policy Policy, now time.Time) *Job {
 	job := NewJob(handover.Spec, policy, now)
 	job.trainerVersion = max(job.trainerVersion, handover.TrainerVersion)
-	for _, exported := range handover.Slots {
-		if exported.Slot < 0 || exported.Slot >= len(job.slots) || job.slots[exported.Slot].held {
+	for _, imported := range handover.Slots {
+		if imported.Slot < 0 || imported.Slot >= len(job.slots) || job.slots[imported.Slot].held {
 			continue
 		}
-		s := &job.slots[exported.Slot]
-		started := now.Add(-time.Duration(exported.AgeMS) * time.Millisecond)
-		if exported.FinishReason == "" {
-			s.kept, s.keptSegs, s.keptStarted = exported.Tokens, exported.Segments, started
+		s := &job.slots[imported.Slot]
+		started := now.Add(-time.Duration(imported.AgeMS) * time.Millisecond)
+		if imported.FinishReason == "" {
+			s.partialTokens, s.partialSegments, s.partialStartedAt = imported.Tokens, imported.Segments, started
 			continue
 		}
-		s.ready = &delivery.Sample{
-			Slot: exported.Slot, Group: handover.Spec.Prompts[s.prompt].Group, Tokens: exported.Tokens,
-			Segments: exported.Segments, FinishReason: exported.FinishReason, Attempt: exported.Attempt, Started: started,
+		s.sample = &delivery.Sample{
+			Slot: imported.Slot, Group: handover.Spec.Prompts[s.promptIndex].Group, Tokens: imported.Tokens,
+			Segments: imported.Segments, FinishReason: imported.FinishReason, Attempt: imported.Attempt, Started: started,
 		}
 	}
 	return job
--- a/internal/rollout/job.go
+++ b/internal/rollout/job.go
@@ -9,53 +9,54 @@
 	"github.com/pathbend/pathbend/internal/delivery"
 )
 
-// Policy is how a job's slots are run.
+// Policy configures how a job's slots are run.
 type Policy struct {
-	Bound delivery.Bound
-	// Concurrent bounds the attempts in progress.
-	Concurrent int
-	// CarryOver resumes a broken attempt with its tokens; otherwise a slot
-	// starts anew.
+	Freshness delivery.FreshnessLimit
+	// MaxConcurrentAttempts limits the attempts of the job in progress.
+	MaxConcurrentAttempts int
+	// CarryOver resumes a failed attempt from its tokens; otherwise the slot
+	// restarts from the prompt.
 	CarryOver bool
-	// HedgeAfter starts a second attempt after so long without a token; 0 never.
+	// HedgeAfter is the time without a token after which a second attempt starts; 0
+	// disables hedging.
 	HedgeAfter time.Duration
 }
 
 // PolicyOf returns the policy that a tenant's configuration sets for a model.
 func PolicyOf(capacity config.Capacity, model *config.Model) Policy {
 	return Policy{
-		Bound:      delivery.BoundOf(model.Freshness),
-		Concurrent: capacity.ConcurrentSamples,
-		CarryOver:  model.Stragglers.Policy == "carry_over" && model.Switch.Policy != "restart",
-		HedgeAfter: model.Stragglers.HedgeAfter,
+		Freshness:             delivery.NewFreshnessLimit(model.Freshness),
+		MaxConcurrentAttempts: capacity.ConcurrentSamples,
+		CarryOver:             model.Stragglers.Policy == "carry_over" && model.Switch.Policy != "restart",
+		HedgeAfter:            model.Stragglers.HedgeAfter,
 	}
 }
 
-// maxAttemptsASlot bounds the attempts of one slot in progress.
-const maxAttemptsASlot = 2
+// maxAttemptsPerSlot limits the concurrent attempts of one slot.
+const maxAttemptsPerSlot = 2
 
 const (
-	// maxPullBytes is the size above which no further sample joins an answer.
+	// maxPullBytes is the size of an answer above which no further sample is added.
 	maxPullBytes = 4 << 20
-	// tokenOverheadBytes is the encoding around one token.
+	// tokenOverheadBytes is the size of the JSON encoding around one token.
 	tokenOverheadBytes = 3
 )
 
-// retryPause is how long a slot rests after a failed attempt.
-const retryPause = 100 * time.Millisecond
+// retryDelay is the time after a failed attempt before its slot is retried.
+const retryDelay = 100 * time.Millisecond
 
-// Start asks the driver to run an attempt.
+// Start is a request to the driver to run an attempt.
 type Start struct {
 	Slot       int
 	Attempt    string
 	Prompt     Prompt
 	Seed       uint64
 	MinVersion uint64
-	// Resume are the tokens to continue after.
+	// Resume holds the tokens after which generation continues.
 	Resume []string
-	// Exclude are engines that other attempts of the slot use.
+	// Exclude lists the engines that other attempts of the slot use.
 	Exclude []string
-	// Age is how long the slot has been running, for priority.
+	// Age is the time since the slot's first attempt; it raises the priority.
 	Age time.Duration
 }
 
@@ -69,17 +70,17 @@
 }
 
 type slot struct {
-	prompt   int
-	index    int // within the prompt's group
-	held     bool
-	ready    *delivery.Sample
-	attempts []*attempt
-	// kept are tokens of a broken attempt, to be resumed.
-	kept        []string
-	keptSegs    []delivery.Segment
-	keptStarted time.Time
-	firstStart  time.Time
-	notBefore   time.Time
+	promptIndex  int
+	indexInGroup int
+	held         bool
+	sample       *delivery.Sample
+	attempts     []*attempt
+	// partialTokens are the tokens of a failed attempt, from which the next one resumes.
+	partialTokens    []string
+	partialSegments  []delivery.Segment
+	partialStartedAt time.Time
+	firstStart       time.Time
+	retryAt          time.Time
 }
 
 // Job is the state of one job. It is not safe for concurrent use.
@@ -90,13 +91,13 @@
 	trainerVersion uint64
 	running        int
 	remaining      int
-	sequence       int
+	attemptCount   int
 	lastPull       time.Time
 	cancelled      []string
 	counters       Counters
 }
 
-// Counters tell what a job went through.
+// Counters counts events of a job.
 type Counters struct {
 	Started   int `json:"started"`
 	Resumed   int `json:"resumed"`
@@ -106,61 +107,61 @@
 	Delivered int `json:"delivered"`
 }
 
-// NewJob returns the state of a validated job.
+// NewJob returns a job for a validated specification.
 func NewJob(spec Spec, policy Policy, now time.Time) *Job {
 	job := &Job{spec: spec, policy: policy, trainerVersion: spec.TrainerVersion, lastPull: now}
 	for index, prompt := range spec.Prompts {
 		for sample := range prompt.Samples {
-			job.slots = append(job.slots, slot{prompt: index, index: sample})
+			job.slots = append(job.slots, slot{promptIndex: index, indexInGroup: sample})
 		}
 	}
 	job.remaining = len(job.slots)
-	job.hold(spec.Held)
+	job.markHeld(spec.Held)
 	return job
 }
 
 // Spec returns the job's specification.
 func (j *Job) Spec() Spec { return j.spec }
 
-// Remaining counts the slots that the trainer does not hold.
+// Remaining returns the number of slots that the trainer does not hold.
 func (j *Job) Remaining() int { return j.remaining }
 
-// Running counts the attempts in progress.
+// Running returns the number of attempts in progress.
 func (j *Job) Running() int { return j.running }
 
-// Ready counts the slots with a finished sample that the trainer lacks.
+// Ready returns the number of slots with a finished sample that the trainer does not hold.
 func (j *Job) Ready() int {
 	count := 0
 	for i := range j.slots {
-		if j.slots[i].ready != nil {
+		if j.slots[i].sample != nil {
 			count++
 		}
 	}
 	return count
 }
 
-// Counters returns what the job went through.
+// Counters returns the counts of the job's events so far.
 func (j *Job) Counters() Counters { return j.counters }
 
-// LastPull is when the trainer last asked.
+// LastPull returns the time of the trainer's last pull, or of the submission.
 func (j *Job) LastPull() time.Time { return j.lastPull }
 
-// SetPolicy puts another policy in force. A tighter bound applies at the next
-// hand-over.
+// SetPolicy replaces the job's policy. A stricter freshness limit applies from the next
+// pull.
 func (j *Job) SetPolicy(policy Policy) { j.policy = policy }
 
-func (j *Job) hold(cursor delivery.Cursor) {
+func (j *Job) markHeld(cursor delivery.Cursor) {
 	for _, run := range cursor {
 		for index := run.From; index < run.To; index++ {
-			held := &j.slots[index]
-			if held.held {
+			s := &j.slots[index]
+			if s.held {
 				continue
 			}
-			held.held = true
-			held.ready = nil
-			held.kept, held.keptSegs = nil, nil
+			s.held = true
+			s.sample = nil
+			s.partialTokens, s.partialSegments = nil, nil
 			j.remaining--
-			j.cancelAttempts(held)
+			j.cancelAttempts(s)
 		}
 	}
 }
@@ -173,17 +174,18 @@
 	s.attempts = nil
 }
 
-// TakeCancelled returns the attempts that the driver must stop.
+// TakeCancelled returns the attempts that the driver must cancel and clears the list.
 func (j *Job) TakeCancelled() []string {
 	cancelled := j.cancelled
 	j.cancelled = nil
 	return cancelled
 }
 
-// Pull records the trainer's cursor and version and returns what it may have.
+// Pull records the trainer's cursor and version and returns the samples that may be
+// delivered to it.
 func (j *Job) Pull(now time.Time, pull Pull) PullAnswer {
 	j.lastPull = now
-	j.hold(pull.Held)
+	j.markHeld(pull.Held)
 	j.trainerVersion = max(j.trainerVersion, pull.TrainerVersion)
 	j.dropStale(now)
 	limit := pull.MaxSamples
@@ -191,14 +193,14 @@
 		limit = DefaultPullSamples
 	}
 	answer := PullAnswer{JobID: j.spec.JobID, Slots: len(j.slots), Samples: []Delivered{}}
-	bytes := 0
+	size := 0
 	for i := range j.slots {
-		if len(answer.Samples) == limit || bytes > maxPullBytes {
+		if len(answer.Samples) == limit || size > maxPullBytes {
 			break
 		}
-		if ready := j.slots[i].ready; ready != nil {
+		if ready := j.slots[i].sample; ready != nil {
 			answer.Samples = append(answer.Samples, j.deliver(ready, now))
-			bytes += sizeOf(ready)
+			size += encodedSize(ready)
 		}
 	}
 	answer.Remaining = j.remaining - len(answer.Samples)
@@ -206,7 +208,7 @@
 	return answer
 }
 
-func sizeOf(sample *delivery.Sample) int {
+func encodedSize(sample *delivery.Sample) int {
 	size := 0
 	for _, token := range sample.Tokens {
 		size += len(token) + tokenOverheadBytes
@@ -217,26 +219,26 @@
 func (j *Job) deliver(sample *delivery.Sample, now time.Time) Delivered {
 	return Delivered{
 		Sample:            *sample,
-		MaxTrainerVersion: delivery.OldestVersion(sample.Segments) + j.policy.Bound.MaxVersions,
-		DiscardAfterMS:    (j.policy.Bound.MaxAge - now.Sub(sample.Started)).Milliseconds(),
+		MaxTrainerVersion: delivery.OldestVersion(sample.Segments) + j.policy.Freshness.MaxVersions,
+		DiscardAfterMS:    (j.policy.Freshness.MaxAge - now.Sub(sample.Started)).Milliseconds(),
 	}
 }
 
-// dropStale returns slots to the start whose tokens no trainer may receive any
-// more, whether finished, running or kept.
+// dropStale drops finished samples, partial tokens and running attempts whose tokens
+// exceed the freshness limit. Their slots are then started again.
 func (j *Job) dropStale(now time.Time) {
 	for i := range j.slots {
 		s := &j.slots[i]
-		if s.ready != nil && !j.fresh(s.ready.Segments, s.ready.Started, now) {
-			s.ready = nil
+		if s.sample != nil && !j.isFresh(s.sample.Segments, s.sample.Started, now) {
+			s.sample = nil
 			j.counters.Stale++
 		}
-		if s.kept != nil && !j.fresh(s.keptSegs, s.keptStarted, now) {
-			s.kept, s.keptSegs = nil, nil
+		if s.partialTokens != nil && !j.isFresh(s.partialSegments, s.partialStartedAt, now) {
+			s.partialTokens, s.partialSegments = nil, nil
 			j.counters.Stale++
 		}
 		for _, running := range slices.Clone(s.attempts) {
-			if len(running.segments) > 0 && !j.fresh(running.segments, running.started, now) {
+			if len(running.segments) > 0 && !j.isFresh(running.segments, running.started, now) {
 				j.dropAttempt(s, running)
 				j.cancelled = append(j.cancelled, running.id)
 				j.counters.Stale++
@@ -245,71 +247,71 @@
 	}
 }
 
-func (j *Job) fresh(segments []delivery.Segment, started, now time.Time) bool {
-	return j.policy.Bound.Fresh(delivery.OldestVersion(segments), started, now, j.trainerVersion)
+func (j *Job) isFresh(segments []delivery.Segment, started, now time.Time) bool {
+	return j.policy.Freshness.Fresh(delivery.OldestVersion(segments), started, now, j.trainerVersion)
 }
 
-func (j *Job) dropAttempt(s *slot, gone *attempt) {
-	s.attempts = slices.DeleteFunc(s.attempts, func(a *attempt) bool { return a == gone })
+func (j *Job) dropAttempt(s *slot, dropped *attempt) {
+	s.attempts = slices.DeleteFunc(s.attempts, func(a *attempt) bool { return a == dropped })
 	j.running--
 }
 
-// Starts returns the attempts to begin now: first slots that run nowhere, the
-// oldest ones first, then second attempts of slots without progress.
-func (j *Job) Starts(now time.Time) []Start {
+// StartAttempts returns the attempts to start now: first those of slots without a
+// running attempt, in slot order, then second attempts of slots without progress.
+func (j *Job) StartAttempts(now time.Time) []Start {
 	var starts []Start
 	for i := range j.slots {
-		if j.running >= j.policy.Concurrent {
+		if j.running >= j.policy.MaxConcurrentAttempts {
 			return starts
 		}
-		if j.idle(&j.slots[i], now) {
-			starts = append(starts, j.start(i, now))
+		if j.canStart(&j.slots[i], now) {
+			starts = append(starts, j.startAttempt(i, now))
 		}
 	}
-	return append(starts, j.hedges(now)...)
+	return append(starts, j.startHedges(now)...)
 }
 
-func (j *Job) idle(s *slot, now time.Time) bool {
-	return !s.held && s.ready == nil && len(s.attempts) == 0 && !now.Before(s.notBefore)
+func (j *Job) canStart(s *slot, now time.Time) bool {
+	return !s.held && s.sample == nil && len(s.attempts) == 0 && !now.Before(s.retryAt)
 }
 
-func (j *Job) hedges(now time.Time) []Start {
+func (j *Job) startHedges(now time.Time) []Start {
 	var starts []Start
 	if j.policy.HedgeAfter == 0 {
 		return nil
 	}
 	for i := range j.slots {
 		s := &j.slots[i]
-		if len(s.attempts) == 0 || len(s.attempts) >= maxAttemptsASlot || j.running >= j.policy.Concurrent {
+		if len(s.attempts) == 0 || len(s.attempts) >= maxAttemptsPerSlot || j.running >= j.policy.MaxConcurrentAttempts {
 			continue
 		}
 		if now.Sub(s.attempts[0].lastProgress) >= j.policy.HedgeAfter {
 			j.counters.Hedged++
-			starts = append(starts, j.start(i, now))
+			starts = append(starts, j.startAttempt(i, now))
 		}
 	}
 	return starts
 }
 
-func (j *Job) start(index int, now time.Time) Start {
+func (j *Job) startAttempt(index int, now time.Time) Start {
 	s := &j.slots[index]
 	if s.firstStart.IsZero() {
 		s.firstStart = now
 	}
-	j.sequence++
-	added := &attempt{id: fmt.Sprintf("%s/%d/%d", j.spec.JobID, index, j.sequence), started: now, lastProgress: now}
-	prompt := j.spec.Prompts[s.prompt]
+	j.attemptCount++
+	added := &attempt{id: fmt.Sprintf("%s/%d/%d", j.spec.JobID, index, j.attemptCount), started: now, lastProgress: now}
+	prompt := j.spec.Prompts[s.promptIndex]
 	start := Start{
-		Slot: index, Attempt: added.id, Prompt: prompt, Seed: prompt.Seed + uint64(s.index),
-		MinVersion: j.policy.Bound.Minimum(j.trainerVersion), Age: now.Sub(s.firstStart),
+		Slot: index, Attempt: added.id, Prompt: prompt, Seed: prompt.Seed + uint64(s.indexInGroup),
+		MinVersion: j.policy.Freshness.MinVersion(j.trainerVersion), Age: now.Sub(s.firstStart),
 	}
 	for _, other := range s.attempts {
 		start.Exclude = append(start.Exclude, other.engine)
 	}
-	if len(s.attempts) == 0 && s.kept != nil {
-		added.tokens, added.segments, added.started = s.kept, s.keptSegs, s.keptStarted
-		start.Resume = slices.Clone(s.kept)
-		s.kept, s.keptSegs = nil, nil
+	if len(s.attempts) == 0 && s.partialTokens != nil {
+		added.tokens, added.segments, added.started = s.partialTokens, s.partialSegments, s.partialStartedAt
+		start.Resume = slices.Clone(s.partialTokens)
+		s.partialTokens, s.partialSegments = nil, nil
 		j.counters.Resumed++
 	}
 	s.attempts = append(s.attempts, added)
@@ -318,8 +320,8 @@
 	return start
 }
 
-// find returns a running attempt; nil if it was cancelled meanwhile.
-func (j *Job) find(index int, id string) (*slot, *attempt) {
+// findAttempt returns a slot and its running attempt; the attempt is nil if it was cancelled.
+func (j *Job) findAttempt(index int, id string) (*slot, *attempt) {
 	s := &j.slots[index]
 	for _, running := range s.attempts {
 		if running.id == id {
@@ -329,17 +331,17 @@
 	return s, nil
 }
 
-// Placed records the engine of an attempt.
-func (j *Job) Placed(index int, id, engine string) {
-	if _, running := j.find(index, id); running != nil {
+// SetEngine records the engine of an attempt.
+func (j *Job) SetEngine(index int, id, engine string) {
+	if _, running := j.findAttempt(index, id); running != nil {
 		running.engine = engine
 	}
 }
 
-// Progress records tokens of an attempt. It reports false if the attempt is no
-// longer wanted and must stop.
-func (j *Job) Progress(now time.Time, index int, id string, tokens []string, version uint64) bool {
-	_, running := j.find(index, id)
+// AddTokens appends tokens to an attempt. It returns false if the attempt was cancelled and
+// must stop.
+func (j *Job) AddTokens(now time.Time, index int, id string, tokens []string, version uint64) bool {
+	_, running := j.findAttempt(index, id)
 	if running == nil {
 		return false
 	}
@@ -349,42 +351,43 @@
 	return true
 }
 
-// Finished records the end of an attempt with a sample. An attempt without a
-// token is no sample, since nothing proves its version.
-func (j *Job) Finished(now time.Time, index int, id, reason string) {
-	s, running := j.find(index, id)
+// CompleteAttempt records that an attempt finished with a sample. An attempt without
+// tokens counts as failed, since no chunk names its weight version.
+func (j *Job) CompleteAttempt(now time.Time, index int, id, reason string) {
+	s, running := j.findAttempt(index, id)
 	if running == nil {
 		return
 	}
 	if len(running.tokens) == 0 {
-		j.Failed(now, index, id)
+		j.FailAttempt(now, index, id)
 		return
 	}
 	j.dropAttempt(s, running)
 	j.cancelAttempts(s)
-	s.ready = &delivery.Sample{
-		Slot: index, Group: j.spec.Prompts[s.prompt].Group, Tokens: running.tokens, Segments: running.segments,
+	s.sample = &delivery.Sample{
+		Slot: index, Group: j.spec.Prompts[s.promptIndex].Group, Tokens: running.tokens, Segments: running.segments,
 		FinishReason: reason, Attempt: id, Started: running.started,
 	}
 }
 
-// Failed records the end of an attempt without a sample.
-func (j *Job) Failed(now time.Time, index int, id string) {
-	j.FailedUntil(now, now.Add(retryPause), index, id)
+// FailAttempt records that an attempt ended without a sample. The slot is retried after
+// retryDelay.
+func (j *Job) FailAttempt(now time.Time, index int, id string) {
+	j.FailAttemptUntil(now, now.Add(retryDelay), index, id)
 }
 
-// FailedUntil records the end of an attempt without a sample after which the slot rests until
-// a time.
-func (j *Job) FailedUntil(now, until time.Time, index int, id string) {
-	s, running := j.find(index, id)
+// FailAttemptUntil records that an attempt ended without a sample. The slot is not retried
+// before the time until.
+func (j *Job) FailAttemptUntil(now, until time.Time, index int, id string) {
+	s, running := j.findAttempt(index, id)
 	if running == nil {
 		return
 	}
 	j.dropAttempt(s, running)
 	j.counters.Failed++
-	s.notBefore = until
-	better := len(running.tokens) > len(s.kept)
-	if j.policy.CarryOver && better && j.fresh(running.segments, running.started, now) {
-		s.kept, s.keptSegs, s.keptStarted = running.tokens, running.segments, running.started
+	s.retryAt = until
+	longer := len(running.tokens) > len(s.partialTokens)
+	if j.policy.CarryOver && longer && j.isFresh(running.segments, running.started, now) {
+		s.partialTokens, s.partialSegments, s.partialStartedAt = running.tokens, running.segments, running.started
 	}
 }
--- a/internal/rollout/job_test.go
+++ b/internal/rollout/job_test.go
@@ -11,134 +11,134 @@
 	"github.com/pathbend/pathbend/internal/delivery"
 )
 
-var start = time.Unix(1000, 0)
+var baseTime = time.Unix(1000, 0)
 
-func policyOf(maxVersions uint64) Policy {
+func testPolicy(maxVersions uint64) Policy {
 	return Policy{
-		Bound:      delivery.Bound{MaxVersions: maxVersions, MaxAge: time.Minute},
-		Concurrent: 4, CarryOver: true, HedgeAfter: 5 * time.Second,
+		Freshness:             delivery.FreshnessLimit{MaxVersions: maxVersions, MaxAge: time.Minute},
+		MaxConcurrentAttempts: 4, CarryOver: true, HedgeAfter: 5 * time.Second,
 	}
 }
 
-func specOf(samples int) Spec {
+func testSpec(samples int) Spec {
 	return Spec{JobID: "job", Model: "m", TrainerVersion: 1, Prompts: []Prompt{{Prompt: "p", Samples: samples, MaxTokens: 8}}}
 }
 
 func finish(j *Job, s Start, version uint64) {
-	j.Progress(start, s.Slot, s.Attempt, []string{"a"}, version)
-	j.Finished(start, s.Slot, s.Attempt, "stop")
+	j.AddTokens(baseTime, s.Slot, s.Attempt, []string{"a"}, version)
+	j.CompleteAttempt(baseTime, s.Slot, s.Attempt, "stop")
 }
 
 func TestSlotIsDeliveredUntilTheCursorHoldsIt(t *testing.T) {
-	job := NewJob(specOf(2), policyOf(1), start)
-	starts := job.Starts(start)
+	job := NewJob(testSpec(2), testPolicy(1), baseTime)
+	starts := job.StartAttempts(baseTime)
 	require.Len(t, starts, 2)
 	finish(job, starts[0], 1)
 	for range 2 {
-		answer := job.Pull(start, Pull{TrainerVersion: 1})
+		answer := job.Pull(baseTime, Pull{TrainerVersion: 1})
 		require.Len(t, answer.Samples, 1)
 		require.Equal(t, 1, answer.Remaining)
 	}
-	answer := job.Pull(start, Pull{TrainerVersion: 1, Held: delivery.Cursor{{From: 0, To: 1}}})
+	answer := job.Pull(baseTime, Pull{TrainerVersion: 1, Held: delivery.Cursor{{From: 0, To: 1}}})
 	require.Empty(t, answer.Samples)
 	require.Equal(t, 1, job.Remaining())
 }
 
-func TestStaleSamplesAreMadeAnew(t *testing.T) {
-	job := NewJob(specOf(1), policyOf(1), start)
-	finish(job, job.Starts(start)[0], 1)
-	require.Len(t, job.Pull(start, Pull{TrainerVersion: 2}).Samples, 1)
-	require.Empty(t, job.Pull(start, Pull{TrainerVersion: 3}).Samples)
-	again := job.Starts(start)
-	require.Len(t, again, 1)
-	require.Equal(t, uint64(2), again[0].MinVersion)
-	finish(job, again[0], 2)
-	require.Empty(t, job.Pull(start.Add(time.Minute), Pull{TrainerVersion: 3}).Samples, "too old by time")
+func TestStaleSamplesAreRegenerated(t *testing.T) {
+	job := NewJob(testSpec(1), testPolicy(1), baseTime)
+	finish(job, job.StartAttempts(baseTime)[0], 1)
+	require.Len(t, job.Pull(baseTime, Pull{TrainerVersion: 2}).Samples, 1)
+	require.Empty(t, job.Pull(baseTime, Pull{TrainerVersion: 3}).Samples)
+	restarted := job.StartAttempts(baseTime)
+	require.Len(t, restarted, 1)
+	require.Equal(t, uint64(2), restarted[0].MinVersion)
+	finish(job, restarted[0], 2)
+	require.Empty(t, job.Pull(baseTime.Add(time.Minute), Pull{TrainerVersion: 3}).Samples, "the sample exceeds the maximum age")
 }
 
-func TestBrokenAttemptResumesWithItsSegments(t *testing.T) {
-	job := NewJob(specOf(1), policyOf(5), start)
-	first := job.Starts(start)[0]
-	job.Progress(start, 0, first.Attempt, []string{"a", "b"}, 3)
-	job.Failed(start, 0, first.Attempt)
-	require.Empty(t, job.Starts(start), "a failed slot rests first")
-	second := job.Starts(start.Add(retryPause))[0]
+func TestFailedAttemptIsResumedWithItsSegments(t *testing.T) {
+	job := NewJob(testSpec(1), testPolicy(5), baseTime)
+	first := job.StartAttempts(baseTime)[0]
+	job.AddTokens(baseTime, 0, first.Attempt, []string{"a", "b"}, 3)
+	job.FailAttempt(baseTime, 0, first.Attempt)
+	require.Empty(t, job.StartAttempts(baseTime), "a failed slot is not retried before the retry delay")
+	second := job.StartAttempts(baseTime.Add(retryDelay))[0]
 	require.Equal(t, []string{"a", "b"}, second.Resume)
-	job.Progress(start, 0, second.Attempt, []string{"c"}, 4)
-	job.Finished(start, 0, second.Attempt, "stop")
-	sample := job.Pull(start, Pull{TrainerVersion: 4}).Samples[0]
+	job.AddTokens(baseTime, 0, second.Attempt, []string{"c"}, 4)
+	job.CompleteAttempt(baseTime, 0, second.Attempt, "stop")
+	sample := job.Pull(baseTime, Pull{TrainerVersion: 4}).Samples[0]
 	require.Equal(t, []delivery.Segment{{From: 0, To: 2, Version: 3}, {From: 2, To: 3, Version: 4}}, sample.Segments)
 	require.Equal(t, uint64(8), sample.MaxTrainerVersion)
 }
 
-func TestHedgeRunsBesideAndTheLoserIsCancelled(t *testing.T) {
-	job := NewJob(specOf(1), policyOf(1), start)
-	first := job.Starts(start)[0]
-	job.Placed(0, first.Attempt, "engine-1")
-	later := start.Add(5 * time.Second)
-	hedge := job.Starts(later)
+func TestFinishedHedgeCancelsTheOtherAttempt(t *testing.T) {
+	job := NewJob(testSpec(1), testPolicy(1), baseTime)
+	first := job.StartAttempts(baseTime)[0]
+	job.SetEngine(0, first.Attempt, "engine-1")
+	later := baseTime.Add(5 * time.Second)
+	hedge := job.StartAttempts(later)
 	require.Len(t, hedge, 1)
 	require.Equal(t, []string{"engine-1"}, hedge[0].Exclude)
 	finish(job, hedge[0], 1)
 	require.Equal(t, []string{first.Attempt}, job.TakeCancelled())
-	require.False(t, job.Progress(later, 0, first.Attempt, []string{"x"}, 1))
+	require.False(t, job.AddTokens(later, 0, first.Attempt, []string{"x"}, 1))
 	require.Zero(t, job.Running())
 }
 
 func TestHandoverKeepsFinishedAndPartialSamples(t *testing.T) {
-	job := NewJob(specOf(3), policyOf(1), start)
-	starts := job.Starts(start)
+	job := NewJob(testSpec(3), testPolicy(1), baseTime)
+	starts := job.StartAttempts(baseTime)
 	finish(job, starts[0], 1)
-	job.Progress(start, 1, starts[1].Attempt, []string{"half"}, 1)
-	moved := Import(job.Export("shop", start), policyOf(1), start)
-	require.Len(t, moved.Pull(start, Pull{TrainerVersion: 1}).Samples, 1)
-	resumed := moved.Starts(start)
+	job.AddTokens(baseTime, 1, starts[1].Attempt, []string{"half"}, 1)
+	imported := Import(job.Export("shop", baseTime), testPolicy(1), baseTime)
+	require.Len(t, imported.Pull(baseTime, Pull{TrainerVersion: 1}).Samples, 1)
+	resumed := imported.StartAttempts(baseTime)
 	require.Len(t, resumed, 2)
 	require.Equal(t, []string{"half"}, resumed[0].Resume)
 }
 
-// TestTrainerGetsEverySlotOnceAndFresh lets attempts progress, break and
-// finish, answers get lost and the trainer's version move in any order.
-func TestTrainerGetsEverySlotOnceAndFresh(t *testing.T) {
+// TestEverySlotIsDeliveredOnceAndFresh lets attempts progress, fail and finish, answers
+// get lost and the versions of engine and trainer increase in any order.
+func TestEverySlotIsDeliveredOnceAndFresh(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		samples := rapid.IntRange(1, 6).Draw(t, "samples")
-		policy := policyOf(rapid.Uint64Range(0, 2).Draw(t, "bound"))
-		job := NewJob(specOf(samples), policy, start)
-		now, engineVersion, trainerVersion := start, uint64(1), uint64(1)
+		policy := testPolicy(rapid.Uint64Range(0, 2).Draw(t, "bound"))
+		job := NewJob(testSpec(samples), policy, baseTime)
+		now, engineVersion, trainerVersion := baseTime, uint64(1), uint64(1)
 		running := map[string]Start{}
-		produced := map[string][]uint64{} // by attempt, the version of each token
+		produced := map[string][]uint64{} // the version of each token, by attempt
 		var held delivery.Cursor
-		got := map[int]bool{}
+		delivered := map[int]bool{}
 		for step := 0; held.Count() < samples; step++ {
 			now = now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(t, "gap")) * time.Millisecond)
 			action := rapid.IntRange(0, 5).Draw(t, "action")
 			if step > 400 {
-				action = 4 // settle: only finish and pull
+				action = 4 // from here on only finish attempts and pull, so that the run ends
 			}
-			for _, begun := range job.Starts(now) {
-				running[begun.Attempt] = begun
-				require.False(t, got[begun.Slot], "a held slot was started")
-				if len(begun.Resume) == 0 {
-					produced[begun.Attempt] = nil
+			for _, started := range job.StartAttempts(now) {
+				running[started.Attempt] = started
+				require.False(t, delivered[started.Slot], "a held slot was started")
+				if len(started.Resume) == 0 {
+					produced[started.Attempt] = nil
 				}
-				for range begun.Resume {
-					produced[begun.Attempt] = append(produced[begun.Attempt], 0) // from an earlier attempt
+				for range started.Resume {
+					produced[started.Attempt] = append(produced[started.Attempt], 0) // generated by an earlier attempt
 				}
 			}
 			for _, id := range job.TakeCancelled() {
 				delete(running, id)
 			}
-			for id, begun := range running {
+			for id, started := range running {
 				switch action {
 				case 0, 1, 4:
-					job.Progress(now, begun.Slot, id, []string{"t"}, engineVersion)
+					job.AddTokens(now, started.Slot, id, []string{"t"}, engineVersion)
 					produced[id] = append(produced[id], engineVersion)
 				case 2:
-					job.Failed(now, begun.Slot, id)
+					job.FailAttempt(now, started.Slot, id)
 					delete(running, id)
 				}
 				if action == 4 {
-					job.Finished(now, begun.Slot, id, "stop")
+					job.CompleteAttempt(now, started.Slot, id, "stop")
 					delete(running, id)
 				}
 			}
@@ -149,24 +149,24 @@
 				trainerVersion++
 			}
 			answer := job.Pull(now, Pull{TrainerVersion: trainerVersion, Held: held})
-			lost := step <= 400 && rapid.Bool().Draw(t, "answer lost")
+			answerLost := step <= 400 && rapid.Bool().Draw(t, "answer lost")
 			for _, sample := range answer.Samples {
 				oldest := delivery.OldestVersion(sample.Segments)
-				require.GreaterOrEqual(t, oldest+policy.Bound.MaxVersions, trainerVersion)
-				requireTrueVersions(t, sample, produced[sample.Attempt])
-				require.False(t, got[sample.Slot], "a held slot was delivered")
-				if !lost {
-					got[sample.Slot] = true
+				require.GreaterOrEqual(t, oldest+policy.Freshness.MaxVersions, trainerVersion)
+				requireProducedVersions(t, sample, produced[sample.Attempt])
+				require.False(t, delivered[sample.Slot], "a held slot was delivered")
+				if !answerLost {
+					delivered[sample.Slot] = true
 					held = held.Add(sample.Slot)
 				}
 			}
 		}
-		require.Len(t, got, samples)
+		require.Len(t, delivered, samples)
 		require.Zero(t, job.Pull(now, Pull{TrainerVersion: trainerVersion, Held: held}).Remaining)
 	})
 }
 
-func requireTrueVersions(t *rapid.T, sample Delivered, produced []uint64) {
+func requireProducedVersions(t *rapid.T, sample Delivered, produced []uint64) {
 	require.Equal(t, len(produced), len(sample.Tokens), fmt.Sprint(sample))
 	for _, segment := range sample.Segments {
 		for at := segment.From; at < segment.To; at++ {
--- a/internal/rollout/manager.go
+++ b/internal/rollout/manager.go
@@ -17,35 +17,35 @@
 	"github.com/pathbend/pathbend/internal/result"
 )
 
-// Progress receives what an attempt produces.
+// Progress receives the progress of an attempt.
 type Progress interface {
-	// Placed tells the engine that serves the attempt.
+	// Placed reports the engine that serves the attempt.
 	Placed(engine string)
-	// Chunk hands over tokens; false asks the generator to stop.
+	// Chunk reports generated tokens; false asks the generator to stop.
 	Chunk(tokens []string, version uint64) bool
 }
 
 // Generator runs one attempt on an engine until it ends. It returns the finish
-// reason, or an error if the attempt broke.
+// reason, or an error if the attempt failed.
 type Generator interface {
 	Generate(ctx context.Context, tenant, model string, start Start, progress Progress) (finishReason string, err error)
 }
 
 const (
-	// tickInterval is how often jobs look for slots to start or hedge.
+	// tickInterval is how often jobs are checked for slots to start or hedge.
 	tickInterval = 50 * time.Millisecond
-	// jobExpiry is how long a job is kept without a pull.
+	// jobExpiry is the time without a pull after which a job is dropped.
 	jobExpiry = 15 * time.Minute
 )
 
 type jobKey struct{ tenant, id string }
 
 type runningJob struct {
-	key     jobKey
-	model   string
-	job     *Job
-	encoded []byte // the prompts, to compare resubmissions
-	cancels map[string]context.CancelFunc
+	key            jobKey
+	model          string
+	job            *Job
+	encodedPrompts []byte // JSON of the prompts, compared when a job is submitted again
+	cancels        map[string]context.CancelFunc
 	// changed is closed and replaced whenever a sample becomes ready.
 	changed chan struct{}
 }
@@ -56,25 +56,26 @@
 	logger    *event.Logger
 	ctx       context.Context
 	cancel    context.CancelFunc
-	group     conc.WaitGroup
+	waitGroup conc.WaitGroup
 
 	mutex    sync.Mutex
 	jobs     map[jobKey]*runningJob
-	stopping bool
+	draining bool
 }
 
-// NewManager returns a manager without jobs. Close must be called.
+// NewManager returns a manager without jobs and starts its tick loop. The caller must
+// call Close.
 func NewManager(generator Generator, logger *event.Logger) *Manager {
 	ctx, cancel := context.WithCancel(context.Background())
 	manager := &Manager{generator: generator, logger: logger, ctx: ctx, cancel: cancel, jobs: make(map[jobKey]*runningJob)}
-	manager.group.Go(manager.tickLoop)
+	manager.waitGroup.Go(manager.tickLoop)
 	return manager
 }
 
-// Close cancels every attempt and waits for its end.
+// Close cancels every attempt and waits until all have ended.
 func (m *Manager) Close() {
 	m.cancel()
-	m.group.Wait()
+	m.waitGroup.Wait()
 }
 
 func (m *Manager) tickLoop() {
@@ -94,7 +95,7 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	now := clock.Now()
-	for _, running := range m.ordered() {
+	for _, running := range m.sortedJobs() {
 		if now.Sub(running.job.LastPull()) > jobExpiry {
 			m.logger.Log(event.JobExpired, "tenant", running.key.tenant, "job", running.key.id)
 			m.remove(running)
@@ -104,23 +105,24 @@
 	}
 }
 
-// ordered returns the jobs by tenant and id, so that runs repeat.
-func (m *Manager) ordered() []*runningJob {
+// sortedJobs returns the jobs by tenant and id, so that runs are reproducible.
+func (m *Manager) sortedJobs() []*runningJob {
 	return slices.SortedFunc(maps.Values(m.jobs), func(a, b *runningJob) int {
 		return cmp.Or(cmp.Compare(a.key.tenant, b.key.tenant), cmp.Compare(a.key.id, b.key.id))
 	})
 }
 
-// advance stops what is cancelled and starts what is due. The mutex is held.
+// advance cancels the attempts that the job dropped and starts those that are due. The
+// caller holds m.mutex.
 func (m *Manager) advance(running *runningJob, now time.Time) {
 	m.stopCancelled(running)
-	if m.stopping {
+	if m.draining {
 		return
 	}
-	for _, start := range running.job.Starts(now) {
+	for _, start := range running.job.StartAttempts(now) {
 		ctx, cancel := context.WithCancel(m.ctx)
 		running.cancels[start.Attempt] = cancel
-		m.group.Go(func() { m.run(ctx, running, start) })
+		m.waitGroup.Go(func() { m.run(ctx, running, start) })
 	}
 }
 
@@ -147,7 +149,7 @@
 	r.changed = make(chan struct{})
 }
 
-// attemptProgress feeds one attempt's output into its job.
+// attemptProgress reports one attempt's progress to its job. It implements Progress.
 type attemptProgress struct {
 	manager *Manager
 	running *runningJob
@@ -157,25 +159,25 @@
 func (p *attemptProgress) Placed(engine string) {
 	p.manager.mutex.Lock()
 	defer p.manager.mutex.Unlock()
-	p.running.job.Placed(p.start.Slot, p.start.Attempt, engine)
+	p.running.job.SetEngine(p.start.Slot, p.start.Attempt, engine)
 }
 
 func (p *attemptProgress) Chunk(tokens []string, version uint64) bool {
 	p.manager.mutex.Lock()
 	defer p.manager.mutex.Unlock()
-	return p.running.job.Progress(clock.Now(), p.start.Slot, p.start.Attempt, tokens, version)
+	return p.running.job.AddTokens(clock.Now(), p.start.Slot, p.start.Attempt, tokens, version)
 }
 
-// longestRest bounds the rest of a slot whose prompt is kept from engines: it may be cleared
-// sooner.
-const longestRest = 5 * time.Second
+// maxQuarantineRetryDelay limits the retry delay of a slot whose prompt is quarantined,
+// since the quarantine may be lifted early.
+const maxQuarantineRetryDelay = 5 * time.Second
 
-// restAfter is how long a slot rests after an attempt that failed.
-func restAfter(err error) time.Duration {
+// retryDelayFor returns the retry delay of a slot after an attempt failed with err.
+func retryDelayFor(err error) time.Duration {
 	if !result.Is(err, result.RequestQuarantined) {
-		return retryPause
+		return retryDelay
 	}
-	return min(max(result.From(err).RetryAfter, retryPause), longestRest)
+	return min(max(result.From(err).RetryAfter, retryDelay), maxQuarantineRetryDelay)
 }
 
 func (m *Manager) run(ctx context.Context, running *runningJob, start Start) {
@@ -189,18 +191,18 @@
 	}
 	if err != nil {
 		now := clock.Now()
-		running.job.FailedUntil(now, now.Add(restAfter(err)), start.Slot, start.Attempt)
+		running.job.FailAttemptUntil(now, now.Add(retryDelayFor(err)), start.Slot, start.Attempt)
 		m.logger.Log(event.SampleRestarted, "job", running.key.id, "slot", start.Slot, "error", err.Error())
 		return
 	}
-	running.job.Finished(clock.Now(), start.Slot, start.Attempt, reason)
+	running.job.CompleteAttempt(clock.Now(), start.Slot, start.Attempt, reason)
 	m.stopCancelled(running)
 	running.notify()
 	m.advance(running, clock.Now())
 }
 
-// Submit accepts a job. Submitting the same job again is harmless and records
-// its cursor; the same id with other prompts is a conflict.
+// Submit accepts a job. Submitting the same job again only records its cursor and
+// trainer version; the same id with another model or other prompts is a JobConflict.
 func (m *Manager) Submit(tenant string, spec Spec, policy Policy) error {
 	encoded, err := json.Marshal(spec.Prompts)
 	if err != nil {
@@ -208,16 +210,16 @@
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if m.stopping {
-		return result.New(result.Draining, "this node hands its jobs over")
+	if m.draining {
+		return result.New(result.Draining, "node is draining and hands over its jobs")
 	}
 	key := jobKey{tenant, spec.JobID}
 	now := clock.Now()
-	if present, ok := m.jobs[key]; ok {
-		if present.model != spec.Model || !bytes.Equal(present.encoded, encoded) {
-			return result.New(result.JobConflict, "job %q was submitted with other prompts", spec.JobID).WithField("job_id")
+	if existing, ok := m.jobs[key]; ok {
+		if existing.model != spec.Model || !bytes.Equal(existing.encodedPrompts, encoded) {
+			return result.New(result.JobConflict, "job %q already exists with another model or other prompts", spec.JobID).WithField("job_id")
 		}
-		present.job.Pull(now, Pull{TrainerVersion: spec.TrainerVersion, Held: spec.Held, MaxSamples: 1})
+		existing.job.Pull(now, Pull{TrainerVersion: spec.TrainerVersion, Held: spec.Held, MaxSamples: 1})
 		return nil
 	}
 	m.add(key, spec.Model, encoded, NewJob(spec, policy, now))
@@ -227,14 +229,14 @@
 
 func (m *Manager) add(key jobKey, model string, encoded []byte, job *Job) {
 	running := &runningJob{
-		key: key, model: model, job: job, encoded: encoded,
+		key: key, model: model, job: job, encodedPrompts: encoded,
 		cancels: make(map[string]context.CancelFunc), changed: make(chan struct{}),
 	}
 	m.jobs[key] = running
 	m.advance(running, clock.Now())
 }
 
-// Model returns the model of a job; false if this node does not own it.
+// Model returns the model of a job; false if this node does not own the job.
 func (m *Manager) Model(tenant, id string) (string, bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -245,7 +247,8 @@
 	return running.model, true
 }
 
-// Pull returns samples of a job, waiting for the first if none is ready.
+// Pull returns samples of a job. If none is ready, it waits for one for up to
+// pull.WaitMS.
 func (m *Manager) Pull(ctx context.Context, tenant, id string, pull Pull, policy Policy) (PullAnswer, error) {
 	deadline := time.Now().Add(time.Duration(pull.WaitMS) * time.Millisecond)
 	timer := time.NewTimer(time.Until(deadline))
@@ -260,7 +263,7 @@
 		case <-changed:
 		case <-timer.C:
 		case <-ctx.Done():
-			return PullAnswer{}, result.New(result.CallerGone, "the trainer went away")
+			return PullAnswer{}, result.New(result.CallerGone, "the pull was cancelled")
 		}
 	}
 }
@@ -286,7 +289,7 @@
 	return answer, running.changed, nil
 }
 
-// Cancel drops a job. An unknown job is no error: it is gone either way.
+// Cancel drops a job. It is idempotent: an unknown job is ignored.
 func (m *Manager) Cancel(tenant, id string) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -296,22 +299,23 @@
 	}
 }
 
-// BeginHandover stops new attempts and returns every job for another node.
-// Running attempts are cancelled: their tokens are in the handover.
+// BeginHandover stops accepting jobs and starting attempts, and returns the state of
+// every job for another node. Running attempts are cancelled; the handover contains
+// their tokens if the policy resumes failed attempts.
 func (m *Manager) BeginHandover() []Handover {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.stopping = true
+	m.draining = true
 	now := clock.Now()
 	var handovers []Handover
-	for _, running := range m.ordered() {
+	for _, running := range m.sortedJobs() {
 		handovers = append(handovers, running.job.Export(running.key.tenant, now))
 		m.remove(running)
 	}
 	return handovers
 }
 
-// Accept takes over a job of another node.
+// Accept adds a job that another node handed over; a job that is already here is kept.
 func (m *Manager) Accept(handover Handover, policy Policy) error {
 	encoded, err := json.Marshal(handover.Spec.Prompts)
 	if err != nil {
@@ -319,8 +323,8 @@
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if m.stopping {
-		return result.New(result.Draining, "this node hands its own jobs over")
+	if m.draining {
+		return result.New(result.Draining, "node is draining and hands over its own jobs")
 	}
 	key := jobKey{handover.Tenant, handover.Spec.JobID}
 	if _, ok := m.jobs[key]; ok {
@@ -330,7 +334,7 @@
 	return nil
 }
 
-// JobStatus describes a job for the status page.
+// JobStatus describes a job on the status page.
 type JobStatus struct {
 	Tenant    string   `json:"tenant"`
 	JobID     string   `json:"job_id"`
@@ -342,12 +346,12 @@
 	Counters  Counters `json:"counters"`
 }
 
-// Status lists the jobs of this node.
+// Status returns the status of this node's jobs, sorted by tenant and id.
 func (m *Manager) Status() []JobStatus {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	var statuses []JobStatus
-	for _, running := range m.ordered() {
+	for _, running := range m.sortedJobs() {
 		job := running.job
 		statuses = append(statuses, JobStatus{
 			Tenant: running.key.tenant, JobID: running.key.id, Model: running.model, Slots: len(job.slots), Remaining: job.Remaining(),
--- a/internal/rollout/spec.go
+++ b/internal/rollout/spec.go
@@ -8,26 +8,26 @@
 	"github.com/pathbend/pathbend/internal/result"
 )
 
-// Bounds of a job specification.
+// Limits of a job specification.
 const (
 	MaxSlots       = 65536
 	MaxPromptBytes = 1 << 20
 	MaxIDBytes     = 128
 )
 
-// Spec is what a trainer submits. Slots are numbered through the prompts in
-// order: prompt 0 has slots 0 to samples-1, and so on.
+// Spec is a job as a trainer submits it. Slots are numbered consecutively over the
+// prompts: prompt 0 has slots 0 to samples-1, and so on.
 type Spec struct {
 	JobID   string   `json:"job_id"`
 	Model   string   `json:"model"`
 	Prompts []Prompt `json:"prompts"`
 	// TrainerVersion is the weight version that the trainer is at.
 	TrainerVersion uint64 `json:"trainer_version"`
-	// Held are the slots that the trainer has from an earlier submission.
+	// Held lists the slots that the trainer holds from an earlier submission.
 	Held delivery.Cursor `json:"held,omitempty"`
 }
 
-// Prompt asks for a group of samples that share a prompt.
+// Prompt requests a group of samples of one prompt.
 type Prompt struct {
 	Prompt    string `json:"prompt"`
 	Group     string `json:"group,omitempty"`
@@ -36,7 +36,7 @@
 	Seed      uint64 `json:"seed,omitempty"`
 }
 
-// Slots returns the number of samples the job asks for.
+// Slots returns the number of samples that the job requests.
 func (s *Spec) Slots() int {
 	slots := 0
 	for _, prompt := range s.Prompts {
@@ -45,13 +45,13 @@
 	return slots
 }
 
-// Validate checks the specification against the model's longest generation.
+// Validate checks the specification; maxTokens is the model's limit on a generation.
 func (s *Spec) Validate(maxTokens int) error {
 	if s.JobID == "" || len(s.JobID) > MaxIDBytes {
-		return result.New(result.MalformedRequest, "must have 1 to %d bytes", MaxIDBytes).WithField("job_id")
+		return result.New(result.MalformedRequest, "must be 1 to %d bytes long", MaxIDBytes).WithField("job_id")
 	}
 	if len(s.Prompts) == 0 {
-		return result.New(result.MalformedRequest, "name at least one prompt").WithField("prompts")
+		return result.New(result.MalformedRequest, "must contain at least one prompt").WithField("prompts")
 	}
 	for i, prompt := range s.Prompts {
 		if err := prompt.validate(maxTokens); err != nil {
@@ -59,7 +59,7 @@
 		}
 	}
 	if slots := s.Slots(); slots > MaxSlots {
-		return result.New(result.MalformedRequest, "%d samples, at most %d are allowed in one job", slots, MaxSlots).WithField("prompts")
+		return result.New(result.MalformedRequest, "requests %d samples, a job may request at most %d", slots, MaxSlots).WithField("prompts")
 	}
 	return s.Held.Validate(s.Slots())
 }
@@ -67,7 +67,7 @@
 func (p *Prompt) validate(maxTokens int) *result.Error {
 	switch {
 	case p.Prompt == "" || len(p.Prompt) > MaxPromptBytes:
-		return result.New(result.MalformedRequest, "must have 1 to %d bytes", MaxPromptBytes).WithField("prompt")
+		return result.New(result.MalformedRequest, "must be 1 to %d bytes long", MaxPromptBytes).WithField("prompt")
 	case p.Samples < 1 || p.Samples > MaxSlots:
 		return result.New(result.MalformedRequest, "must be from 1 to %d", MaxSlots).WithField("samples")
 	case p.MaxTokens < 1 || p.MaxTokens > maxTokens:
@@ -81,9 +81,9 @@
 	// TrainerVersion is the weight version that the trainer is at.
 	TrainerVersion uint64          `json:"trainer_version"`
 	Held           delivery.Cursor `json:"held"`
-	// MaxSamples bounds the answer; 0 means DefaultPullSamples.
+	// MaxSamples limits the samples of the answer; 0 means DefaultPullSamples.
 	MaxSamples int `json:"max_samples,omitempty"`
-	// WaitMS is how long to wait for a sample if none is ready.
+	// WaitMS is how long to wait for a sample if none is ready, in milliseconds.
 	WaitMS int64 `json:"wait_ms,omitempty"`
 }
 
@@ -94,7 +94,7 @@
 	MaxPullWait        = 30 * time.Second
 )
 
-// Validate checks a pull.
+// Validate checks that the limits of the pull are within range.
 func (p *Pull) Validate() error {
 	if p.MaxSamples < 0 || p.MaxSamples > MaxPullSamples {
 		return result.New(result.MalformedRequest, "must be from 0 to %d", MaxPullSamples).WithField("max_samples")
@@ -105,21 +105,22 @@
 	return nil
 }
 
-// Delivered is a sample with the conditions of its use.
+// Delivered is a sample with the limits within which the trainer may use it.
 type Delivered struct {
 	delivery.Sample
 	// MaxTrainerVersion is the highest trainer version at which the sample may
 	// be used.
 	MaxTrainerVersion uint64 `json:"max_trainer_version"`
-	// DiscardAfterMS is how long after the answer was sent it may be used.
+	// DiscardAfterMS is how long the sample may be used after the answer was sent, in
+	// milliseconds.
 	DiscardAfterMS int64 `json:"discard_after_ms"`
 }
 
-// PullAnswer answers a pull.
+// PullAnswer is the answer to a pull.
 type PullAnswer struct {
 	JobID   string      `json:"job_id"`
 	Samples []Delivered `json:"samples"`
 	Slots   int         `json:"slots"`
-	// Remaining counts the slots that neither the cursor nor this answer holds.
+	// Remaining is the number of slots that neither the cursor nor this answer contains.
 	Remaining int `json:"remaining"`
 }
--- a/internal/simulation/mutation_test.go
+++ b/internal/simulation/mutation_test.go
@@ -12,9 +12,9 @@
 	{Promise: "samples name their true versions", Edits: []mutation.Edit{mutation.Replace("internal/rollout/job.go", "AppendTokens(running.segments, len(tokens), version)",
 		"AppendTokens(running.segments, len(tokens), max(version, j.trainerVersion))")}},
 	{Promise: "no sample over the bound", Edits: []mutation.Edit{
-		mutation.Replace("internal/delivery/sample.go", "return oldest+b.MaxVersions >= trainerVersion && now", "return now"),
-		mutation.Replace("internal/rollout/job.go", "OldestVersion(sample.Segments) + j.policy.Bound.MaxVersions,", "OldestVersion(sample.Segments) + 1000,"),
-		mutation.Replace("internal/delivery/sample.go", "return trainerVersion - b.MaxVersions", "return 0"),
+		mutation.Replace("internal/delivery/sample.go", "return oldest+l.MaxVersions >= trainerVersion && now", "return now"),
+		mutation.Replace("internal/rollout/job.go", "OldestVersion(sample.Segments) + j.policy.Freshness.MaxVersions,", "OldestVersion(sample.Segments) + 1000,"),
+		mutation.Replace("internal/delivery/sample.go", "return trainerVersion - l.MaxVersions", "return 0"),
 	}},
 	{Promise: "each sample once", Edits: []mutation.Edit{
 		mutation.Replace("client/trainer.go", "usable && !j.held[next.Slot]", "usable"),
