--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -11,7 +11,7 @@
 	"github.com/pathbend/pathbend/internal/result"
 )
 
-// Headers of the public interface beside those of package dispatch.
+// Headers of the public interface in addition to those of package dispatch.
 const (
 	HeaderResultCode = "Pathbend-Result-Code"
 	HeaderNode       = "Pathbend-Node"
@@ -21,12 +21,12 @@
 	HeaderAtMostOnce = dispatch.HeaderAtMostOnce
 )
 
-// ErrorBody is the JSON body of a refusal or failure.
+// ErrorBody is the JSON body of an error.
 type ErrorBody struct {
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail describes a refusal or failure.
+// ErrorDetail describes why a request was rejected or failed.
 type ErrorDetail struct {
 	Code   int        `json:"code"`
 	Name   string     `json:"name"`
@@ -34,19 +34,21 @@
 	Detail string     `json:"detail"`
 	Field  string     `json:"field,omitempty"`
 	Fix    string     `json:"fix"`
-	// RetryAfterMS is the retry hint in milliseconds.
+	// RetryAfterMS is the time to wait before a retry, in milliseconds; 0 if none is
+	// given.
 	RetryAfterMS int64 `json:"retry_after_ms,omitempty"`
 }
 
-// discardTimeout bounds the reading of a refused request's body.
+// discardTimeout limits the time spent reading the rest of a rejected request's body.
 const discardTimeout = 200 * time.Millisecond
 
-// refuse answers with a numbered error at once.
-func (g *Gateway) refuse(writer http.ResponseWriter, err error) {
+// writeError answers with an error. It waits for the rest of the request body for at most
+// discardTimeout.
+func (g *Gateway) writeError(writer http.ResponseWriter, err error) {
 	typed := result.From(err)
 	definition := result.Lookup(typed.Code)
-	// The server reads what is left of the body before it answers; a sender
-	// that stopped half-way must not hold the answer back.
+	// net/http reads the rest of the body before it sends the answer; a caller that
+	// stops sending must not delay it.
 	_ = http.NewResponseController(writer).SetReadDeadline(time.Now().Add(discardTimeout))
 	header := writer.Header()
 	header.Set("Content-Type", "application/json")
@@ -57,15 +59,15 @@
 		header.Set("Retry-After", strconv.Itoa(int(math.Ceil(typed.RetryAfter.Seconds()))))
 	}
 	writer.WriteHeader(definition.HTTPStatus)
-	// A write error means that the caller is gone.
+	// A write error means that the caller closed the connection.
 	_ = json.NewEncoder(writer).Encode(ErrorBody{Error: ErrorDetail{
 		Code: int(typed.Code), Name: definition.Name, Run: definition.Run, Detail: typed.Detail,
 		Field: typed.Field, Fix: definition.Fix, RetryAfterMS: typed.RetryAfter.Milliseconds(),
 	}})
 }
 
-// answerJSON answers a request of the interface itself.
-func (g *Gateway) answerJSON(writer http.ResponseWriter, value any) {
+// writeJSON writes the JSON answer of a request that the node itself executed.
+func (g *Gateway) writeJSON(writer http.ResponseWriter, value any) {
 	header := writer.Header()
 	header.Set("Content-Type", "application/json")
 	header.Set(HeaderNode, g.services.NodeID)
@@ -73,10 +75,11 @@
 	_ = json.NewEncoder(writer).Encode(value)
 }
 
-// decodeJSON reads a JSON body strictly and within limits.
+// decodeJSON decodes a JSON body of at most limit bytes that arrives within
+// jsonBodyTimeout. It rejects unknown fields and more than one value.
 func decodeJSON(writer http.ResponseWriter, request *http.Request, limit int64, target any) error {
 	controller := http.NewResponseController(writer)
-	// An error means that the connection has no deadlines, as in tests.
+	// An error means that the connection does not support deadlines, as in tests.
 	_ = controller.SetReadDeadline(time.Now().Add(jsonBodyTimeout))
 	decoder := json.NewDecoder(http.MaxBytesReader(writer, request.Body, limit))
 	decoder.DisallowUnknownFields()
@@ -84,7 +87,7 @@
 		return bodyError(err, limit)
 	}
 	if decoder.More() {
-		return result.New(result.MalformedRequest, "more than one JSON value in the body").WithField("body")
+		return result.New(result.MalformedRequest, "body contains more than one JSON value").WithField("body")
 	}
 	_ = controller.SetReadDeadline(time.Time{})
 	return nil
--- a/internal/gateway/application.go
+++ b/internal/gateway/application.go
@@ -21,34 +21,34 @@
 )
 
 const (
-	// replayableBodyBytes is the largest body that is kept for a second
-	// attempt. A larger one is streamed and sent once.
+	// replayableBodyBytes is the largest body that is buffered for further
+	// attempts. A larger one is streamed and sent once.
 	replayableBodyBytes = 1 << 20
-	// copyBufferBytes is the chunk in which streamed answers are passed on.
+	// copyBufferBytes is the size of the buffer through which streamed answers are
+	// forwarded.
 	copyBufferBytes = 32 << 10
-	// maxKeyBytes bounds an idempotency key.
-	maxKeyBytes = 200
+	// maxIdempotencyKeyBytes limits the length of an idempotency key.
+	maxIdempotencyKeyBytes = 200
 )
 
-// handleApplication passes an application request to a back end.
+// handleApplication forwards an application request to a back end.
 func (g *Gateway) handleApplication(writer http.ResponseWriter, request *http.Request, parameters httprouter.Params) {
-	began := time.Now()
+	startedAt := time.Now()
 	tenantName, routeName := parameters.ByName("tenant"), parameters.ByName("route")
-	code, known, err := g.serveApplication(writer, request, parameters)
+	code, routeKnown, err := g.serveApplication(writer, request, parameters)
 	if err != nil {
 		code = result.From(err).Code
-		g.refuse(writer, err)
+		g.writeError(writer, err)
 	}
-	if !known {
-		tenantName, routeName = "", "" // keeps label values bounded
+	if !routeKnown {
+		tenantName, routeName = "", "" // unknown names would make the set of label values unbounded
 	}
-	g.services.Recorder.Record(tenantName, routeName, code, time.Since(began))
+	g.services.Recorder.Record(tenantName, routeName, code, time.Since(startedAt))
 }
 
-// serveApplication reports the result code of an answer that is written
-// already, or an error that is still to be written. known tells whether the
-// route exists.
-func (g *Gateway) serveApplication(writer http.ResponseWriter, request *http.Request, parameters httprouter.Params) (code result.Code, known bool, err error) {
+// serveApplication returns the result code of an answer that it has written, or an
+// error that the caller must write. routeKnown reports whether the route exists.
+func (g *Gateway) serveApplication(writer http.ResponseWriter, request *http.Request, parameters httprouter.Params) (code result.Code, routeKnown bool, err error) {
 	tenant, err := g.tenant(parameters)
 	if err != nil {
 		return 0, false, err
@@ -63,16 +63,16 @@
 	}
 	ctx, cancel := context.WithDeadline(request.Context(), parsed.Deadline)
 	defer cancel()
-	leave, err := g.services.Admission.Enter(ctx, tenant.Name, priority, parsed.Deadline)
+	release, err := g.services.Admission.Enter(ctx, tenant.Name, priority, parsed.Deadline)
 	if err != nil {
 		return 0, true, err
 	}
-	defer leave()
+	defer release()
 	answer, err := g.dispatcherFor(parsed).Do(ctx, parsed)
 	if err != nil {
 		return 0, true, err
 	}
-	return g.passOn(writer, answer), true, nil
+	return g.writeAnswer(writer, answer), true, nil
 }
 
 func (g *Gateway) dispatcherFor(request *dispatch.Request) Dispatcher {
@@ -97,22 +97,22 @@
 		return nil, 0, err
 	}
 	key := request.Header.Get(dispatch.HeaderIdempotencyKey)
-	if len(key) > maxKeyBytes || strings.ContainsAny(key, "\r\n") {
-		return nil, 0, result.New(result.MalformedRequest, "must have at most %d bytes", maxKeyBytes).WithField(dispatch.HeaderIdempotencyKey)
+	if len(key) > maxIdempotencyKeyBytes || strings.ContainsAny(key, "\r\n") {
+		return nil, 0, result.New(result.MalformedRequest, "must have at most %d bytes", maxIdempotencyKeyBytes).WithField(dispatch.HeaderIdempotencyKey)
 	}
 	parsed := &dispatch.Request{
-		Tenant: tenant.Name, Pool: route.Pool, Method: request.Method, Path: pathAtBackEnd(request, route, rest),
+		Tenant: tenant.Name, Pool: route.Pool, Method: request.Method, Path: backEndPath(request, route, rest),
 		Header: request.Header, Length: request.ContentLength, IdempotencyKey: key,
 		AtMostOnce: atMostOnce, MaxAttempts: route.MaxAttempts, Deadline: deadline, Received: received,
 	}
 	return parsed, priority, attachBody(writer, request, route, parsed)
 }
 
-// pathAtBackEnd is "/<route><rest>?<query>", the rest as the caller wrote it.
-func pathAtBackEnd(request *http.Request, route *config.Route, rest string) string {
+// backEndPath returns "/<route><rest>?<query>" with the rest escaped as the caller sent it.
+func backEndPath(request *http.Request, route *config.Route, rest string) string {
 	path := "/" + route.Name
 	if rest != "" {
-		// The escaped form keeps encoded slashes as they are.
+		// The escaped path preserves encoded slashes.
 		escaped := request.URL.EscapedPath()
 		parts := strings.SplitN(escaped, "/", 7)
 		path += "/" + parts[len(parts)-1]
@@ -123,18 +123,20 @@
 	return path
 }
 
-func parseDeadline(header http.Header, longest time.Duration) (time.Time, error) {
+// parseDeadline returns the deadline of a request. The caller may state a shorter one than
+// the route's in milliseconds from now.
+func parseDeadline(header http.Header, routeDeadline time.Duration) (time.Time, error) {
 	text := header.Get(dispatch.HeaderDeadline)
 	if text == "" {
-		return time.Now().Add(longest), nil
+		return time.Now().Add(routeDeadline), nil
 	}
 	milliseconds, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || milliseconds <= 0 {
-		return time.Time{}, result.New(result.MalformedRequest, "%q is no positive number of milliseconds", text).
+		return time.Time{}, result.New(result.MalformedRequest, "%q is not a positive number of milliseconds", text).
 			WithField(dispatch.HeaderDeadline)
 	}
-	if milliseconds > longest.Milliseconds() {
-		return time.Now().Add(longest), nil
+	if milliseconds > routeDeadline.Milliseconds() {
+		return time.Now().Add(routeDeadline), nil
 	}
 	return time.Now().Add(time.Duration(milliseconds) * time.Millisecond), nil
 }
@@ -146,12 +148,13 @@
 	}
 	priority, ok := admission.ParsePriority(text)
 	if !ok {
-		return 0, result.New(result.MalformedRequest, "%q is none of critical, high, normal, low", text).WithField(HeaderPriority)
+		return 0, result.New(result.MalformedRequest, "%q is not one of critical, high, normal, low", text).WithField(HeaderPriority)
 	}
 	return priority, nil
 }
 
-// parseAtMostOnce lets a caller mark a request; it cannot unmark a route.
+// parseAtMostOnce returns whether a request runs at most once. A caller can request
+// this but cannot revoke it for a route that is configured so.
 func parseAtMostOnce(header http.Header, configured bool) (bool, error) {
 	text := header.Get(HeaderAtMostOnce)
 	if text == "" {
@@ -164,10 +167,11 @@
 	return marked || configured, nil
 }
 
-// attachBody keeps a small body for further attempts and streams a large one.
+// attachBody buffers a small body for further attempts and streams a large one or one
+// of unknown length.
 func attachBody(writer http.ResponseWriter, request *http.Request, route *config.Route, parsed *dispatch.Request) error {
 	if request.ContentLength > route.MaxBodyBytes {
-		return result.New(result.BodyTooLarge, "%d bytes, the route allows %d", request.ContentLength, route.MaxBodyBytes).WithField("body")
+		return result.New(result.BodyTooLarge, "body has %d bytes, the route allows %d", request.ContentLength, route.MaxBodyBytes).WithField("body")
 	}
 	if request.ContentLength == 0 {
 		return nil
@@ -188,15 +192,15 @@
 	return nil
 }
 
-// bodyError classifies a failure to read or decode a request's body.
+// bodyError returns the result for a failure to read or decode a request's body.
 func bodyError(err error, limit int64) *result.Error {
 	var tooLarge *http.MaxBytesError
 	var wrongType *json.UnmarshalTypeError
 	switch {
 	case errors.As(err, &tooLarge):
-		return result.New(result.BodyTooLarge, "more than %d bytes", limit).WithField("body")
+		return result.New(result.BodyTooLarge, "body exceeds %d bytes", limit).WithField("body")
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return result.New(result.SlowBody, "the body did not arrive in time").WithField("body")
+		return result.New(result.SlowBody, "body was not received within the time limit").WithField("body")
 	case errors.As(err, &wrongType):
 		return result.New(result.MalformedRequest, "expected %s, found %s", wrongType.Type, wrongType.Value).WithField(wrongType.Field)
 	case strings.HasPrefix(err.Error(), "json: unknown field "):
@@ -207,10 +211,10 @@
 	}
 }
 
-// passOn writes a back end's answer to the caller. If the answer turns out to
-// be truncated after its first byte was passed on, the connection is cut, so
-// that the caller cannot take it for whole.
-func (g *Gateway) passOn(writer http.ResponseWriter, answer *dispatch.Answer) result.Code {
+// writeAnswer forwards a back end's answer to the caller. If the answer turns out to be
+// truncated after its first byte was forwarded, the connection is aborted, so that the
+// caller cannot mistake it for a complete answer.
+func (g *Gateway) writeAnswer(writer http.ResponseWriter, answer *dispatch.Answer) result.Code {
 	defer answer.Body.Close()
 	header := writer.Header()
 	dispatch.CopyHeader(header, answer.Header)
@@ -228,7 +232,7 @@
 	writer.WriteHeader(answer.Status)
 	if answer.Buffered != nil {
 		_, _ = writer.Write(answer.Buffered)
-		// The answer goes out before the books are kept.
+		// Sends the answer before metrics and records are updated.
 		_ = http.NewResponseController(writer).Flush()
 		return 0
 	}
@@ -239,8 +243,8 @@
 	return 0
 }
 
-// copyFlushing copies a body; a stream of unknown length is flushed after each
-// read so that it reaches the caller as it is produced.
+// copyFlushing copies a body. With flush set, as for a stream of unknown length, it
+// flushes after each read so that data reaches the caller as it is produced.
 func copyFlushing(writer http.ResponseWriter, body io.Reader, flush bool) error {
 	controller := http.NewResponseController(writer)
 	buffer := make([]byte, copyBufferBytes)
--- a/internal/gateway/doc.go
+++ b/internal/gateway/doc.go
@@ -1,8 +1,8 @@
 // Package gateway is the HTTP interface of a node for callers and trainers
 // (docs/API.md).
 //
-// Handlers parse and check a request, then call the Service interfaces that the
-// node implements. Every answer says in Pathbend-Run whether the request was
-// run, and every refusal carries a numbered result code and, where it helps, a
-// retry hint.
+// Handlers parse and validate a request, then call the interfaces of Services, which
+// the node implements. Every answer states in the header Pathbend-Run whether the
+// request was executed. Every error has a numbered result code and, where the caller
+// should wait before it repeats the request, a retry delay.
 package gateway
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -18,28 +18,31 @@
 	"github.com/pathbend/pathbend/internal/rollout"
 )
 
-// Configuration is the configuration in force.
+// Configuration provides the configuration that is in effect.
 type Configuration interface {
-	// Current returns the document and its revision; nil before there is one.
+	// Current returns the document and its revision; nil before the first one was
+	// applied.
 	Current() (*config.Document, uint64)
 }
 
-// Admission lets application requests start.
+// Admission limits the requests in progress.
 type Admission interface {
+	// Enter waits until a request may start and returns a function that ends it, or
+	// returns an error if the request is rejected.
 	Enter(ctx context.Context, tenant string, priority admission.Priority, deadline time.Time) (func(), error)
 }
 
-// Dispatcher carries application requests to back ends.
+// Dispatcher sends application requests to back ends.
 type Dispatcher interface {
 	Do(ctx context.Context, request *dispatch.Request) (*dispatch.Answer, error)
 }
 
-// Completer runs single generations.
+// Completer runs single generations and calls deliver for every chunk.
 type Completer interface {
 	Complete(ctx context.Context, completion Completion, deliver func(engine.Chunk) error) error
 }
 
-// Completion is a caller's generation request.
+// Completion is a caller's request for one generation.
 type Completion struct {
 	Tenant    string
 	Model     *config.Model
@@ -50,26 +53,26 @@
 	Priority  admission.Priority
 }
 
-// Jobs serves trainers, wherever the job's owner is.
+// Jobs executes trainers' requests on the node that owns the job.
 type Jobs interface {
 	Submit(ctx context.Context, tenant string, spec rollout.Spec) error
 	Pull(ctx context.Context, tenant, jobID string, pull rollout.Pull) (rollout.PullAnswer, error)
 	Cancel(ctx context.Context, tenant, jobID string) error
-	// Announce states a new weight version.
+	// Announce records that a trainer published a weight version.
 	Announce(ctx context.Context, tenant, model string, version uint64) error
 }
 
-// Recorder counts what the gateway answers.
+// Recorder records metrics of the gateway's answers.
 type Recorder interface {
 	Record(tenant, route string, code result.Code, duration time.Duration)
 }
 
-// Services are what the gateway calls.
+// Services are the dependencies of a Gateway.
 type Services struct {
 	Configuration Configuration
 	Admission     Admission
 	Dispatcher    Dispatcher
-	// Keyed runs at-most-once requests with an idempotency key.
+	// Keyed dispatches at-most-once requests that have an idempotency key.
 	Keyed     Dispatcher
 	Completer Completer
 	Jobs      Jobs
@@ -81,20 +84,21 @@
 
 // Limits of the interface.
 const (
-	// maxHeaderBytes bounds the header of a request.
+	// maxHeaderBytes limits the size of a request's header.
 	maxHeaderBytes = 64 << 10
-	// readHeaderTimeout bounds the time to send it.
+	// readHeaderTimeout limits the time to receive the header.
 	readHeaderTimeout = 5 * time.Second
 	idleTimeout       = 2 * time.Minute
-	// maxJobBytes bounds a job submission.
+	// maxJobBytes limits the body of a job submission.
 	maxJobBytes = 64 << 20
-	// maxJSONBytes bounds the other JSON bodies.
+	// maxJSONBytes limits the other JSON bodies.
 	maxJSONBytes = 4 << 20
-	// jsonBodyTimeout bounds the time to send a JSON body.
+	// jsonBodyTimeout limits the time to receive a JSON body.
 	jsonBodyTimeout = 30 * time.Second
 )
 
-// Gateway is the HTTP interface. It implements http.Handler.
+// Gateway serves the HTTP interface. It implements http.Handler and is safe for
+// concurrent use.
 type Gateway struct {
 	services Services
 	router   *httprouter.Router
@@ -102,17 +106,17 @@
 	mutex    sync.Mutex
 	draining bool
 	active   int
-	idle     chan struct{}
+	drained  chan struct{}
 }
 
-// New returns a gateway over services.
+// New returns a gateway that calls services.
 func New(services Services) *Gateway {
-	g := &Gateway{services: services, router: httprouter.New(), idle: make(chan struct{})}
+	g := &Gateway{services: services, router: httprouter.New(), drained: make(chan struct{})}
 	g.router.RedirectTrailingSlash = false
 	g.router.RedirectFixedPath = false
 	g.router.HandleMethodNotAllowed = false
 	g.router.NotFound = http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		g.refuse(writer, result.New(result.UnknownPath, "no %s %s", request.Method, request.URL.Path))
+		g.writeError(writer, result.New(result.UnknownPath, "no handler for %s %s", request.Method, request.URL.Path))
 	})
 	for _, method := range []string{"GET", "HEAD", "POST", "PUT", "PATCH", "DELETE"} {
 		g.router.Handle(method, "/v1/tenants/:tenant/routes/:route", g.handleApplication)
@@ -126,7 +130,7 @@
 	return g
 }
 
-// Server returns an HTTP server for the gateway with its limits.
+// Server returns an HTTP server for the gateway with the limits of the interface.
 func (g *Gateway) Server() *http.Server {
 	return &http.Server{
 		Handler:           g,
@@ -138,17 +142,17 @@
 
 // ServeHTTP implements http.Handler.
 func (g *Gateway) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
-	if !g.begin() {
+	if !g.beginRequest() {
 		writer.Header().Set("Connection", "close")
-		g.refuse(writer, result.New(result.Draining, "this node is leaving"))
+		g.writeError(writer, result.New(result.Draining, "node is draining"))
 		return
 	}
-	defer g.end()
+	defer g.endRequest()
 	defer g.recoverPanic(writer)
 	g.router.ServeHTTP(writer, request)
 }
 
-func (g *Gateway) begin() bool {
+func (g *Gateway) beginRequest() bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if g.draining {
@@ -158,30 +162,30 @@
 	return true
 }
 
-func (g *Gateway) end() {
+func (g *Gateway) endRequest() {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.active--
 	if g.draining && g.active == 0 {
-		close(g.idle)
+		close(g.drained)
 	}
 }
 
-// Drain refuses new requests as not run from now on. The channel is closed when
-// the last request in progress has its answer.
+// Drain makes the gateway reject new requests with result.Draining, as not run. The
+// returned channel is closed when the last request in progress has been answered.
 func (g *Gateway) Drain() <-chan struct{} {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if !g.draining {
 		g.draining = true
 		if g.active == 0 {
-			close(g.idle)
+			close(g.drained)
 		}
 	}
-	return g.idle
+	return g.drained
 }
 
-// Active counts the requests in progress.
+// Active returns the number of requests in progress.
 func (g *Gateway) Active() int {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -194,17 +198,17 @@
 		return
 	}
 	if reason == http.ErrAbortHandler {
-		panic(reason) // the way to cut off an answer that cannot be completed
+		panic(reason) // aborts the connection of an incomplete answer; net/http handles it
 	}
 	g.services.Logger.Log(event.HandlerPanicked, "reason", reason, "stack", string(debug.Stack()))
-	g.refuse(writer, result.New(result.Internal, "the handler failed"))
+	g.writeError(writer, result.New(result.Internal, "request handler panicked"))
 }
 
-// tenant finds the tenant of a request in the configuration in force.
+// tenant returns the tenant that the path names from the current configuration.
 func (g *Gateway) tenant(parameters httprouter.Params) (*config.Tenant, error) {
 	document, _ := g.services.Configuration.Current()
 	if document == nil {
-		return nil, result.New(result.NotReady, "no configuration yet").WithRetryAfter(notReadyHint)
+		return nil, result.New(result.NotReady, "no configuration yet").WithRetryAfter(notReadyRetryAfter)
 	}
 	name := parameters.ByName("tenant")
 	tenant := document.FindTenant(name)
@@ -214,10 +218,10 @@
 	return tenant, nil
 }
 
-// notReadyHint is the hint of a node that is starting.
-const notReadyHint = 500 * time.Millisecond
+// notReadyRetryAfter is the retry delay that a node without a configuration returns.
+const notReadyRetryAfter = 500 * time.Millisecond
 
-// model finds a tenant's model.
+// model returns the tenant and model that the path names.
 func (g *Gateway) model(parameters httprouter.Params) (*config.Tenant, *config.Model, error) {
 	tenant, err := g.tenant(parameters)
 	if err != nil {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -36,29 +36,29 @@
         - {name: upload, pool: b, deadline: 30s, priority: normal, max_attempts: 2, max_body_bytes: 5000000}
 `
 
-// fakes implements every service of the gateway.
-type fakes struct {
-	document *config.Document
-	last     *dispatch.Request
-	body     []byte
-	answer   *dispatch.Answer
-	err      error
-	keyed    bool
-	chunks   []engine.Chunk
-	version  uint64
-	spec     rollout.Spec
-	pull     rollout.Pull
-	release  chan struct{}
+// fakeServices implements every interface of Services except Keyed.
+type fakeServices struct {
+	document    *config.Document
+	lastRequest *dispatch.Request
+	body        []byte
+	answer      *dispatch.Answer
+	err         error
+	keyed       bool
+	chunks      []engine.Chunk
+	version     uint64
+	spec        rollout.Spec
+	pull        rollout.Pull
+	release     chan struct{}
 }
 
-func (f *fakes) Current() (*config.Document, uint64) { return f.document, 1 }
+func (f *fakeServices) Current() (*config.Document, uint64) { return f.document, 1 }
 
-func (f *fakes) Enter(context.Context, string, admission.Priority, time.Time) (func(), error) {
+func (f *fakeServices) Enter(context.Context, string, admission.Priority, time.Time) (func(), error) {
 	return func() {}, nil
 }
 
-func (f *fakes) Do(_ context.Context, request *dispatch.Request) (*dispatch.Answer, error) {
-	f.last = request
+func (f *fakeServices) Do(_ context.Context, request *dispatch.Request) (*dispatch.Answer, error) {
+	f.lastRequest = request
 	if request.Body != nil {
 		content, err := io.ReadAll(request.Body)
 		if err != nil {
@@ -72,14 +72,14 @@
 	return f.answer, f.err
 }
 
-type keyedFake struct{ *fakes }
+type keyedDispatcher struct{ *fakeServices }
 
-func (k keyedFake) Do(ctx context.Context, request *dispatch.Request) (*dispatch.Answer, error) {
+func (k keyedDispatcher) Do(ctx context.Context, request *dispatch.Request) (*dispatch.Answer, error) {
 	k.keyed = true
-	return k.fakes.Do(ctx, request)
+	return k.fakeServices.Do(ctx, request)
 }
 
-func (f *fakes) Complete(_ context.Context, _ Completion, deliver func(engine.Chunk) error) error {
+func (f *fakeServices) Complete(_ context.Context, _ Completion, deliver func(engine.Chunk) error) error {
 	for _, chunk := range f.chunks {
 		if err := deliver(chunk); err != nil {
 			return err
@@ -88,40 +88,40 @@
 	return f.err
 }
 
-func (f *fakes) Submit(_ context.Context, _ string, spec rollout.Spec) error {
+func (f *fakeServices) Submit(_ context.Context, _ string, spec rollout.Spec) error {
 	f.spec = spec
 	return f.err
 }
 
-func (f *fakes) Pull(_ context.Context, _, _ string, pull rollout.Pull) (rollout.PullAnswer, error) {
+func (f *fakeServices) Pull(_ context.Context, _, _ string, pull rollout.Pull) (rollout.PullAnswer, error) {
 	f.pull = pull
 	return rollout.PullAnswer{JobID: "j", Samples: []rollout.Delivered{}}, f.err
 }
 
-func (f *fakes) Cancel(context.Context, string, string) error { return f.err }
+func (f *fakeServices) Cancel(context.Context, string, string) error { return f.err }
 
-func (f *fakes) Announce(_ context.Context, _, _ string, version uint64) error {
+func (f *fakeServices) Announce(_ context.Context, _, _ string, version uint64) error {
 	f.version = version
 	return f.err
 }
 
-func (f *fakes) Record(string, string, result.Code, time.Duration) {}
+func (f *fakeServices) Record(string, string, result.Code, time.Duration) {}
 
-func answerOf(body string) *dispatch.Answer {
+func newAnswer(body string) *dispatch.Answer {
 	return &dispatch.Answer{
 		Status: http.StatusOK, Header: http.Header{"X-Back-End": {"yes"}}, Buffered: []byte(body), Length: int64(len(body)),
 		Body: io.NopCloser(strings.NewReader(body)), Attempts: 1,
 	}
 }
 
-// start serves a gateway over fakes.
-func start(t *testing.T) (*fakes, *Gateway, string) {
+// startGateway serves a gateway with fake services until the test ends.
+func startGateway(t *testing.T) (*fakeServices, *Gateway, string) {
 	t.Helper()
 	decoded, err := config.Decode([]byte(document))
 	require.NoError(t, err)
-	f := &fakes{document: decoded, answer: answerOf("fine")}
+	f := &fakeServices{document: decoded, answer: newAnswer("fine")}
 	g := New(Services{
-		Configuration: f, Admission: f, Dispatcher: f, Keyed: keyedFake{f}, Completer: f, Jobs: f, Recorder: f,
+		Configuration: f, Admission: f, Dispatcher: f, Keyed: keyedDispatcher{f}, Completer: f, Jobs: f, Recorder: f,
 		Logger: event.Discard(), NewID: func() string { return "id" }, NodeID: "node",
 	})
 	server := httptest.NewUnstartedServer(nil)
@@ -146,37 +146,37 @@
 	return response, string(content)
 }
 
-func detailOf(t *testing.T, content string) ErrorDetail {
+func decodeError(t *testing.T, content string) ErrorDetail {
 	t.Helper()
 	var body ErrorBody
 	require.NoError(t, json.Unmarshal([]byte(content), &body), content)
 	return body.Error
 }
 
-func TestApplicationRequestReachesTheDispatcherAsSent(t *testing.T) {
-	f, _, url := start(t)
+func TestApplicationRequestReachesTheDispatcherUnchanged(t *testing.T) {
+	f, _, url := startGateway(t)
 	response, content := send(t, "POST", url+"/v1/tenants/shop/routes/pay/a%2Fb/c?q=1", "cash", "Idempotency-Key", "k1", "Pathbend-Deadline-Ms", "1500")
 	require.Equal(t, "fine", content)
 	require.Equal(t, "done", response.Header.Get("Pathbend-Run"))
 	require.Equal(t, "yes", response.Header.Get("X-Back-End"))
-	require.Equal(t, "/pay/a%2Fb/c?q=1", f.last.Path)
-	require.Equal(t, "cash", string(f.last.Buffered))
-	require.True(t, f.last.AtMostOnce)
+	require.Equal(t, "/pay/a%2Fb/c?q=1", f.lastRequest.Path)
+	require.Equal(t, "cash", string(f.lastRequest.Buffered))
+	require.True(t, f.lastRequest.AtMostOnce)
 	require.True(t, f.keyed)
-	require.InDelta(t, 1.5, time.Until(f.last.Deadline).Seconds(), 1)
+	require.InDelta(t, 1.5, time.Until(f.lastRequest.Deadline).Seconds(), 1)
 }
 
 func TestLargeAndChunkedBodiesAreStreamed(t *testing.T) {
-	f, _, url := start(t)
+	f, _, url := startGateway(t)
 	large := strings.Repeat("x", replayableBodyBytes+1)
 	_, content := send(t, "PUT", url+"/v1/tenants/shop/routes/upload", large)
 	require.Equal(t, "fine", content)
-	require.Nil(t, f.last.Buffered)
+	require.Nil(t, f.lastRequest.Buffered)
 	require.Len(t, f.body, len(large))
 }
 
-func TestBadInputGetsANumberedErrorThatNamesTheField(t *testing.T) {
-	_, _, url := start(t)
+func TestInvalidInputGetsAnErrorCodeAndTheField(t *testing.T) {
+	_, _, url := startGateway(t)
 	base := url + "/v1/tenants/shop"
 	cases := []struct {
 		method, path, body, header, value string
@@ -212,7 +212,7 @@
 				header = append(header, test.header, test.value)
 			}
 			response, content := send(t, test.method, base+test.path, test.body, header...)
-			detail := detailOf(t, content)
+			detail := decodeError(t, content)
 			require.Equal(t, int(test.code), detail.Code, content)
 			require.Equal(t, test.field, detail.Field)
 			require.Equal(t, result.NotRun, detail.Run)
@@ -222,11 +222,11 @@
 		})
 	}
 	_, content := send(t, "GET", url+"/v1/tenants/none/routes/pay", "")
-	require.Equal(t, int(result.UnknownTenant), detailOf(t, content).Code)
+	require.Equal(t, int(result.UnknownTenant), decodeError(t, content).Code)
 }
 
-func TestSlowBodyAndHugeHeaderEndAndTheNodeGoesOn(t *testing.T) {
-	_, _, url := start(t)
+func TestSlowBodyAndLargeHeaderAreRejected(t *testing.T) {
+	_, _, url := startGateway(t)
 	address := strings.TrimPrefix(url, "http://")
 	slow, err := net.Dial("tcp", address)
 	require.NoError(t, err)
@@ -235,7 +235,7 @@
 	response, err := http.ReadResponse(bufio.NewReader(slow), nil)
 	require.NoError(t, err)
 	content, _ := io.ReadAll(response.Body)
-	require.Equal(t, int(result.SlowBody), detailOf(t, string(content)).Code)
+	require.Equal(t, int(result.SlowBody), decodeError(t, string(content)).Code)
 
 	huge, err := net.Dial("tcp", address)
 	require.NoError(t, err)
@@ -249,36 +249,36 @@
 	require.Equal(t, "fine", body)
 }
 
-func TestRefusalCarriesHintAndRun(t *testing.T) {
-	f, _, url := start(t)
+func TestErrorCarriesRetryAfterAndRun(t *testing.T) {
+	f, _, url := startGateway(t)
 	f.err = result.New(result.RateLimited, "too fast").WithRetryAfter(1200 * time.Millisecond)
 	f.answer = nil
 	response, content := send(t, "POST", url+"/v1/tenants/shop/routes/look", "")
 	require.Equal(t, http.StatusTooManyRequests, response.StatusCode)
 	require.Equal(t, "2", response.Header.Get("Retry-After"))
-	require.Equal(t, int64(1200), detailOf(t, content).RetryAfterMS)
+	require.Equal(t, int64(1200), decodeError(t, content).RetryAfterMS)
 	f.document = nil
 	_, content = send(t, "POST", url+"/v1/tenants/shop/routes/look", "")
-	require.Equal(t, int(result.NotReady), detailOf(t, content).Code)
+	require.Equal(t, int(result.NotReady), decodeError(t, content).Code)
 }
 
-func TestTruncatedStreamCutsTheConnection(t *testing.T) {
-	f, _, url := start(t)
+func TestTruncatedStreamAbortsTheConnection(t *testing.T) {
+	f, _, url := startGateway(t)
 	f.answer = &dispatch.Answer{Status: http.StatusOK, Header: http.Header{}, Length: -1, Body: io.NopCloser(io.MultiReader(
 		strings.NewReader("first half"), &failingReader{}))}
 	response, err := http.Get(url + "/v1/tenants/shop/routes/look")
 	require.NoError(t, err)
 	defer response.Body.Close()
 	_, err = io.ReadAll(response.Body)
-	require.Error(t, err, "a cut-off answer must not look whole")
+	require.Error(t, err, "a truncated answer must not look complete")
 }
 
 type failingReader struct{}
 
 func (*failingReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
-func TestCompletionsNameTheirVersions(t *testing.T) {
-	f, _, url := start(t)
+func TestCompletionsStateTheirWeightVersions(t *testing.T) {
+	f, _, url := startGateway(t)
 	f.chunks = []engine.Chunk{
 		{Tokens: []string{"a", "b"}, Version: 3},
 		{FirstIndex: 2, Tokens: []string{"c"}, Version: 4, FinishReason: "stop"},
@@ -291,8 +291,8 @@
 	require.True(t, strings.HasSuffix(content, "data: [DONE]\n\n"))
 }
 
-func TestDrainRefusesNewAndFinishesOld(t *testing.T) {
-	f, g, url := start(t)
+func TestDrainRejectsNewRequestsAndFinishesRunningOnes(t *testing.T) {
+	f, g, url := startGateway(t)
 	f.release = make(chan struct{})
 	running := make(chan string)
 	go func() {
@@ -308,7 +308,7 @@
 	require.Eventually(t, func() bool { return g.Active() == 1 }, 5*time.Second, time.Millisecond)
 	idle := g.Drain()
 	_, content := send(t, "POST", url+"/v1/tenants/shop/routes/look", "")
-	require.Equal(t, int(result.Draining), detailOf(t, content).Code)
+	require.Equal(t, int(result.Draining), decodeError(t, content).Code)
 	select {
 	case <-idle:
 		t.Fatal("drained with a request in progress")
--- a/internal/gateway/generation.go
+++ b/internal/gateway/generation.go
@@ -16,10 +16,10 @@
 	"github.com/pathbend/pathbend/internal/result"
 )
 
-// completionRequest is the body of a completion, in OpenAI's field names where
-// they exist.
+// completionRequest is the body of a completion request. Its fields have the names of
+// the OpenAI completions API where that has them.
 type completionRequest struct {
-	// Model may repeat the model of the path.
+	// Model is optional; if set, it must equal the model of the path.
 	Model     string `json:"model"`
 	Prompt    string `json:"prompt"`
 	MaxTokens int    `json:"max_tokens"`
@@ -27,20 +27,20 @@
 	Seed      uint64 `json:"seed"`
 }
 
-// completionChoice is one choice of an answer or of a streamed chunk.
+// completionChoice is one choice of an answer or of one chunk of a stream.
 type completionChoice struct {
 	Index        int    `json:"index"`
 	Text         string `json:"text"`
 	FinishReason string `json:"finish_reason,omitempty"`
 }
 
-// completionAnswer is a complete answer or a streamed chunk.
+// completionAnswer is a whole answer or one chunk of a stream.
 type completionAnswer struct {
 	ID      string             `json:"id"`
 	Object  string             `json:"object"`
 	Model   string             `json:"model"`
 	Choices []completionChoice `json:"choices"`
-	// Segments name the weight version of every token range.
+	// Segments states the weight version of every token range.
 	Segments []delivery.Segment `json:"segments"`
 	Usage    *completionUsage   `json:"usage,omitempty"`
 }
@@ -52,23 +52,24 @@
 const (
 	completionObject = "text_completion"
 	defaultMaxTokens = 256
-	// completionDeadline bounds one generation.
+	// completionDeadline is the time from its arrival after which a generation is no
+	// longer admitted.
 	completionDeadline = 10 * time.Minute
 )
 
 func (g *Gateway) handleCompletion(writer http.ResponseWriter, request *http.Request, parameters httprouter.Params) {
-	began := time.Now()
+	startedAt := time.Now()
 	tenant, model, err := g.model(parameters)
 	if err != nil {
-		g.refuse(writer, err)
+		g.writeError(writer, err)
 		return
 	}
 	var code result.Code
 	if err := g.serveCompletion(writer, request, tenant, model); err != nil {
 		code = result.From(err).Code
-		g.refuse(writer, err)
+		g.writeError(writer, err)
 	}
-	g.services.Recorder.Record(tenant.Name, model.Name, code, time.Since(began))
+	g.services.Recorder.Record(tenant.Name, model.Name, code, time.Since(startedAt))
 }
 
 func (g *Gateway) serveCompletion(writer http.ResponseWriter, request *http.Request, tenant *config.Tenant, model *config.Model) error {
@@ -83,11 +84,11 @@
 	if err != nil {
 		return err
 	}
-	leave, err := g.services.Admission.Enter(request.Context(), tenant.Name, priority, time.Now().Add(completionDeadline))
+	release, err := g.services.Admission.Enter(request.Context(), tenant.Name, priority, time.Now().Add(completionDeadline))
 	if err != nil {
 		return err
 	}
-	defer leave()
+	defer release()
 	completion := Completion{
 		Tenant: tenant.Name, Model: model, RequestID: g.services.NewID(), Prompt: body.Prompt,
 		MaxTokens: body.MaxTokens, Seed: body.Seed, Priority: priority,
@@ -95,7 +96,7 @@
 	if body.Stream {
 		return g.streamCompletion(writer, request, completion)
 	}
-	return g.wholeCompletion(writer, request, completion)
+	return g.bufferedCompletion(writer, request, completion)
 }
 
 func (b *completionRequest) validate(model *config.Model) error {
@@ -104,7 +105,7 @@
 	}
 	switch {
 	case b.Model != "" && b.Model != model.Name:
-		return result.New(result.MalformedRequest, "names %q, the path names %q", b.Model, model.Name).WithField("model")
+		return result.New(result.MalformedRequest, "is %q but the path names %q", b.Model, model.Name).WithField("model")
 	case b.Prompt == "":
 		return result.New(result.MalformedRequest, "must not be empty").WithField("prompt")
 	case b.MaxTokens < 1 || b.MaxTokens > model.MaxTokens:
@@ -113,7 +114,7 @@
 	return nil
 }
 
-func (g *Gateway) wholeCompletion(writer http.ResponseWriter, request *http.Request, completion Completion) error {
+func (g *Gateway) bufferedCompletion(writer http.ResponseWriter, request *http.Request, completion Completion) error {
 	var text strings.Builder
 	var segments []delivery.Segment
 	tokens, reason := 0, ""
@@ -127,7 +128,7 @@
 	if err != nil {
 		return err
 	}
-	g.answerJSON(writer, completionAnswer{
+	g.writeJSON(writer, completionAnswer{
 		ID: completion.RequestID, Object: completionObject, Model: completion.Model.Name,
 		Choices:  []completionChoice{{Text: text.String(), FinishReason: reason}},
 		Segments: segments, Usage: &completionUsage{CompletionTokens: tokens},
@@ -135,8 +136,8 @@
 	return nil
 }
 
-// streamCompletion passes chunks on as server-sent events. Once the first one
-// is written, a failure can only cut the connection.
+// streamCompletion forwards chunks as server-sent events. After the first one is
+// written, a failure can only be reported by aborting the connection.
 func (g *Gateway) streamCompletion(writer http.ResponseWriter, request *http.Request, completion Completion) error {
 	controller := http.NewResponseController(writer)
 	started := false
@@ -183,6 +184,6 @@
 	return controller.Flush()
 }
 
-// PriorityAtEngine maps a priority to the engine's scale. Work of callers goes
-// before rollout work, which has RolloutPriority and grows with age.
+// PriorityAtEngine converts a priority to the engine's scale. Callers' requests rank
+// above rollout attempts, whose priority rises with the age of their slot.
 func PriorityAtEngine(priority admission.Priority) int { return 100 + 10*int(priority) }
--- a/internal/gateway/trainer.go
+++ b/internal/gateway/trainer.go
@@ -9,7 +9,7 @@
 	"github.com/pathbend/pathbend/internal/rollout"
 )
 
-// versionRequest states that a trainer published a weight version.
+// versionRequest is the body in which a trainer announces a weight version.
 type versionRequest struct {
 	Version uint64 `json:"version"`
 }
@@ -21,7 +21,7 @@
 
 func (g *Gateway) handleVersion(writer http.ResponseWriter, request *http.Request, parameters httprouter.Params) {
 	answer, err := g.serveVersion(writer, request, parameters)
-	g.conclude(writer, answer, err)
+	g.writeResult(writer, answer, err)
 }
 
 func (g *Gateway) serveVersion(writer http.ResponseWriter, request *http.Request, parameters httprouter.Params) (any, error) {
@@ -49,7 +49,7 @@
 
 func (g *Gateway) handleSubmit(writer http.ResponseWriter, request *http.Request, parameters httprouter.Params) {
 	answer, err := g.serveSubmit(writer, request, parameters)
-	g.conclude(writer, answer, err)
+	g.writeResult(writer, answer, err)
 }
 
 func (g *Gateway) serveSubmit(writer http.ResponseWriter, request *http.Request, parameters httprouter.Params) (any, error) {
@@ -76,7 +76,7 @@
 
 func (g *Gateway) handlePull(writer http.ResponseWriter, request *http.Request, parameters httprouter.Params) {
 	answer, err := g.servePull(writer, request, parameters)
-	g.conclude(writer, answer, err)
+	g.writeResult(writer, answer, err)
 }
 
 func (g *Gateway) servePull(writer http.ResponseWriter, request *http.Request, parameters httprouter.Params) (any, error) {
@@ -99,13 +99,13 @@
 	if err == nil {
 		err = g.services.Jobs.Cancel(request.Context(), tenant.Name, parameters.ByName("job"))
 	}
-	g.conclude(writer, struct{}{}, err)
+	g.writeResult(writer, struct{}{}, err)
 }
 
-func (g *Gateway) conclude(writer http.ResponseWriter, answer any, err error) {
+func (g *Gateway) writeResult(writer http.ResponseWriter, answer any, err error) {
 	if err != nil {
-		g.refuse(writer, err)
+		g.writeError(writer, err)
 		return
 	}
-	g.answerJSON(writer, answer)
+	g.writeJSON(writer, answer)
 }
