--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -17,33 +17,35 @@
 )
 
 const (
-	maxChunkBytes = 1 << 20
-	maxReplyBytes = 1 << 20
-	maxIdleConns  = 512
-	// LoadTimeout bounds a load report, OrderTimeout an order's answer.
-	LoadTimeout  = time.Second
+	maxChunkBytes    = 1 << 20
+	maxResponseBytes = 1 << 20
+	maxIdleConns     = 512
+	// LoadTimeout limits the time to fetch a load report.
+	LoadTimeout = time.Second
+	// OrderTimeout limits the time to execute an order.
 	OrderTimeout = 60 * time.Second
-	// silenceTimeout is how long a stream may deliver nothing.
-	silenceTimeout = 10 * time.Second
+	// streamIdleTimeout is how long a stream may go without a line before it is cancelled.
+	streamIdleTimeout = 10 * time.Second
 )
 
-// ErrStaleFence means that the engine accepted an order with a higher fence.
-var ErrStaleFence = errors.New("engine has accepted a higher fence")
+// ErrStaleFence means that the engine already accepted an order with a higher fencing
+// token.
+var ErrStaleFence = errors.New("engine has already accepted a higher fencing token")
 
-// ErrBusy means that the engine did not start the generation.
-var ErrBusy = errors.New("engine takes no more work")
+// ErrBusy means that the engine rejected the request without executing it.
+var ErrBusy = errors.New("engine accepts no more requests")
 
-// Client speaks to engines. It is safe for concurrent use.
+// Client sends requests to engines. It is safe for concurrent use.
 type Client struct {
 	client *http.Client
 }
 
-// NewClient returns a client over a network.
-func NewClient(over network.Network) *Client {
-	return &Client{client: &http.Client{Transport: network.NewTransport(over, maxIdleConns)}}
+// NewClient returns a client that opens its connections through a network.
+func NewClient(dialer network.Network) *Client {
+	return &Client{client: &http.Client{Transport: network.NewTransport(dialer, maxIdleConns)}}
 }
 
-// Close releases idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.client.CloseIdleConnections() }
 
 // Load fetches an engine's load report.
@@ -55,7 +57,7 @@
 	return load, err
 }
 
-// Order sends a fenced order and waits until it is carried out.
+// Order sends a fenced order and waits until the engine has executed it.
 func (c *Client) Order(ctx context.Context, address string, order Order) error {
 	ctx, cancel := context.WithTimeout(ctx, OrderTimeout)
 	defer cancel()
@@ -68,7 +70,7 @@
 		return err
 	}
 	defer response.Body.Close()
-	content, err := io.ReadAll(io.LimitReader(response.Body, maxReplyBytes))
+	content, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return err
 	}
@@ -107,15 +109,16 @@
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
 		return ErrBusy
 	default:
-		return fmt.Errorf("engine answered %d: %s", response.StatusCode, bytes.TrimSpace(content[:min(len(content), 200)]))
+		return fmt.Errorf("engine returned status %d: %s", response.StatusCode, bytes.TrimSpace(content[:min(len(content), 200)]))
 	}
 }
 
-// Stream is a running generation. It is used by one goroutine.
+// Stream is the token stream of a running generation. It is not safe for concurrent
+// use.
 type Stream struct {
 	requestID string
 	model     string
-	next      int
+	nextIndex int
 	finished  bool
 	cancel    context.CancelFunc
 	watchdog  *time.Timer
@@ -123,15 +126,16 @@
 	reader    *bufio.Reader
 }
 
-// Generate starts a generation. ErrBusy means that it did not start. Close must
-// be called; before the last chunk it cancels the generation at the engine.
+// Generate starts a generation. ErrBusy means that it did not start. The caller must
+// call Close on the stream; before the last chunk this cancels the generation on the
+// engine.
 func (c *Client) Generate(ctx context.Context, address string, request GenerateRequest) (*Stream, error) {
 	request.Stream = true
 	ctx, cancel := context.WithCancel(ctx)
-	watchdog := time.AfterFunc(silenceTimeout, cancel)
+	watchdog := time.AfterFunc(streamIdleTimeout, cancel)
 	response, err := c.send(ctx, http.MethodPost, "http://"+address+"/v1/completions", request)
 	if err == nil && response.StatusCode != http.StatusOK {
-		content, _ := io.ReadAll(io.LimitReader(response.Body, maxReplyBytes))
+		content, _ := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 		response.Body.Close()
 		err = checkStatus(response, content)
 	}
@@ -143,7 +147,7 @@
 	return &Stream{
 		requestID: request.RequestID,
 		model:     request.Model,
-		next:      len(request.ResumeTokens),
+		nextIndex: len(request.ResumeTokens),
 		cancel:    cancel,
 		watchdog:  watchdog,
 		body:      response.Body,
@@ -156,18 +160,18 @@
 	doneMarker = []byte("[DONE]")
 )
 
-// Next returns the next chunk. io.EOF follows the chunk with a finish reason;
-// a stream that ends earlier is an error.
+// Next returns the next chunk. After the chunk with a finish reason it returns io.EOF;
+// a stream that ends earlier is an AnswerTruncated error.
 func (s *Stream) Next() (Chunk, error) {
 	for {
 		line, err := s.readLine()
 		if err != nil {
 			return Chunk{}, err
 		}
-		s.watchdog.Reset(silenceTimeout)
+		s.watchdog.Reset(streamIdleTimeout)
 		payload, ok := bytes.CutPrefix(line, dataPrefix)
 		if !ok {
-			continue // comments and blank lines keep the stream alive
+			continue // comments and blank lines only reset the idle timeout
 		}
 		if bytes.Equal(payload, doneMarker) {
 			if !s.finished {
@@ -185,7 +189,7 @@
 		part, err := s.reader.ReadSlice('\n')
 		line = append(line, part...)
 		if len(line) > maxChunkBytes {
-			return nil, result.New(result.AnswerTooLarge, "stream line is over %d bytes", maxChunkBytes)
+			return nil, result.New(result.AnswerTooLarge, "stream line exceeds %d bytes", maxChunkBytes)
 		}
 		if errors.Is(err, bufio.ErrBufferFull) {
 			continue
@@ -203,22 +207,22 @@
 		return Chunk{}, result.Wrap(result.AnswerTruncated, err, "decode chunk")
 	}
 	if chunk.RequestID != s.requestID || chunk.Model != s.model {
-		return Chunk{}, result.New(result.AnswerMismatch, "chunk of request %q model %q on the stream of %q model %q",
+		return Chunk{}, result.New(result.AnswerMismatch, "received a chunk of request %q, model %q on the stream of request %q, model %q",
 			chunk.RequestID, chunk.Model, s.requestID, s.model)
 	}
-	if chunk.FirstIndex != s.next {
-		return Chunk{}, result.New(result.AnswerMismatch, "chunk starts at token %d where %d was due", chunk.FirstIndex, s.next)
+	if chunk.FirstIndex != s.nextIndex {
+		return Chunk{}, result.New(result.AnswerMismatch, "chunk starts at token %d, expected %d", chunk.FirstIndex, s.nextIndex)
 	}
 	if chunk.Version == 0 && len(chunk.Tokens) > 0 {
-		return Chunk{}, result.New(result.AnswerMismatch, "chunk names no weight version")
+		return Chunk{}, result.New(result.AnswerMismatch, "chunk has no weight version")
 	}
-	s.next += len(chunk.Tokens)
+	s.nextIndex += len(chunk.Tokens)
 	s.finished = chunk.FinishReason != ""
 	return chunk, nil
 }
 
-// Close ends the stream. Closing an unfinished one tells the engine to stop by
-// closing the connection.
+// Close closes the stream. If the generation is unfinished, this closes the connection,
+// which makes the engine cancel it.
 func (s *Stream) Close() {
 	s.watchdog.Stop()
 	s.body.Close()
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -16,7 +16,8 @@
 	"github.com/pathbend/pathbend/internal/result"
 )
 
-// serve starts an engine that answers every request with a handler.
+// serve starts an engine that answers every request with handler, and returns a client
+// and the engine's address.
 func serve(t testing.TB, handler http.HandlerFunc) (*Client, string) {
 	t.Helper()
 	server := httptest.NewServer(handler)
@@ -28,7 +29,7 @@
 	return client, strings.TrimPrefix(server.URL, "http://")
 }
 
-func lines(events ...string) http.HandlerFunc {
+func streamEvents(events ...string) http.HandlerFunc {
 	return func(writer http.ResponseWriter, _ *http.Request) {
 		for _, event := range events {
 			fmt.Fprintf(writer, "data: %s\n\n", event)
@@ -36,7 +37,7 @@
 	}
 }
 
-func chunk(id string, first int, version uint64, finish string, tokens ...string) string {
+func encodeChunk(id string, first int, version uint64, finish string, tokens ...string) string {
 	encoded, _ := json.Marshal(Chunk{RequestID: id, Model: "m", FirstIndex: first, Tokens: tokens, Version: version, FinishReason: finish})
 	return string(encoded)
 }
@@ -62,45 +63,45 @@
 	}
 }
 
-func TestWholeStreamIsRead(t *testing.T) {
-	chunks, err := generate(t, lines(chunk("r", 1, 3, "", "b"), chunk("r", 2, 4, "stop", "c", "d"), "[DONE]"), "a")
+func TestCompleteStreamIsRead(t *testing.T) {
+	chunks, err := generate(t, streamEvents(encodeChunk("r", 1, 3, "", "b"), encodeChunk("r", 2, 4, "stop", "c", "d"), "[DONE]"), "a")
 	require.NoError(t, err)
 	require.Len(t, chunks, 2)
 	require.Equal(t, uint64(4), chunks[1].Version)
 }
 
-func TestCrossedBrokenAndUnnamedStreamsAreErrors(t *testing.T) {
+func TestInvalidStreamsAreErrors(t *testing.T) {
 	cases := map[string]struct {
 		events []string
 		code   result.Code
 	}{
-		"another request":  {[]string{chunk("other", 0, 3, "stop", "a"), "[DONE]"}, result.AnswerMismatch},
-		"a gap":            {[]string{chunk("r", 0, 3, "", "a"), chunk("r", 2, 3, "stop", "c"), "[DONE]"}, result.AnswerMismatch},
-		"repeated tokens":  {[]string{chunk("r", 0, 3, "", "a"), chunk("r", 0, 3, "stop", "a"), "[DONE]"}, result.AnswerMismatch},
-		"no version":       {[]string{chunk("r", 0, 0, "stop", "a"), "[DONE]"}, result.AnswerMismatch},
-		"no end":           {[]string{chunk("r", 0, 3, "", "a")}, result.AnswerTruncated},
-		"no finish reason": {[]string{chunk("r", 0, 3, "", "a"), "[DONE]"}, result.AnswerTruncated},
+		"another request":  {[]string{encodeChunk("other", 0, 3, "stop", "a"), "[DONE]"}, result.AnswerMismatch},
+		"a gap":            {[]string{encodeChunk("r", 0, 3, "", "a"), encodeChunk("r", 2, 3, "stop", "c"), "[DONE]"}, result.AnswerMismatch},
+		"repeated tokens":  {[]string{encodeChunk("r", 0, 3, "", "a"), encodeChunk("r", 0, 3, "stop", "a"), "[DONE]"}, result.AnswerMismatch},
+		"no version":       {[]string{encodeChunk("r", 0, 0, "stop", "a"), "[DONE]"}, result.AnswerMismatch},
+		"no end":           {[]string{encodeChunk("r", 0, 3, "", "a")}, result.AnswerTruncated},
+		"no finish reason": {[]string{encodeChunk("r", 0, 3, "", "a"), "[DONE]"}, result.AnswerTruncated},
 		"garbage":          {[]string{"{"}, result.AnswerTruncated},
 		"an endless line":  {[]string{strings.Repeat("x", 2*maxChunkBytes)}, result.AnswerTooLarge},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			_, err := generate(t, lines(test.events...))
+			_, err := generate(t, streamEvents(test.events...))
 			require.True(t, result.Is(err, test.code), "%v", err)
 		})
 	}
 }
 
-func TestBusyAndFencedEnginesAreTold(t *testing.T) {
+func TestBusyAndStaleFenceErrors(t *testing.T) {
 	_, err := generate(t, func(writer http.ResponseWriter, _ *http.Request) { writer.WriteHeader(http.StatusServiceUnavailable) })
 	require.ErrorIs(t, err, ErrBusy)
 	client, address := serve(t, func(writer http.ResponseWriter, _ *http.Request) { writer.WriteHeader(http.StatusConflict) })
 	require.ErrorIs(t, client.Order(context.Background(), address, Order{Fence: 1}), ErrStaleFence)
 }
 
-// BenchmarkStream reads chunks of eight tokens, as an owner of jobs does.
+// BenchmarkStream reads chunks of eight tokens, as the node that owns a job does.
 func BenchmarkStream(b *testing.B) {
-	event := "data: " + chunk("r", 0, 3, "", "token1", "token2", "token3", "token4", "token5", "token6", "token7", "token8") + "\n\n"
+	event := "data: " + encodeChunk("r", 0, 3, "", "token1", "token2", "token3", "token4", "token5", "token6", "token7", "token8") + "\n\n"
 	client, address := serve(b, func(writer http.ResponseWriter, request *http.Request) {
 		for request.Context().Err() == nil {
 			if _, err := io.WriteString(writer, event); err != nil {
@@ -116,6 +117,6 @@
 		if _, err := stream.Next(); err != nil {
 			b.Fatal(err)
 		}
-		stream.next = 0
+		stream.nextIndex = 0
 	}
 }
