--- a/internal/catalog/admission.go
+++ b/internal/catalog/admission.go
@@ -5,8 +5,8 @@
 	"github.com/pathbend/pathbend/internal/result"
 )
 
-// Caller returns the tenant that a caller with a key calls for, the zero tenant where
-// the deployment has none. The error is Unauthenticated for a key that nobody holds.
+// Caller returns the tenant that holds an API key. It returns the zero tenant if the
+// deployment has no tenants, and an Unauthenticated error if no tenant holds the key.
 func (c *Catalog) Caller(key string) (credential.Tenant, error) {
 	if c.Keys == nil {
 		return credential.Tenant{}, nil
@@ -16,14 +16,14 @@
 	case held:
 		return tenant, nil
 	case key == "":
-		return tenant, result.New(result.Unauthenticated, "the request carries no key")
+		return tenant, result.New(result.Unauthenticated, "request has no API key")
 	default:
-		return tenant, result.New(result.Unauthenticated, "no tenant holds the key of the request")
+		return tenant, result.New(result.Unauthenticated, "API key of the request belongs to no tenant")
 	}
 }
 
-// Admit returns the tenant for which a caller with a key uses a route. A public route
-// needs no key; a key that is shown all the same tells the tenant.
+// Admit returns the tenant on whose behalf a caller with an API key uses a route. A
+// public route needs no key, but a valid key still determines the tenant.
 func (c *Catalog) Admit(route *Route, key string) (credential.Tenant, error) {
 	tenant, err := c.Caller(key)
 	if err != nil && route.Public {
--- a/internal/catalog/admission_test.go
+++ b/internal/catalog/admission_test.go
@@ -10,35 +10,35 @@
 )
 
 func TestOnlyKeysOfTenantsAreAdmitted(t *testing.T) {
-	ring := credential.NewKeyring([]credential.Grant{{Tenant: credential.Tenant{Name: "T"}, Keys: []string{"held-key"}}})
-	open := &Catalog{}
-	closed := &Catalog{Keys: ring}
-	emptied := &Catalog{Keys: credential.NewKeyring(nil)}
+	keyring := credential.NewKeyring([]credential.Grant{{Tenant: credential.Tenant{Name: "T"}, Keys: []string{"held-key"}}})
+	withoutTenants := &Catalog{}
+	withTenants := &Catalog{Keys: keyring}
+	withoutKeys := &Catalog{Keys: credential.NewKeyring(nil)}
 	public, private := &Route{Public: true}, &Route{}
-	for _, one := range []struct {
-		name   string
-		in     *Catalog
-		route  *Route
-		key    string
-		tenant string
-		denied bool
+	for _, test := range []struct {
+		name    string
+		catalog *Catalog
+		route   *Route
+		key     string
+		tenant  string
+		denied  bool
 	}{
-		{"no tenants here", open, private, "", "", false},
-		{"no tenants here, a key of the application's own", open, private, "held-key", "", false},
-		{"held", closed, private, "held-key", "T", false},
-		{"unknown", closed, private, "other-key", "", true},
-		{"absent", closed, private, "", "", true},
-		{"public", closed, public, "", "", false},
-		{"public, held", closed, public, "held-key", "T", false},
-		{"public, unknown", closed, public, "other-key", "", false},
-		{"an empty table lets nobody in", emptied, private, "held-key", "", true},
+		{"deployment without tenants", withoutTenants, private, "", "", false},
+		{"deployment without tenants, key of the application", withoutTenants, private, "held-key", "", false},
+		{"valid key", withTenants, private, "held-key", "T", false},
+		{"unknown key", withTenants, private, "other-key", "", true},
+		{"no key", withTenants, private, "", "", true},
+		{"public route, no key", withTenants, public, "", "", false},
+		{"public route, valid key", withTenants, public, "held-key", "T", false},
+		{"public route, unknown key", withTenants, public, "other-key", "", false},
+		{"empty keyring admits no key", withoutKeys, private, "held-key", "", true},
 	} {
-		tenant, err := one.in.Admit(one.route, one.key)
-		require.Equal(t, one.denied, result.Is(err, result.Unauthenticated), one.name)
-		require.Equal(t, one.denied, err != nil, one.name)
-		require.Equal(t, one.tenant, tenant.Name, one.name)
-		if err != nil && one.key != "" {
-			require.NotContains(t, err.Error(), one.key, "a key must not stand in an error")
+		tenant, err := test.catalog.Admit(test.route, test.key)
+		require.Equal(t, test.denied, result.Is(err, result.Unauthenticated), test.name)
+		require.Equal(t, test.denied, err != nil, test.name)
+		require.Equal(t, test.tenant, tenant.Name, test.name)
+		if err != nil && test.key != "" {
+			require.NotContains(t, err.Error(), test.key, "an error must not contain the key")
 		}
 	}
 }
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,6 +1,6 @@
-// Package catalog holds the routes and services that operators declare for a
-// node whose configuration comes from a platform. It is pure: a Catalog is
-// built once from a document and only read afterwards.
+// Package catalog contains the routes and services that operators declare for a
+// node whose configuration comes from a platform. A Catalog is built once from a
+// document and is immutable afterwards.
 package catalog
 
 import (
@@ -17,86 +17,90 @@
 	"github.com/pathbend/pathbend/internal/result"
 )
 
-// Kind tells how often a request of a route may run and what it carries.
+// Kind is the type of a route's requests: how often they may run and what they carry.
 type Kind int
 
 // Kinds of routes.
 const (
 	// Repeatable requests may run more than once.
 	Repeatable Kind = iota + 1
-	// AtMostOnce requests run once a try at most.
+	// AtMostOnce requests run at most once each time the caller sends them.
 	AtMostOnce
-	// Stream requests are answered by a series of events.
+	// Stream requests are answered with a stream of events.
 	Stream
-	// Rollout routes take batch jobs of generations.
+	// Rollout routes accept batch jobs of generations.
 	Rollout
 )
 
-// Share is a service's part of a route's traffic.
+// Share is a service's weighted share of a route's traffic.
 type Share struct {
 	Service string
 	Weight  int
 }
 
-// Route maps requests of a host and path prefix to services.
+// Route maps requests for a host and path prefix to services.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Timeout bounds how long a request is held; 0 for no bound.
+	// Timeout limits how long a request may take; 0 means no limit.
 	Timeout time.Duration
-	// Objective is the time inside which an answer is wanted.
+	// Objective is the latency objective of an answer.
 	Objective time.Duration
-	// MaxAttempts bounds the samplers that one try is sent to.
+	// MaxAttempts limits the samplers that are tried for one request of a caller.
 	MaxAttempts int
 	Priority    int
 	Resumable   bool
-	// Public lets callers use the route without a key.
+	// Public allows callers to use the route without an API key.
 	Public bool
-	// SingleVersion wants the text of an item made by one weight version.
+	// SingleVersion requires that one weight version generates an item's whole text.
 	SingleVersion bool
-	// Due is when all results of a batch job are wanted, counted from its
-	// submission; GiveUp when items may be given up.
-	Due    time.Duration
+	// Due is the time from the submission of a batch job by which all its results
+	// should be complete.
+	Due time.Duration
+	// GiveUp is the time from the submission of a batch job after which items may be
+	// abandoned.
 	GiveUp time.Duration
-	// Regions are those in which the route's work may be served.
+	// Regions are the regions in which requests of the route may be served.
 	Regions locality.Regions
-	// Shares has one entry or more.
+	// Shares has at least one entry.
 	Shares []Share
 }
 
 // Service is a group of samplers.
 type Service struct {
 	Name string
-	// Models are the models that its samplers serve; none for applications.
+	// Models are the models that the samplers serve; empty for applications.
 	Models []string
-	// Slots is the number of requests that one sampler runs at once, if known.
+	// Slots is the number of requests that one sampler runs concurrently; 0 if unknown.
 	Slots int
-	// MaxConnections bounds the connections to one sampler from all callers.
+	// MaxConnections limits the connections to one sampler from all callers together.
 	MaxConnections int
-	// ColdStart is how long a sampler is cold after its start, ColdPerSecond how many
-	// requests a second it bears meanwhile; 0 where its samplers are never cold.
-	ColdStart     time.Duration
+	// ColdStart is how long a sampler is cold (warming up) after its start; 0 if samplers
+	// are never cold.
+	ColdStart time.Duration
+	// ColdPerSecond is the number of requests per second that a cold sampler can serve; 0
+	// if samplers are never cold.
 	ColdPerSecond float64
-	// Scaling is nil where the number of samplers is not to be asked for.
+	// Scaling is nil if the service is not scaled automatically.
 	Scaling *Scaling
 }
 
-// Scaling bounds the samplers that the platform may be asked for.
+// Scaling limits the samplers that are ordered from the platform.
 type Scaling struct {
-	// Max bounds the samplers of both kinds in each zone.
+	// Max limits the samplers in each zone, on-demand and spot together.
 	Max int
-	// Boot is how long a new sampler takes until it serves.
+	// Boot is how long a new sampler takes until it serves requests.
 	Boot time.Duration
-	// SpotPrice is the price of a spot sampler as a part of an ordinary one's, 0 where
-	// there are none.
+	// SpotPrice is the price of a spot sampler as a fraction of the on-demand price; 0
+	// if there are no spot samplers.
 	SpotPrice float64
-	// ZonePrices are the prices of a second of an ordinary sampler, in any unit.
+	// ZonePrices are the prices per second of an on-demand sampler by zone, in any unit.
 	ZonePrices map[string]float64
 }
 
-// Limits bound what clients may send. Zero values mean no bound.
+// Limits limits the requests that clients may send. A zero value means no limit.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -104,52 +108,53 @@
 	IdleTimeout   time.Duration
 }
 
-// Catalog is one version of the declared routes and services.
+// Catalog is one version of the declared routes and services. It is immutable and safe
+// for concurrent use.
 type Catalog struct {
 	Version  uint64
 	Services map[string]Service
 	Limits   Limits
-	// Keys tells the tenants of callers; nil where the deployment has no tenants.
+	// Keys maps API keys to tenants; nil if the deployment has no tenants.
 	Keys *credential.Keyring
 
 	byHost map[string][]*Route
 	routes int
 }
 
-// New checks the parts and builds a catalog. keys is nil where the deployment has no
-// tenants.
+// New validates the routes and builds a catalog. keys is nil if the deployment has no
+// tenants. The error is ConfigInvalid and names the route and field.
 func New(version uint64, routes []Route, services []Service, limits Limits, keys *credential.Keyring) (*Catalog, error) {
-	built := &Catalog{
+	catalog := &Catalog{
 		Version: version, Services: make(map[string]Service, len(services)), Limits: limits, Keys: keys,
 		byHost: make(map[string][]*Route), routes: len(routes),
 	}
 	for _, service := range services {
-		built.Services[service.Name] = service
+		catalog.Services[service.Name] = service
 	}
 	for i := range routes {
 		route := &routes[i]
-		if err := route.check(); err != nil {
+		if err := route.validate(); err != nil {
 			return nil, err
 		}
 		host := strings.ToLower(route.Host)
-		built.byHost[host] = append(built.byHost[host], route)
+		catalog.byHost[host] = append(catalog.byHost[host], route)
 	}
-	for _, group := range built.byHost {
+	for _, group := range catalog.byHost {
 		slices.SortStableFunc(group, func(a, b *Route) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
 	}
-	return built, nil
+	return catalog, nil
 }
 
-func (r *Route) check() error {
+func (r *Route) validate() error {
 	switch {
 	case r.Host == "":
-		return invalid(r.Name, "host", "must not be empty")
+		return invalidRoute(r.Name, "host", "must not be empty")
 	case !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/"):
-		return invalid(r.Name, "prefix", "must begin and end with a slash")
+		return invalidRoute(r.Name, "prefix", "must begin and end with a slash")
 	case r.Kind == 0:
-		return invalid(r.Name, "kind", "must be a known kind")
+		return invalidRoute(r.Name, "kind", "must be a known kind")
 	case len(r.Shares) == 0:
-		return invalid(r.Name, "service", "must name at least one service")
+		return invalidRoute(r.Name, "service", "must name at least one service")
 	}
 	if r.MaxAttempts < 1 {
 		r.MaxAttempts = 1
@@ -157,15 +162,15 @@
 	return nil
 }
 
-func invalid(route, field, detail string) error {
+func invalidRoute(route, field, detail string) error {
 	return result.New(result.ConfigInvalid, "route %q: %s", route, detail).WithField(field)
 }
 
-// Routes counts the routes.
+// Routes returns the number of routes.
 func (c *Catalog) Routes() int { return c.routes }
 
-// Find returns the route of a host and path: of the host's routes, the one
-// with the longest prefix of the path; nil if there is none.
+// Find returns the route of the host whose prefix is the longest match for the path;
+// nil if no route matches. The case and port of host are ignored.
 func (c *Catalog) Find(host, path string) *Route {
 	host, _, _ = strings.Cut(strings.ToLower(host), ":")
 	for _, route := range c.byHost[host] {
@@ -176,8 +181,8 @@
 	return nil
 }
 
-// ServiceFor returns the service that a request goes to. Requests are spread
-// over the shares by the hash of their id, so that every node decides alike.
+// ServiceFor returns the service that a request is sent to. The hash of the request id
+// selects the share, so that every node selects the same service.
 func (r *Route) ServiceFor(requestID string) string {
 	if len(r.Shares) == 1 {
 		return r.Shares[0].Service
@@ -204,13 +209,13 @@
 	return slices.ContainsFunc(r.Shares, func(share Share) bool { return share.Service == service && share.Weight > 0 })
 }
 
-// RequestServices lists the services to which requests of clients may go, and those that
-// serve no models, to which reward calls go.
+// RequestServices returns the sorted names of the services that receive client requests
+// and of those without models, which receive reward calls.
 func (c *Catalog) RequestServices() []string {
-	wanted := make(map[string]struct{})
+	names := make(map[string]struct{})
 	for name, service := range c.Services {
 		if len(service.Models) == 0 {
-			wanted[name] = struct{}{}
+			names[name] = struct{}{}
 		}
 	}
 	for _, group := range c.byHost {
@@ -219,9 +224,9 @@
 				continue
 			}
 			for _, share := range route.Shares {
-				wanted[share.Service] = struct{}{}
+				names[share.Service] = struct{}{}
 			}
 		}
 	}
-	return slices.Sorted(maps.Keys(wanted))
+	return slices.Sorted(maps.Keys(names))
 }
