--- a/internal/peer/doc.go
+++ b/internal/peer/doc.go
@@ -1,11 +1,11 @@
-// Package peer carries calls between pathbend nodes: one protobuf Envelope per
-// length-delimited frame (protodelim) over TCP, many calls at once on one
-// connection, matched by call id.
+// Package peer sends calls between pathbend nodes over TCP. Every frame is one
+// length-delimited protobuf Envelope (protodelim). A connection carries many
+// concurrent calls; replies are matched to calls by call id.
 //
-// A Server answers calls with a Handler; a Pool keeps one connection per peer
-// address and dials lazily. The first frame of a connection is a Hello that
-// states the protocol version.
+// A Server answers calls with a Handler. A Pool keeps one connection per peer address
+// and dials it at the first call. The first frame of a connection is a Hello with the
+// protocol version.
 //
-// Failures are typed: result.PeerUnreached promises that the call was not
-// sent, result.PeerLost says that it was sent and the reply is missing.
+// Errors are typed: result.PeerUnreached guarantees that the call was not sent;
+// result.PeerLost means that the call may have been sent and the reply is missing.
 package peer
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -16,14 +16,14 @@
 const (
 	// ProtocolVersion is the version of the peer protocol.
 	ProtocolVersion = 1
-	// MaxFrameBytes bounds one frame, and with it the memory that a
+	// MaxFrameBytes limits the size of one frame and with it the memory that a
 	// connection can make the node allocate.
 	MaxFrameBytes = 16 << 20
 )
 
 // ReadEnvelope reads one frame. It returns io.EOF at a clean end of stream, the
-// connection's own error if that broke, and result.FrameTooLarge or
-// result.FrameMalformed if what arrived is no frame.
+// connection's own error if the connection failed, and result.FrameTooLarge or
+// result.FrameMalformed if the received bytes are not a valid frame.
 func ReadEnvelope(reader *bufio.Reader) (*pathbendv1.Envelope, error) {
 	envelope := &pathbendv1.Envelope{}
 	options := protodelim.UnmarshalOptions{MaxSize: MaxFrameBytes}
@@ -44,17 +44,17 @@
 }
 
 func isConnectionError(err error) bool {
-	var operation net.Error
-	return errors.As(err, &operation) || errors.IsAny(err, net.ErrClosed, io.ErrClosedPipe)
+	var netError net.Error
+	return errors.As(err, &netError) || errors.IsAny(err, net.ErrClosed, io.ErrClosedPipe)
 }
 
-// WriteEnvelope writes one frame without flushing.
+// WriteEnvelope writes one frame to writer without flushing it.
 func WriteEnvelope(writer *bufio.Writer, envelope *pathbendv1.Envelope) error {
 	_, err := protodelim.MarshalTo(writer, envelope)
 	return err
 }
 
-// FailureOf converts an error to its wire form.
+// FailureOf converts an error to the Failure that is sent to a peer.
 func FailureOf(err error) *pathbendv1.Failure {
 	typed := result.From(err)
 	return &pathbendv1.Failure{
@@ -65,7 +65,7 @@
 	}
 }
 
-// ErrorOf converts a failure received from a peer to an error.
+// ErrorOf converts a Failure received from a peer to an error.
 func ErrorOf(failure *pathbendv1.Failure) *result.Error {
 	return &result.Error{
 		Code:       result.Code(failure.Code),
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -29,11 +29,12 @@
 	return &pathbendv1.Envelope{Body: &pathbendv1.Envelope_ListMachines{ListMachines: &pathbendv1.ListMachines{}}}
 }
 
-func emptyList(context.Context, *pathbendv1.Envelope) (*pathbendv1.Envelope, error) {
+func emptyMachineList(context.Context, *pathbendv1.Envelope) (*pathbendv1.Envelope, error) {
 	return &pathbendv1.Envelope{Body: &pathbendv1.Envelope_MachineList{MachineList: &pathbendv1.MachineList{}}}, nil
 }
 
-// serve starts a server and returns its address. Everything ends with the test.
+// serve starts a server and returns its address. The server is stopped when the test
+// ends.
 func serve(t *testing.T, handler Handler) string {
 	t.Helper()
 	listener, err := network.TCP{}.Listen("127.0.0.1:0")
@@ -60,7 +61,7 @@
 			if fetch.Key == "refuse" {
 				return nil, result.New(result.Draining, "leaving").WithRetryAfter(time.Second)
 			}
-			// Later calls are answered first.
+			// Later calls are answered before earlier ones.
 			time.Sleep(time.Duration(20-fetch.WaitMs) * time.Millisecond)
 			answer := &pathbendv1.StoredAnswer{Body: []byte(fetch.Key)}
 			return &pathbendv1.Envelope{Body: &pathbendv1.Envelope_StoredAnswer{StoredAnswer: answer}}, nil
@@ -93,7 +94,7 @@
 	})
 }
 
-func TestUnreachedAndLostAreToldApart(t *testing.T) {
+func TestUnreachedAndLostAreDistinguished(t *testing.T) {
 	pool := NewPool(network.TCP{}, "test")
 	defer pool.Close()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -106,7 +107,7 @@
 	stuck := make(chan struct{})
 	address := serve(t, handlerFunc(func(ctx context.Context, _ *pathbendv1.Envelope) (*pathbendv1.Envelope, error) {
 		<-stuck
-		return emptyList(ctx, nil)
+		return emptyMachineList(ctx, nil)
 	}))
 	defer close(stuck)
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Millisecond)
@@ -115,18 +116,18 @@
 	require.True(t, result.Is(err, result.PeerLost))
 }
 
-// TestServerSurvivesBadInput sends what is no valid conversation. The
-// connection ends and the server still answers others.
-func TestServerSurvivesBadInput(t *testing.T) {
-	address := serve(t, handlerFunc(emptyList))
+// TestServerRejectsInvalidInput checks that the server closes a connection with invalid
+// input without an answer and still serves other connections.
+func TestServerRejectsInvalidInput(t *testing.T) {
+	address := serve(t, handlerFunc(emptyMachineList))
 	oversized := binary.AppendUvarint(nil, MaxFrameBytes+1)
-	otherVersion := frameOf(t, &pathbendv1.Envelope{Body: &pathbendv1.Envelope_Hello{Hello: &pathbendv1.Hello{ProtocolVersion: 99}}})
+	otherVersion := encodeFrame(t, &pathbendv1.Envelope{Body: &pathbendv1.Envelope_Hello{Hello: &pathbendv1.Hello{ProtocolVersion: 99}}})
 	for name, input := range map[string][]byte{
 		"garbage":       bytes.Repeat([]byte{0xff}, 64),
 		"http":          []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"),
 		"oversized":     oversized,
 		"other version": otherVersion,
-		"no hello":      frameOf(t, listCall()),
+		"no hello":      encodeFrame(t, listCall()),
 	} {
 		t.Run(name, func(t *testing.T) {
 			connection, err := net.Dial("tcp", address)
@@ -149,7 +150,7 @@
 	require.NoError(t, err)
 }
 
-func frameOf(t testing.TB, envelope *pathbendv1.Envelope) []byte {
+func encodeFrame(t testing.TB, envelope *pathbendv1.Envelope) []byte {
 	t.Helper()
 	var buffer bytes.Buffer
 	writer := bufio.NewWriter(&buffer)
@@ -159,7 +160,7 @@
 }
 
 func FuzzReadEnvelope(f *testing.F) {
-	f.Add(frameOf(f, listCall()))
+	f.Add(encodeFrame(f, listCall()))
 	f.Add(binary.AppendUvarint(nil, MaxFrameBytes+1))
 	f.Add([]byte{0x05, 0x0a})
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -171,12 +172,12 @@
 				require.True(t, known, "%v", err)
 				return
 			}
-			require.NotEmpty(t, frameOf(t, envelope))
+			require.NotEmpty(t, encodeFrame(t, envelope))
 		}
 	})
 }
 
-// slowNetwork lets dials finish only when told.
+// slowNetwork is a TCP network whose dials block until proceed is closed.
 type slowNetwork struct {
 	network.TCP
 	dialled chan struct{}
@@ -189,10 +190,10 @@
 	return s.TCP.Dial(context.WithoutCancel(ctx), address)
 }
 
-// An earlier version waited for ever for a connection that came up while the
-// pool was closed.
-func TestCloseDuringADialEnds(t *testing.T) {
-	address := serve(t, handlerFunc(emptyList))
+// Guards against a deadlock: Close waited forever for a connection that was established
+// while the pool was being closed.
+func TestCloseDuringDialReturns(t *testing.T) {
+	address := serve(t, handlerFunc(emptyMachineList))
 	slow := &slowNetwork{dialled: make(chan struct{}), proceed: make(chan struct{})}
 	pool := NewPool(slow, "test")
 	called := make(chan error, 1)
--- a/internal/peer/pool.go
+++ b/internal/peer/pool.go
@@ -16,14 +16,15 @@
 )
 
 const (
-	// dialTimeout bounds one connection attempt to a peer.
+	// dialTimeout limits one connection attempt to a peer.
 	dialTimeout = 2 * time.Second
-	// silenceLimit is how long a connection may deliver nothing while a call
-	// times out before it is taken for dead.
-	silenceLimit = 3 * time.Second
+	// silenceTimeout is the time without a reply after which a call that times out
+	// closes the connection as dead.
+	silenceTimeout = 3 * time.Second
 )
 
-// Pool holds at most one connection per peer address.
+// Pool sends calls over at most one connection per peer address. It is safe for
+// concurrent use.
 type Pool struct {
 	network network.Network
 	nodeID  string
@@ -31,29 +32,30 @@
 	mutex       sync.Mutex
 	connections map[string]*connection
 	closed      bool
-	group       conc.WaitGroup
+	waitGroup   conc.WaitGroup
 
 	bytesSent     atomic.Int64
 	bytesReceived atomic.Int64
 }
 
-// NewPool returns a pool that introduces itself as nodeID.
+// NewPool returns a pool that sends nodeID in the Hello of its connections.
 func NewPool(network network.Network, nodeID string) *Pool {
 	return &Pool{network: network, nodeID: nodeID, connections: make(map[string]*connection)}
 }
 
-// Traffic returns the bytes sent and received over the pool's connections.
+// Traffic returns the total bytes sent and received over the pool's connections.
 func (p *Pool) Traffic() (sent, received int64) {
 	return p.bytesSent.Load(), p.bytesReceived.Load()
 }
 
-// Call sends one call and waits for its reply or the end of ctx.
+// Call sends one call and waits for the reply or the end of ctx. A failure that the
+// peer returns becomes the error.
 func (p *Pool) Call(ctx context.Context, address string, call *pathbendv1.Envelope) (*pathbendv1.Envelope, error) {
-	target, err := p.connectionTo(ctx, address)
+	conn, err := p.connectionTo(ctx, address)
 	if err != nil {
 		return nil, result.Wrap(result.PeerUnreached, err, "dial "+address)
 	}
-	reply, err := target.call(ctx, call)
+	reply, err := conn.call(ctx, call)
 	if err != nil {
 		return nil, err
 	}
@@ -63,47 +65,47 @@
 	return reply, nil
 }
 
-// Close ends every connection and waits for their readers.
+// Close closes every connection and waits until their goroutines have ended.
 func (p *Pool) Close() {
 	p.mutex.Lock()
 	p.closed = true
 	open := make([]*connection, 0, len(p.connections))
-	for _, target := range p.connections {
-		open = append(open, target)
+	for _, conn := range p.connections {
+		open = append(open, conn)
 	}
 	p.mutex.Unlock()
-	for _, target := range open {
-		target.close()
+	for _, conn := range open {
+		conn.close()
 	}
-	p.group.Wait()
+	p.waitGroup.Wait()
 }
 
 func (p *Pool) connectionTo(ctx context.Context, address string) (*connection, error) {
 	p.mutex.Lock()
-	target, ok := p.connections[address]
+	conn, ok := p.connections[address]
 	if !ok {
 		if p.closed {
 			p.mutex.Unlock()
 			return nil, net.ErrClosed
 		}
-		target = newConnection(p, address)
-		p.connections[address] = target
-		p.group.Go(target.run)
+		conn = newConnection(p, address)
+		p.connections[address] = conn
+		p.waitGroup.Go(conn.run)
 	}
 	p.mutex.Unlock()
-	return target, target.awaitReady(ctx)
+	return conn, conn.awaitReady(ctx)
 }
 
-func (p *Pool) forget(target *connection) {
+func (p *Pool) remove(conn *connection) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.connections[target.address] == target {
-		delete(p.connections, target.address)
+	if p.connections[conn.address] == conn {
+		delete(p.connections, conn.address)
 	}
 }
 
 // connection multiplexes calls over one TCP connection. It is dialled once and
-// discarded at the first error; the pool then makes a new one.
+// discarded at the first error; the next call creates a new one.
 type connection struct {
 	pool    *Pool
 	address string
@@ -112,12 +114,13 @@
 	socket  net.Conn
 	writer  *frameWriter
 
-	// lastRead is when the last reply arrived, in Unix nanoseconds.
-	lastRead atomic.Int64
+	// lastReplyAt is when the last reply arrived, in Unix nanoseconds; at first, when
+	// the connection was established.
+	lastReplyAt atomic.Int64
 
 	mutex   sync.Mutex
 	nextID  uint64
-	waiting map[uint64]chan *pathbendv1.Envelope
+	pending map[uint64]chan *pathbendv1.Envelope
 	closed  bool
 }
 
@@ -126,13 +129,13 @@
 		pool:    pool,
 		address: address,
 		ready:   make(chan struct{}),
-		waiting: make(map[uint64]chan *pathbendv1.Envelope),
+		pending: make(map[uint64]chan *pathbendv1.Envelope),
 	}
 }
 
-// run dials, introduces the node and then reads replies until the end.
+// run dials, sends the Hello and reads replies until the connection ends.
 func (c *connection) run() {
-	defer c.pool.forget(c)
+	defer c.pool.remove(c)
 	err := c.dial()
 	c.dialErr = err
 	close(c.ready)
@@ -151,13 +154,13 @@
 		return err
 	}
 	counted := &countingConn{Conn: socket, pool: c.pool}
-	c.lastRead.Store(time.Now().UnixNano())
+	c.lastReplyAt.Store(time.Now().UnixNano())
 	c.mutex.Lock()
 	c.socket = counted
 	c.writer = newFrameWriter(counted)
 	closed := c.closed
 	c.mutex.Unlock()
-	if closed { // the pool was closed while the dial was under way
+	if closed { // the pool was closed during the dial
 		counted.Close()
 		return net.ErrClosed
 	}
@@ -172,13 +175,13 @@
 		if err != nil {
 			return
 		}
-		c.lastRead.Store(time.Now().UnixNano())
+		c.lastReplyAt.Store(time.Now().UnixNano())
 		c.mutex.Lock()
-		waiter, ok := c.waiting[reply.CallId]
-		delete(c.waiting, reply.CallId)
+		replies, ok := c.pending[reply.CallId]
+		delete(c.pending, reply.CallId)
 		c.mutex.Unlock()
 		if ok {
-			waiter <- reply
+			replies <- reply
 		}
 	}
 }
@@ -193,9 +196,9 @@
 		return
 	}
 	c.closed = true
-	for id, waiter := range c.waiting {
-		close(waiter)
-		delete(c.waiting, id)
+	for id, replies := range c.pending {
+		close(replies)
+		delete(c.pending, id)
 	}
 }
 
@@ -208,9 +211,9 @@
 	}
 }
 
-// call sends a copy of the envelope's body under a fresh id.
+// call sends the body of an envelope under a new call id and waits for the reply.
 func (c *connection) call(ctx context.Context, call *pathbendv1.Envelope) (*pathbendv1.Envelope, error) {
-	waiter := make(chan *pathbendv1.Envelope, 1)
+	replies := make(chan *pathbendv1.Envelope, 1)
 	c.mutex.Lock()
 	if c.closed {
 		c.mutex.Unlock()
@@ -218,42 +221,42 @@
 	}
 	c.nextID++
 	id := c.nextID
-	c.waiting[id] = waiter
+	c.pending[id] = replies
 	c.mutex.Unlock()
 
 	if err := c.writer.write(&pathbendv1.Envelope{CallId: id, Body: call.Body}); err != nil {
-		c.abandon(id)
+		c.removePending(id)
 		return nil, result.Wrap(result.PeerLost, err, "send to "+c.address)
 	}
 	select {
-	case reply, ok := <-waiter:
+	case reply, ok := <-replies:
 		if !ok {
-			return nil, result.New(result.PeerLost, "connection to %s ended", c.address)
+			return nil, result.New(result.PeerLost, "connection to %s closed before the reply arrived", c.address)
 		}
 		return reply, nil
 	case <-ctx.Done():
-		c.abandon(id)
+		c.removePending(id)
 		c.closeIfSilent()
-		return nil, result.Wrap(result.PeerLost, ctx.Err(), "await reply of "+c.address)
+		return nil, result.Wrap(result.PeerLost, ctx.Err(), "wait for reply from "+c.address)
 	}
 }
 
-// closeIfSilent gives up a connection on which nothing arrives any more, so
-// that the next call dials afresh, as after a healed partition.
+// closeIfSilent closes a connection that has not received a reply for silenceTimeout, so
+// that the next call dials again, for example after a partition has healed.
 func (c *connection) closeIfSilent() {
-	last := time.Unix(0, c.lastRead.Load())
-	if time.Since(last) > silenceLimit {
+	last := time.Unix(0, c.lastReplyAt.Load())
+	if time.Since(last) > silenceTimeout {
 		c.close()
 	}
 }
 
-func (c *connection) abandon(id uint64) {
+func (c *connection) removePending(id uint64) {
 	c.mutex.Lock()
-	delete(c.waiting, id)
+	delete(c.pending, id)
 	c.mutex.Unlock()
 }
 
-// countingConn counts the bytes of control traffic.
+// countingConn adds the bytes that it transfers to the pool's counters.
 type countingConn struct {
 	net.Conn
 	pool *Pool
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -17,18 +17,20 @@
 )
 
 const (
-	// helloTimeout bounds how long a new connection may stay silent.
+	// helloTimeout limits the time until a new connection has sent its Hello.
 	helloTimeout = 5 * time.Second
-	// maxConcurrentCalls bounds the calls that one connection runs at once.
+	// maxConcurrentCalls limits the concurrent calls of one connection.
 	maxConcurrentCalls = 4096
 )
 
-// Handler answers one call. The returned envelope needs only its body.
+// Handler answers calls of peers. The returned envelope only needs a body; the server
+// sets the call id.
 type Handler interface {
 	HandlePeer(ctx context.Context, call *pathbendv1.Envelope) (*pathbendv1.Envelope, error)
 }
 
-// Server accepts connections from peers.
+// Server accepts connections from peers and answers their calls. It is safe for
+// concurrent use.
 type Server struct {
 	handler Handler
 	logger  *event.Logger
@@ -36,7 +38,7 @@
 	mutex       sync.Mutex
 	connections map[net.Conn]struct{}
 	closed      bool
-	group       conc.WaitGroup
+	waitGroup   conc.WaitGroup
 }
 
 // NewServer returns a server that answers calls with handler.
@@ -44,7 +46,7 @@
 	return &Server{handler: handler, logger: logger, connections: make(map[net.Conn]struct{})}
 }
 
-// Serve accepts connections until the listener is closed.
+// Serve accepts connections until the listener is closed and returns its error.
 func (s *Server) Serve(listener net.Listener) error {
 	for {
 		connection, err := listener.Accept()
@@ -55,11 +57,11 @@
 			connection.Close()
 			continue
 		}
-		s.group.Go(func() { s.serveConnection(connection) })
+		s.waitGroup.Go(func() { s.serveConnection(connection) })
 	}
 }
 
-// Close ends every connection and waits for running calls.
+// Close closes every connection and waits for running calls.
 func (s *Server) Close() {
 	s.mutex.Lock()
 	s.closed = true
@@ -67,7 +69,7 @@
 		connection.Close()
 	}
 	s.mutex.Unlock()
-	s.group.Wait()
+	s.waitGroup.Wait()
 }
 
 func (s *Server) track(connection net.Conn) bool {
@@ -91,11 +93,11 @@
 	defer s.untrack(connection)
 	reader := bufio.NewReader(connection)
 	if err := s.readHello(connection, reader); err != nil {
-		number := event.PeerRejected
+		code := event.PeerRejected
 		if result.Is(err, result.ProtocolUnsupported) {
-			number = event.PeerProtocol
+			code = event.PeerProtocol
 		}
-		s.logger.Log(number, "remote", connection.RemoteAddr().String(), "error", err.Error())
+		s.logger.Log(code, "remote", connection.RemoteAddr().String(), "error", err.Error())
 		return
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -128,10 +130,10 @@
 	}
 	hello := first.GetHello()
 	if hello == nil {
-		return result.New(result.FrameMalformed, "first frame is no hello")
+		return result.New(result.FrameMalformed, "first frame is not a Hello")
 	}
 	if hello.ProtocolVersion != ProtocolVersion {
-		return result.New(result.ProtocolUnsupported, "peer speaks version %d, this node %d",
+		return result.New(result.ProtocolUnsupported, "peer uses protocol version %d, this node uses %d",
 			hello.ProtocolVersion, ProtocolVersion)
 	}
 	return connection.SetReadDeadline(time.Time{})
@@ -155,11 +157,11 @@
 	}
 	reply.CallId = call.CallId
 	reply.Reply = true
-	// A write error ends the connection; the caller then sees PeerLost.
+	// A write error closes the connection; the caller then gets PeerLost.
 	_ = writer.write(reply)
 }
 
-// frameWriter serialises frames onto one connection.
+// frameWriter writes whole frames to one connection. It is safe for concurrent use.
 type frameWriter struct {
 	mutex      sync.Mutex
 	connection net.Conn
@@ -170,7 +172,7 @@
 	return &frameWriter{connection: connection, writer: bufio.NewWriter(connection)}
 }
 
-// writeTimeout bounds how long a stuck peer can hold a frame.
+// writeTimeout limits how long a peer that does not read can block a write.
 const writeTimeout = 10 * time.Second
 
 func (w *frameWriter) write(envelope *pathbendv1.Envelope) error {
