--- a/internal/network/network.go
+++ b/internal/network/network.go
@@ -1,7 +1,6 @@
-// Package network is the seam between pathbend and the operating system's
-// sockets. Production code uses TCP; the simulation supplies in-memory
-// connections with latency and faults. Nothing else in the product opens a
-// socket.
+// Package network abstracts the operating system's sockets. Production code uses
+// TCP; the simulation provides in-memory connections with latency and faults. All
+// production code opens its sockets through this package.
 package network
 
 import (
@@ -15,9 +14,9 @@
 	// KeepAlivePeriod is the interval of TCP keep-alive probes.
 	KeepAlivePeriod = 15 * time.Second
 	// UnackedTimeout is how long sent bytes may stay unacknowledged before the
-	// connection is given up. It keeps a request that is stuck behind a
-	// partition from reaching a back end after that began to leave, and lets a
-	// node notice a dead connection.
+	// connection is closed. It prevents a request that is delayed by a partition
+	// from reaching a back end that has begun to shut down, and lets a node detect
+	// a dead connection.
 	UnackedTimeout = 2 * time.Second
 )
 
@@ -30,12 +29,12 @@
 // TCP is the Network of the operating system.
 type TCP struct{}
 
-// Listen announces on the local TCP address. Port 0 chooses a free port.
+// Listen listens on a local TCP address. Port 0 selects a free port.
 func (TCP) Listen(address string) (net.Listener, error) {
 	return net.Listen("tcp", address)
 }
 
-// Dial connects to a TCP address.
+// Dial connects to a TCP address with keep-alive probes and UnackedTimeout.
 func (TCP) Dial(ctx context.Context, address string) (net.Conn, error) {
 	dialer := net.Dialer{
 		KeepAlive: KeepAlivePeriod,
@@ -46,12 +45,12 @@
 	return dialer.DialContext(ctx, "tcp", address)
 }
 
-// Abort closes a connection and drops what was not sent yet, where the
-// connection can tell. A plain close would let the operating system go on
-// sending a request that was given up.
+// Abort closes a connection and, if the connection supports SetLinger, discards unsent
+// data. A plain close would let the operating system continue to send a request that
+// was abandoned.
 func Abort(connection net.Conn) error {
 	if lingerer, ok := connection.(interface{ SetLinger(seconds int) error }); ok {
-		// The connection is closed next, whether or not the option took.
+		// The connection is closed in any case, also if the option cannot be set.
 		_ = lingerer.SetLinger(0)
 	}
 	return connection.Close()
--- a/internal/network/reserve.go
+++ b/internal/network/reserve.go
@@ -5,22 +5,22 @@
 	"sync"
 )
 
-// Reserved is TCP with addresses that are reserved before their owner listens. A
-// port that was found free, closed and bound later may be another program's by
-// then; a reserved one is listened on all the while, and the listener is handed to
-// whoever listens there first. It is safe for concurrent use.
+// Reserved is a TCP network that can reserve addresses before their owner listens. A
+// port that was found free, closed and bound again later may have been taken by another
+// program; a reserved address stays open, and the first Listen on it gets the open
+// listener. It is safe for concurrent use.
 type Reserved struct {
 	TCP
 
-	mutex sync.Mutex
-	held  map[string]net.Listener
+	mutex        sync.Mutex
+	reservations map[string]net.Listener
 }
 
 // NewReserved returns a network without reservations.
-func NewReserved() *Reserved { return &Reserved{held: make(map[string]net.Listener)} }
+func NewReserved() *Reserved { return &Reserved{reservations: make(map[string]net.Listener)} }
 
-// Reserve returns an address of the loopback interface that is free for one
-// listener.
+// Reserve reserves a free port of the loopback interface for one listener and returns
+// its address.
 func (r *Reserved) Reserve() (string, error) {
 	listener, err := r.TCP.Listen("127.0.0.1:0")
 	if err != nil {
@@ -29,15 +29,16 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	address := listener.Addr().String()
-	r.held[address] = listener
+	r.reservations[address] = listener
 	return address, nil
 }
 
-// Listen implements Network. It takes a reservation up, or listens as TCP does.
+// Listen implements Network. It returns the listener of a reserved address and ends the
+// reservation, or listens as TCP does.
 func (r *Reserved) Listen(address string) (net.Listener, error) {
 	r.mutex.Lock()
-	listener, reserved := r.held[address]
-	delete(r.held, address)
+	listener, reserved := r.reservations[address]
+	delete(r.reservations, address)
 	r.mutex.Unlock()
 	if reserved {
 		return listener, nil
@@ -45,12 +46,12 @@
 	return r.TCP.Listen(address)
 }
 
-// Close gives up the reservations that nobody took up.
+// Close closes the listeners of unused reservations.
 func (r *Reserved) Close() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	for address, listener := range r.held {
+	for address, listener := range r.reservations {
 		listener.Close()
-		delete(r.held, address)
+		delete(r.reservations, address)
 	}
 }
--- a/internal/network/reserve_test.go
+++ b/internal/network/reserve_test.go
@@ -7,25 +7,25 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Tests found a free port, closed it and bound it later; beside load another
-// program had it by then (TestSubmittedJobBringsBackTheVersion: "address already in
-// use").
-func TestReservedAddressCannotBeTakenByAnother(t *testing.T) {
+// Guards against "address already in use" errors in tests that found a free port, closed
+// it and bound it again later (TestSubmittedJobBringsBackTheVersion): on a loaded machine
+// another program could take the port in between.
+func TestReservedAddressIsNotAvailableToOthers(t *testing.T) {
 	reserved := NewReserved()
 	address, err := reserved.Reserve()
 	require.NoError(t, err)
 	_, err = net.Listen("tcp", address)
-	require.Error(t, err, "it is listened on all the while")
+	require.Error(t, err, "the reserved address stays open")
 	listener, err := reserved.Listen(address)
 	require.NoError(t, err)
 	require.Equal(t, address, listener.Addr().String())
 	require.NoError(t, listener.Close())
 	listener, err = reserved.Listen(address)
-	require.NoError(t, err, "a reservation is taken up once; then it is an address as any other")
+	require.NoError(t, err, "a reservation is used once; afterwards Listen binds the address as usual")
 	require.NoError(t, listener.Close())
 }
 
-func TestClosedReservationsAreFree(t *testing.T) {
+func TestCloseFreesReservations(t *testing.T) {
 	reserved := NewReserved()
 	address, err := reserved.Reserve()
 	require.NoError(t, err)
--- a/internal/network/transport.go
+++ b/internal/network/transport.go
@@ -12,46 +12,48 @@
 const (
 	// idleTimeout is how long an unused HTTP connection is kept.
 	idleTimeout = 60 * time.Second
-	// connectTimeout bounds one attempt to connect.
+	// connectTimeout limits one attempt to connect.
 	connectTimeout = time.Second
 )
 
-// startMark sets the start of an incarnation apart from the host that it runs on. No name
-// or number of a host holds it.
-const startMark = "--"
+// incarnationSeparator separates the host from the start time of an incarnation. Host
+// names are assumed not to contain it.
+const incarnationSeparator = "--"
 
-// OfStart returns an address for a transport's URLs that stands for one incarnation of
-// whoever listens there: transports keep connections by address, and one to a former
-// incarnation, which may have ended behind a partition, is then never used for the newer.
-// An incarnation that tells no start, 0, has the plain address.
-func OfStart(address string, born int64) string {
+// OfStart returns an address, for use in URLs of a transport, that identifies one
+// incarnation of the process that listens there. Transports keep connections by address;
+// the start time in the address prevents a connection to an earlier incarnation, which
+// may have ended behind a partition, from being used for a newer one. startedAtMs is the
+// start time in Unix milliseconds; if it is 0 (unknown), the address is returned
+// unchanged.
+func OfStart(address string, startedAtMs int64) string {
 	host, port, err := net.SplitHostPort(address)
-	if born == 0 || err != nil {
+	if startedAtMs == 0 || err != nil {
 		return address
 	}
-	return net.JoinHostPort(host+startMark+strconv.FormatInt(born, 10), port)
+	return net.JoinHostPort(host+incarnationSeparator+strconv.FormatInt(startedAtMs, 10), port)
 }
 
-// withoutStart returns the plain address.
-func withoutStart(address string) string {
+// withoutIncarnation returns the address without the start time.
+func withoutIncarnation(address string) string {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil {
 		return address
 	}
-	host, _, _ = strings.Cut(host, startMark)
+	host, _, _ = strings.Cut(host, incarnationSeparator)
 	return net.JoinHostPort(host, port)
 }
 
-// NewTransport returns an HTTP transport over a network that keeps up to
-// idlePerHost unused connections to each host and leaves bodies as they are.
-func NewTransport(over Network, idlePerHost int) *http.Transport {
+// NewTransport returns an HTTP transport that connects through dialer, keeps up to
+// maxIdlePerHost idle connections per host and does not decompress bodies.
+func NewTransport(dialer Network, maxIdlePerHost int) *http.Transport {
 	return &http.Transport{
 		DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
 			ctx, cancel := context.WithTimeout(ctx, connectTimeout)
 			defer cancel()
-			return over.Dial(ctx, withoutStart(address))
+			return dialer.Dial(ctx, withoutIncarnation(address))
 		},
-		MaxIdleConnsPerHost: idlePerHost,
+		MaxIdleConnsPerHost: maxIdlePerHost,
 		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
 	}
--- a/internal/network/unacked_linux.go
+++ b/internal/network/unacked_linux.go
@@ -7,7 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// limitUnacked sets TCP_USER_TIMEOUT, tcp(7).
+// limitUnacked sets TCP_USER_TIMEOUT (see tcp(7)): the time that sent data may stay
+// unacknowledged before the kernel closes the connection.
 func limitUnacked(connection syscall.RawConn, timeout time.Duration) error {
 	var optionErr error
 	err := connection.Control(func(descriptor uintptr) {
--- a/internal/network/unacked_other.go
+++ b/internal/network/unacked_other.go
@@ -7,5 +7,5 @@
 	"time"
 )
 
-// limitUnacked does nothing where the system has no such limit.
+// limitUnacked does nothing: TCP_USER_TIMEOUT is only set on Linux.
 func limitUnacked(syscall.RawConn, time.Duration) error { return nil }
