--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -152,6 +152,7 @@
 	g.router.ServeHTTP(writer, request)
 }
 
+// beginRequest counts a request as active; false if the gateway is draining.
 func (g *Gateway) beginRequest() bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/internal/peer/pool.go
+++ b/internal/peer/pool.go
@@ -202,6 +202,7 @@
 	}
 }
 
+// awaitReady waits until the dial has ended and returns its error.
 func (c *connection) awaitReady(ctx context.Context) error {
 	select {
 	case <-c.ready:
--- a/internal/rollout/manager.go
+++ b/internal/rollout/manager.go
@@ -40,13 +40,14 @@
 
 type jobKey struct{ tenant, id string }
 
+// runningJob is a job with the cancel functions of its running attempts, by attempt id.
 type runningJob struct {
 	key            jobKey
 	model          string
 	job            *Job
 	encodedPrompts []byte // JSON of the prompts, compared when a job is submitted again
 	cancels        map[string]context.CancelFunc
-	// changed is closed and replaced whenever a sample becomes ready.
+	// changed is closed and replaced whenever an attempt finishes or the job is removed.
 	changed chan struct{}
 }
 
@@ -126,6 +127,7 @@
 	}
 }
 
+// stopCancelled stops the attempts that the job cancelled. The caller holds m.mutex.
 func (m *Manager) stopCancelled(running *runningJob) {
 	for _, id := range running.job.TakeCancelled() {
 		if cancel, ok := running.cancels[id]; ok {
@@ -135,6 +137,8 @@
 	}
 }
 
+// remove drops a job, cancels its attempts and wakes up waiting pulls. The caller holds
+// m.mutex.
 func (m *Manager) remove(running *runningJob) {
 	delete(m.jobs, running.key)
 	for _, attempt := range slices.Sorted(maps.Keys(running.cancels)) {
