--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -17,47 +17,49 @@
 type Fleet struct {
 	logger *event.Logger
 
-	mutex       sync.Mutex
-	table       *routing.Table
-	application *routing.Profile
-	// allowed keeps the back ends in the regions of a request.
-	allowed    routing.AllowedRegion
-	generation *routing.Profile
-	// states holds the last load report of each engine.
-	states map[string]engineReport
-	// demand is when a generation was last placed on a pool.
-	demand map[string]time.Time
-	// news are endpoints found leaving that peers may not know of yet.
-	news []string
+	mutex              sync.Mutex
+	table              *routing.Table
+	applicationProfile *routing.Profile
+	// allowedRegion restricts a request to the back ends in its allowed regions.
+	allowedRegion     routing.AllowedRegion
+	generationProfile *routing.Profile
+	// engineReports holds the last load report of each engine by its id.
+	engineReports map[string]engineReport
+	// lastRequest is the time at which an engine was last requested, by pool.
+	lastRequest map[string]time.Time
+	// unsentLeaving are the ids of leaving endpoints that peers have not been told of.
+	unsentLeaving []string
 }
 
+// engineReport is a load report with the time at which it was received.
 type engineReport struct {
-	load engine.Load
-	at   time.Time
+	load       engine.Load
+	receivedAt time.Time
 }
 
-// New returns an empty fleet.
+// New returns an empty fleet for a node that polls its engines for load reports.
 func New(random *rand.Rand, logger *event.Logger) *Fleet {
 	return &Fleet{
-		logger:      logger,
-		table:       routing.NewTable(),
-		application: routing.NewApplicationProfile(random),
-		generation:  routing.NewGenerationProfile(random),
-		states:      make(map[string]engineReport),
-		demand:      make(map[string]time.Time),
+		logger:             logger,
+		table:              routing.NewTable(),
+		applicationProfile: routing.NewApplicationProfile(random),
+		generationProfile:  routing.NewGenerationProfile(random),
+		engineReports:      make(map[string]engineReport),
+		lastRequest:        make(map[string]time.Time),
 	}
 }
 
-// NewHosted returns an empty fleet for a node, by its place, whose endpoints send no
-// load reports.
-func NewHosted(random *rand.Rand, place routing.Place, logger *event.Logger) *Fleet {
+// NewHosted returns an empty fleet for a node at the given location whose endpoints
+// send no load reports.
+func NewHosted(random *rand.Rand, location routing.Place, logger *event.Logger) *Fleet {
 	hosted := New(random, logger)
-	hosted.application = routing.NewHostedProfile(random, place)
-	hosted.allowed = routing.AllowedRegion{Topology: place.Topology}
+	hosted.applicationProfile = routing.NewHostedProfile(random, location)
+	hosted.allowedRegion = routing.AllowedRegion{Topology: location.Topology}
 	return hosted
 }
 
-// Update applies the machine list.
+// Update replaces the endpoints with those of a machine list. Nodes in the list are
+// skipped.
 func (f *Fleet) Update(machines []Machine) {
 	listed := make([]routing.Machine, 0, len(machines))
 	for _, machine := range machines {
@@ -77,33 +79,37 @@
 	for _, endpoint := range changes.Leaving {
 		f.logger.Log(event.EndpointLeaving, "endpoint", endpoint.ID, "source", "list")
 	}
-	f.noteGone(changes.Gone)
+	f.handleRemoved(changes.Gone)
 	for _, endpoint := range changes.Restarted {
-		delete(f.states, endpoint.ID)
+		delete(f.engineReports, endpoint.ID)
 		f.logger.Log(event.EndpointRestarted, "endpoint", endpoint.ID, "address", endpoint.Address)
 	}
 }
 
-// noteGone forgets endpoints that are not listed any more.
-func (f *Fleet) noteGone(gone []*routing.Endpoint) {
-	for _, endpoint := range gone {
-		delete(f.states, endpoint.ID)
+// handleRemoved drops the load reports of endpoints that are no longer listed and logs
+// the removal. The caller holds f.mutex.
+func (f *Fleet) handleRemoved(removed []*routing.Endpoint) {
+	for _, endpoint := range removed {
+		delete(f.engineReports, endpoint.ID)
 	}
-	if len(gone) > eachLogged {
-		f.logger.Log(event.EndpointsGone, "count", len(gone), "pools", len(f.table.Pools()))
+	if len(removed) > maxLoggedEndpoints {
+		f.logger.Log(event.EndpointsGone, "count", len(removed), "pools", len(f.table.Pools()))
 		return
 	}
-	for _, endpoint := range gone {
+	for _, endpoint := range removed {
 		f.logger.Log(event.EndpointGone, "endpoint", endpoint.ID)
 	}
 }
 
-// eachLogged is how many endpoints that appear or go together get a line each: a few are
-// news of a back end, many are the list that a node has just read (chosen).
-const eachLogged = 4
+// maxLoggedEndpoints is the largest number of endpoints added or removed together that are
+// logged one by one. A few are changes of single back ends; more are usually the
+// first list that a node reads, which is logged as a count.
+const maxLoggedEndpoints = 4
 
+// logAdded logs endpoints that are listed for the first time. The caller holds
+// f.mutex.
 func (f *Fleet) logAdded(added []*routing.Endpoint) {
-	if len(added) > eachLogged {
+	if len(added) > maxLoggedEndpoints {
 		f.logger.Log(event.EndpointsAdded, "count", len(added), "pools", len(f.table.Pools()))
 		return
 	}
@@ -112,12 +118,12 @@
 	}
 }
 
-// Pick implements dispatch.Balancer for back ends. The attempt counts as
-// started.
+// Pick implements dispatch.Balancer for back ends. It counts the attempt as
+// started. It returns nil if no back end is eligible.
 func (f *Fleet) Pick(request *routing.Request) *routing.Endpoint {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	endpoint := started(f.application.Pick(f.table, request))
+	endpoint := markStarted(f.applicationProfile.Pick(f.table, request))
 	if endpoint != nil {
 		endpoint.Warmup.Sent(request.Now)
 	}
@@ -128,41 +134,45 @@
 func (f *Fleet) RoomAgain(request *routing.Request) (at time.Time, cold bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.table.RoomAgain(request, f.allowed)
+	return f.table.RoomAgain(request, f.allowedRegion)
 }
 
-// PickEngine chooses an engine for a generation, which counts as started.
+// PickEngine picks an engine for a generation and counts the attempt as started.
+// It returns nil if no engine is eligible.
 func (f *Fleet) PickEngine(request *routing.Request) *routing.Endpoint {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.demand[request.Pool] = request.Now
-	return started(f.generation.Pick(f.table, request))
+	f.lastRequest[request.Pool] = request.Now
+	return markStarted(f.generationProfile.Pick(f.table, request))
 }
 
-// InDemand reports whether a generation was placed on a pool of late.
+// InDemand reports whether a generation was requested from a pool within the last
+// window.
 func (f *Fleet) InDemand(pool string, window time.Duration) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	last, ok := f.demand[pool]
+	last, ok := f.lastRequest[pool]
 	return ok && time.Since(last) < window
 }
 
-// NoteVersion records the version that an engine was seen to generate with,
-// which is fresher than its last report.
+// NoteVersion records the weight version of tokens that an engine streamed, which
+// is more recent than the version in its last load report.
 func (f *Fleet) NoteVersion(endpoint *routing.Endpoint, model string, version uint64) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	endpoint.NoteVersion(model, version, time.Now())
 }
 
-func started(endpoint *routing.Endpoint) *routing.Endpoint {
+// markStarted counts an attempt at the picked endpoint, if any.
+func markStarted(endpoint *routing.Endpoint) *routing.Endpoint {
 	if endpoint != nil {
 		endpoint.Started()
 	}
 	return endpoint
 }
 
-// Report implements dispatch.Balancer.
+// Report implements dispatch.Balancer. It releases the attempt and updates the
+// health of the endpoint by its outcome.
 func (f *Fleet) Report(endpoint *routing.Endpoint, report dispatch.Report) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -176,7 +186,7 @@
 	}
 }
 
-// Evacuate applies the list of evacuated zones.
+// Evacuate replaces the set of evacuated zones.
 func (f *Fleet) Evacuate(zones evacuation.Zones) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -190,17 +200,19 @@
 	return f.table.Evacuated(pool)
 }
 
-// MarkLeaving implements dispatch.Balancer: the endpoint itself said so.
+// MarkLeaving implements dispatch.Balancer. It records that the endpoint itself
+// announced that it is leaving.
 func (f *Fleet) MarkLeaving(endpoint *routing.Endpoint) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	// What a former incarnation said tells nothing of the one in its place.
+	// A notice of a previous incarnation does not apply to its replacement.
 	if f.table.Get(endpoint.ID) == endpoint {
 		f.markLeaving(endpoint.ID, "endpoint")
 	}
 }
 
-// MarkLeavingFromPeer records what another node found out.
+// MarkLeavingFromPeer records that another node reported an endpoint as leaving.
+// Unknown endpoints are ignored.
 func (f *Fleet) MarkLeavingFromPeer(id string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -209,32 +221,34 @@
 	}
 }
 
-// markLeaving is called under the lock.
+// markLeaving marks an endpoint and queues it for peers, unless it is marked
+// already. The caller holds f.mutex.
 func (f *Fleet) markLeaving(id, source string) {
 	if !f.table.MarkLeaving(id) {
 		return
 	}
-	f.news = append(f.news, id)
+	f.unsentLeaving = append(f.unsentLeaving, id)
 	f.logger.Log(event.EndpointLeaving, "endpoint", id, "source", source)
 }
 
-// TakeNews returns the endpoints found leaving since the last call.
-func (f *Fleet) TakeNews() []string {
+// TakeNewlyLeaving returns the ids of the endpoints that were marked as leaving since the
+// last call, and clears them.
+func (f *Fleet) TakeNewlyLeaving() []string {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	news := f.news
-	f.news = nil
-	return news
+	leaving := f.unsentLeaving
+	f.unsentLeaving = nil
+	return leaving
 }
 
-// Engine is an engine's identity for polling and orders.
+// Engine identifies an engine to poll or to send orders to.
 type Engine struct {
 	ID      string
 	Address string
 	Leaving bool
 }
 
-// Engines lists the endpoints of a pool.
+// Engines returns the endpoints of a pool.
 func (f *Fleet) Engines(pool string) []Engine {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -246,8 +260,9 @@
 	return engines
 }
 
-// TakeLoad records an engine's load report.
-func (f *Fleet) TakeLoad(id string, load engine.Load, at time.Time) {
+// RecordLoad records a load report of an engine, received at the given time. Reports
+// of unknown engines are ignored.
+func (f *Fleet) RecordLoad(id string, load engine.Load, receivedAt time.Time) {
 	versions := make(map[string]uint64, len(load.Models))
 	for _, model := range load.Models {
 		versions[model.Model] = model.Serving
@@ -255,10 +270,10 @@
 	f.mutex.Lock()
 	endpoint := f.table.Get(id)
 	if endpoint != nil {
-		f.states[id] = engineReport{load: load, at: at}
+		f.engineReports[id] = engineReport{load: load, receivedAt: receivedAt}
 		endpoint.Reported(routing.LoadReport{
 			Running: load.Running, Waiting: load.Waiting, Capacity: load.Capacity, Versions: versions,
-		}, at)
+		}, receivedAt)
 	}
 	f.mutex.Unlock()
 	if load.Leaving && endpoint != nil {
@@ -266,16 +281,16 @@
 	}
 }
 
-// EngineReport returns the last load report and its time; false if there is
-// none.
+// EngineReport returns the last load report of an engine and the time at which it
+// was received, or false if there is none.
 func (f *Fleet) EngineReport(id string) (engine.Load, time.Time, bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	report, ok := f.states[id]
-	return report.load, report.at, ok
+	report, ok := f.engineReports[id]
+	return report.load, report.receivedAt, ok
 }
 
-// EndpointStatus describes an endpoint for the status page.
+// EndpointStatus is the state of an endpoint on the status page.
 type EndpointStatus struct {
 	ID       string              `json:"id"`
 	Pool     string              `json:"pool"`
@@ -288,7 +303,7 @@
 	Models   []engine.ModelState `json:"models,omitempty"`
 }
 
-// Status lists all endpoints by pool and id.
+// Status returns the state of all endpoints, ordered by pool and id.
 func (f *Fleet) Status() []EndpointStatus {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -299,7 +314,7 @@
 			statuses = append(statuses, EndpointStatus{
 				ID: endpoint.ID, Pool: endpoint.Pool, Zone: endpoint.Zone, Address: endpoint.Address,
 				Leaving: endpoint.Leaving, Ejected: endpoint.Ejected(now), InFlight: endpoint.InFlight,
-				Load: endpoint.Load(), Models: f.states[endpoint.ID].load.Models,
+				Load: endpoint.Load(), Models: f.engineReports[endpoint.ID].load.Models,
 			})
 		}
 	}
--- a/internal/fleet/machines.go
+++ b/internal/fleet/machines.go
@@ -17,7 +17,7 @@
 // Role is the role of a machine in the platform's list.
 type Role string
 
-// Roles of machines.
+// Roles in the platform's machine list.
 const (
 	RoleNode    Role = "node"
 	RoleEngine  Role = "engine"
@@ -32,41 +32,46 @@
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
 	Leaving bool   `json:"leaving,omitempty"`
-	// Capacity is the work that it takes at once; 0 if unknown.
+	// Capacity is the number of requests that the machine serves concurrently; 0 if
+	// unknown.
 	Capacity int `json:"capacity,omitempty"`
-	// Born is the start of the back end's incarnation, 0 where back ends do not tell.
+	// Born is the start time of the back end's incarnation; 0 if the back end does
+	// not report it.
 	Born int64 `json:"-"`
-	// ColdFor is how much longer it said that it is cold, Limits what this node may send
-	// it meanwhile. The platform's list has neither.
+	// ColdFor is the remaining warm-up time that the machine reported, and Limits is
+	// what this node may send to it until then. The platform's list contains neither.
 	ColdFor time.Duration `json:"-"`
 	Limits  warmup.Limits `json:"-"`
 }
 
 const (
-	listTimeout  = 2 * time.Second
+	// listTimeout bounds one read of the machine list.
+	listTimeout = 2 * time.Second
+	// maxListBytes is the largest part of a response that is read.
 	maxListBytes = 8 << 20
 )
 
-// ListClient reads the platform's machine list (docs/PLATFORM.md).
+// ListClient reads the platform's machine list (docs/PLATFORM.md). It is not safe for
+// concurrent use.
 type ListClient struct {
 	url    string
 	client *http.Client
-	// etag and last are the list's entity tag and content at the last change.
-	// Only one goroutine lists at a time.
+	// etag and last are the entity tag and content of the last list received in full.
 	etag string
 	last []Machine
 }
 
-// NewListClient returns a client of the service at a host:port address.
-func NewListClient(over network.Network, address string) *ListClient {
-	return &ListClient{url: "http://" + address + "/v1/machines", client: &http.Client{Transport: network.NewTransport(over, 1)}}
+// NewListClient returns a client of the machine list service at a host:port address.
+func NewListClient(transport network.Network, address string) *ListClient {
+	return &ListClient{url: "http://" + address + "/v1/machines", client: &http.Client{Transport: network.NewTransport(transport, 1)}}
 }
 
 // Close releases idle connections.
 func (c *ListClient) Close() { c.client.CloseIdleConnections() }
 
-// List fetches the machine list, or only learns that it has not changed since
-// the last call. It must not be called concurrently.
+// List fetches the machine list. If it has not changed since the last call, List
+// returns the slice of that call and sets unchanged. It must not be called
+// concurrently.
 func (c *ListClient) List(ctx context.Context) (machines []Machine, unchanged bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
@@ -90,7 +95,7 @@
 		return nil, false, err
 	}
 	if response.StatusCode != http.StatusOK {
-		return nil, false, fmt.Errorf("machine list answered %d", response.StatusCode)
+		return nil, false, fmt.Errorf("read machine list: unexpected status %d", response.StatusCode)
 	}
 	var answer struct {
 		Machines []Machine `json:"machines"`
@@ -102,7 +107,8 @@
 	return answer.Machines, false, nil
 }
 
-// Digest returns a hash of a machine list.
+// Digest returns a hash of a machine list. It covers the fields that the platform's
+// list contains, except the capacity.
 func Digest(machines []Machine) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -86,7 +86,7 @@
 	p.group.Go(func() {
 		load, err := n.engines.Load(ctx, target.Address)
 		if err == nil {
-			n.fleet.TakeLoad(target.ID, load, time.Now())
+			n.fleet.RecordLoad(target.ID, load, time.Now())
 		}
 		p.mutex.Lock()
 		defer p.mutex.Unlock()
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -160,7 +160,7 @@
 }
 
 func (m *members) tick() []membership.Message {
-	news := m.node.fleet.TakeNews()
+	news := m.node.fleet.TakeNewlyLeaving()
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	for id := range m.leavingNews {
--- a/internal/node/weights.go
+++ b/internal/node/weights.go
@@ -218,7 +218,7 @@
 	err := w.node.engines.Order(ctx, address, engineOrder(model, order, target, token))
 	// What the engine holds now decides the next order, whatever it answered.
 	if load, loadErr := w.node.engines.Load(ctx, address); loadErr == nil {
-		w.node.fleet.TakeLoad(order.EngineID, load, time.Now())
+		w.node.fleet.RecordLoad(order.EngineID, load, time.Now())
 	}
 	if err != nil && ctx.Err() == nil {
 		number := event.WeightsFailed
