--- a/internal/keyed/answers.go
+++ b/internal/keyed/answers.go
@@ -10,107 +10,118 @@
 )
 
 const (
-	// maxStoredBytes bounds one stored answer, maxStoreBytes all of them.
+	// maxStoredBytes is the size limit of one stored answer.
 	maxStoredBytes = 64 << 10
-	maxStoreBytes  = 64 << 20
+	// maxStoreBytes is the size limit of all stored answers of a node together.
+	maxStoreBytes = 64 << 20
 )
 
-// Stored is the outcome of an execution.
-type Stored struct {
+// Stored is the outcome of an execution, stored for duplicate requests.
+type Outcome struct {
 	Status int
 	Header http.Header
 	Body   []byte
-	// Err is set if the execution ended without an answer.
+	// Err is the error of an execution that ended without an answer, else nil.
 	Err error
-	// TooLarge is set if the answer was passed on but not kept.
+	// TooLarge is set if the answer was returned to the caller but exceeded the
+	// size limit of a stored answer. Header and Body are empty then.
 	TooLarge bool
 }
 
+// execution is one run of a request under its key.
 type execution struct {
 	requestID string
+	// done is closed when outcome is set.
 	done      chan struct{}
-	outcome   Stored
-	began     time.Time
+	outcome   Outcome
+	startedAt time.Time
 }
 
-// answers keeps the executions of this node by key. It is safe for concurrent
+// executionStore stores the executions of this node by key. It is safe for concurrent
 // use.
-type answers struct {
+type executionStore struct {
 	mutex sync.Mutex
 	byKey map[string]*execution
-	order []string
-	bytes int
+	// keysByStart holds the keys in the order in which their executions started. It may
+	// contain keys that were discarded.
+	keysByStart []string
+	// storedBytes is the size of all stored bodies.
+	storedBytes int
 }
 
-func newAnswers() *answers { return &answers{byKey: make(map[string]*execution)} }
+func newExecutionStore() *executionStore { return &executionStore{byKey: make(map[string]*execution)} }
 
-// begin records that a request runs under a key.
-func (a *answers) begin(key, requestID string) *execution {
-	a.mutex.Lock()
-	defer a.mutex.Unlock()
-	current := &execution{requestID: requestID, done: make(chan struct{}), began: time.Now()}
-	a.byKey[key] = current
-	a.order = append(a.order, key)
+// start records the start of an execution under a key.
+func (s *executionStore) start(key, requestID string) *execution {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	current := &execution{requestID: requestID, done: make(chan struct{}), startedAt: time.Now()}
+	s.byKey[key] = current
+	s.keysByStart = append(s.keysByStart, key)
 	return current
 }
 
-// finish records the outcome and wakes repeats.
-func (a *answers) finish(current *execution, outcome Stored) {
-	a.mutex.Lock()
-	defer a.mutex.Unlock()
+// finish records the outcome of an execution and wakes the duplicates that wait for
+// it.
+func (s *executionStore) finish(current *execution, outcome Outcome) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	current.outcome = outcome
-	a.bytes += len(outcome.Body)
+	s.storedBytes += len(outcome.Body)
 	close(current.done)
-	a.evict()
+	s.evict()
 }
 
-// forget drops an execution that did not run, so that a repeat may.
-func (a *answers) forget(key string, current *execution, outcome Stored) {
-	a.mutex.Lock()
-	defer a.mutex.Unlock()
+// discard removes an execution whose request did not run, so that a duplicate can run.
+// Waiting duplicates get the given outcome.
+func (s *executionStore) discard(key string, current *execution, outcome Outcome) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	current.outcome = outcome
 	close(current.done)
-	if a.byKey[key] == current {
-		delete(a.byKey, key)
+	if s.byKey[key] == current {
+		delete(s.byKey, key)
 	}
 }
 
-// evict drops the oldest finished executions over the limits.
-func (a *answers) evict() {
+// evict removes executions, oldest first, that are older than
+// idempotency.KeyLifetime or exceed maxStoreBytes. It stops at the first one that is
+// still running. The caller holds s.mutex.
+func (s *executionStore) evict() {
 	now := time.Now()
-	for len(a.order) > 0 {
-		key := a.order[0]
-		oldest, ok := a.byKey[key]
-		expired := ok && now.Sub(oldest.began) >= idempotency.KeyLifetime
-		if ok && !expired && a.bytes <= maxStoreBytes {
+	for len(s.keysByStart) > 0 {
+		key := s.keysByStart[0]
+		oldest, ok := s.byKey[key]
+		expired := ok && now.Sub(oldest.startedAt) >= idempotency.KeyLifetime
+		if ok && !expired && s.storedBytes <= maxStoreBytes {
 			return
 		}
 		if ok {
 			select {
 			case <-oldest.done:
 			default:
-				return // still running
+				return
 			}
-			a.bytes -= len(oldest.outcome.Body)
-			delete(a.byKey, key)
+			s.storedBytes -= len(oldest.outcome.Body)
+			delete(s.byKey, key)
 		}
-		a.order = a.order[1:]
+		s.keysByStart = s.keysByStart[1:]
 	}
 }
 
-// await returns the outcome under a key; false if this node has none or it does
-// not come before ctx ends.
-func (a *answers) await(ctx context.Context, key string) (Stored, bool) {
-	a.mutex.Lock()
-	found, ok := a.byKey[key]
-	a.mutex.Unlock()
+// await returns the outcome under a key, waiting while the execution runs. It
+// returns false if this node has no execution under the key or ctx ends first.
+func (s *executionStore) await(ctx context.Context, key string) (Outcome, bool) {
+	s.mutex.Lock()
+	current, ok := s.byKey[key]
+	s.mutex.Unlock()
 	if !ok {
-		return Stored{}, false
+		return Outcome{}, false
 	}
 	select {
-	case <-found.done:
-		return found.outcome, true
+	case <-current.done:
+		return current.outcome, true
 	case <-ctx.Done():
-		return Stored{}, false
+		return Outcome{}, false
 	}
 }
--- a/internal/keyed/doc.go
+++ b/internal/keyed/doc.go
@@ -1,7 +1,8 @@
 // Package keyed runs requests that carry an idempotency key at most once.
 //
 // Executor binds the key at a majority of its replica group (package
-// idempotency), runs the request, and keeps the answer for repeats. A repeat at
-// any node finds the binding and fetches the answer from the executor that has
-// it. If that executor is gone, the outcome is unknown and says so.
+// idempotency), runs the request, and stores the outcome for duplicate requests.
+// A duplicate at any node finds the binding and fetches the outcome from the
+// executor that holds it. If that executor has failed, the outcome is unknown and
+// the duplicate is answered with result.KeyOutcomeLost.
 package keyed
--- a/internal/keyed/executor.go
+++ b/internal/keyed/executor.go
@@ -17,100 +17,109 @@
 	"github.com/pathbend/pathbend/internal/wait"
 )
 
-// Replicas reaches the replicas of the key space, this node's included.
+// Replicas gives access to the replicas of the key space, including this node's.
 type Replicas interface {
-	// Group returns the present replica group of a shard.
+	// Group returns the current replica group of a shard.
 	Group(shard int) shard.Group
-	// Claim asks one member. An error means that no answer came.
+	// Claim sends a claim to one member. An error means that no answer was received.
 	Claim(ctx context.Context, member string, claim idempotency.Claim) (idempotency.Grant, error)
-	// FetchAnswer asks an executor for a stored outcome.
-	FetchAnswer(ctx context.Context, executor, key string) (Stored, bool, error)
+	// FetchAnswer fetches the outcome under a key from an executor. The bool is false
+	// if the executor has none.
+	FetchAnswer(ctx context.Context, executor, key string) (Outcome, bool, error)
 }
 
-// Runner sends a request to a back end.
+// Runner runs requests.
 type Runner interface {
+	// Do sends a request to a back end and returns its answer.
 	Do(ctx context.Context, request *dispatch.Request) (*dispatch.Answer, error)
 }
 
 const (
 	// claimTimeout bounds one round of claims.
 	claimTimeout = 300 * time.Millisecond
-	// claimPatience is how long rounds are repeated while a group changes.
-	claimPatience = 1500 * time.Millisecond
-	claimPause    = 50 * time.Millisecond
-	// keyRetryHint is the hint after a key could not be bound.
-	keyRetryHint = 500 * time.Millisecond
+	// claimRetryTimeout bounds the rounds of claims of one request while a group changes
+	// or concurrent requests split the claims.
+	claimRetryTimeout = 1500 * time.Millisecond
+	// claimRetryDelay is the minimum delay between two rounds. Up to as much again is
+	// added as jitter.
+	claimRetryDelay = 50 * time.Millisecond
+	// keyRetryAfter is the retry-after hint when a key could not be bound.
+	keyRetryAfter = 500 * time.Millisecond
 )
 
-// Executor runs keyed requests of one node. It is safe for concurrent use.
+// Executor runs the keyed requests of one node. It is safe for concurrent use.
 type Executor struct {
-	selfID   string
-	replicas Replicas
-	runner   Runner
-	newID    func() string
-	answers  *answers
-	// group holds executions that outlive their caller and late claims.
-	group conc.WaitGroup
+	selfID     string
+	replicas   Replicas
+	runner     Runner
+	newID      func() string
+	executions *executionStore
+	// background tracks executions that outlive their callers, and claims and releases
+	// that are still in flight.
+	background conc.WaitGroup
 }
 
-// NewExecutor returns an executor. newID returns unique request ids.
+// NewExecutor returns an executor for the node selfID. newID must return unique
+// request ids.
 func NewExecutor(selfID string, replicas Replicas, runner Runner, newID func() string) *Executor {
-	return &Executor{selfID: selfID, replicas: replicas, runner: runner, newID: newID, answers: newAnswers()}
+	return &Executor{selfID: selfID, replicas: replicas, runner: runner, newID: newID, executions: newExecutionStore()}
 }
 
-// Wait returns when no execution is in progress any more.
-func (e *Executor) Wait() { e.group.Wait() }
+// Wait blocks until no execution and no claim is in progress.
+func (e *Executor) Wait() { e.background.Wait() }
 
 // Do runs a request under its key, or returns the answer of the execution that
-// has the key already.
+// already holds the key.
 func (e *Executor) Do(ctx context.Context, request *dispatch.Request) (*dispatch.Answer, error) {
 	key := request.Tenant + "\n" + request.IdempotencyKey
 	outcome := e.claim(ctx, key, request.Deadline)
 	switch {
 	case outcome.verdict == idempotency.Won:
 		return e.execute(ctx, key, outcome.binding, request)
-	case outcome.held:
-		// Another request holds the key at some replica at least, so it may
-		// have run, and this one must not be reported as not run.
-		return e.repeat(ctx, key, outcome.holder, request.Deadline)
+	case outcome.hasHolder:
+		// Another request holds the key at one replica at least. It may have run,
+		// so this request must not be reported as not run.
+		return e.replay(ctx, key, outcome.holder, request.Deadline)
 	default:
-		return nil, result.New(result.KeyUnavailable, "no majority of the key's replicas answered").
-			WithRetryAfter(keyRetryHint)
+		return nil, result.New(result.KeyUnavailable, "no majority of the replicas bound the key").
+			WithRetryAfter(keyRetryAfter)
 	}
 }
 
-// claimOutcome is the end of a request's rounds of claims.
-type claimOutcome struct {
+// claimResult is the result of one or more rounds of claims.
+type claimResult struct {
 	verdict idempotency.Verdict
 	binding idempotency.Binding
-	// holder is another request that was seen to hold the key, if held.
-	holder idempotency.Binding
-	held   bool
+	// holder is another request that holds the key at some replica. It is valid only
+	// if hasHolder is set.
+	holder    idempotency.Binding
+	hasHolder bool
 }
 
-// claim repeats rounds until one decides, or until a change of the group or a
-// split between concurrent requests has lasted too long. A round that decided
-// nothing is released before the next, which runs under a new request id: a
-// release that overtakes or is overtaken by a claim can then not undo a claim
-// that counts. A claim of an earlier round that its release overtook is released
-// again: only a round that won runs, so it never did.
-func (e *Executor) claim(ctx context.Context, key string, deadline time.Time) claimOutcome {
-	patience := time.Now().Add(min(claimPatience, time.Until(deadline)/2))
-	var earlier []idempotency.Binding
+// claim runs rounds of claims until one is decided, or until a change of the group
+// or a split between concurrent requests has lasted for claimRetryTimeout or half the
+// time to the deadline. The claims of an undecided round are released before the
+// next round, which uses a new request id, so that a release and a claim that arrive
+// out of order cannot undo a claim that counts. If the release of an earlier round
+// arrived before its claim, the claim is still held and is released again; this is
+// safe because a request runs only under the id of a round that won.
+func (e *Executor) claim(ctx context.Context, key string, deadline time.Time) claimResult {
+	retryUntil := time.Now().Add(min(claimRetryTimeout, time.Until(deadline)/2))
+	var previous []idempotency.Binding
 	for {
 		binding := idempotency.Binding{Executor: e.selfID, RequestID: e.newID()}
 		outcome := e.claimRound(ctx, key, binding)
-		if outcome.held && slices.Contains(earlier, outcome.holder) {
+		if outcome.hasHolder && slices.Contains(previous, outcome.holder) {
 			e.release(key, outcome.holder)
-			outcome = claimOutcome{verdict: idempotency.Unavailable, binding: binding}
+			outcome = claimResult{verdict: idempotency.Unavailable, binding: binding}
 		}
-		earlier = append(earlier, binding)
+		previous = append(previous, binding)
 		if outcome.verdict == idempotency.Won || outcome.verdict == idempotency.Taken {
 			return outcome
 		}
 		e.release(key, binding)
-		rest := claimPause + time.Duration(xxhash.Sum64String(binding.RequestID)%uint64(claimPause))
-		if !time.Now().Add(rest).Before(patience) || !wait.For(ctx, rest) {
+		delay := claimRetryDelay + time.Duration(xxhash.Sum64String(binding.RequestID)%uint64(claimRetryDelay))
+		if !time.Now().Add(delay).Before(retryUntil) || !wait.For(ctx, delay) {
 			outcome.verdict = idempotency.Unavailable
 			return outcome
 		}
@@ -122,9 +131,10 @@
 	err   error
 }
 
-// claimRound asks all members at once and returns as soon as it is decided.
-func (e *Executor) claimRound(ctx context.Context, key string, binding idempotency.Binding) claimOutcome {
-	outcome := claimOutcome{verdict: idempotency.Unavailable, binding: binding}
+// claimRound sends a claim to all members of the group at once and returns as soon as
+// the round is decided.
+func (e *Executor) claimRound(ctx context.Context, key string, binding idempotency.Binding) claimResult {
+	outcome := claimResult{verdict: idempotency.Unavailable, binding: binding}
 	index := shard.Of(key)
 	group := e.replicas.Group(index)
 	round := idempotency.NewRound(binding, len(group.Members), shard.Quorum(group.Members))
@@ -141,7 +151,7 @@
 			answers <- claimAnswer{grant, err}
 		})
 	}
-	e.group.Go(func() {
+	e.background.Go(func() {
 		claims.Wait()
 		cancel()
 	})
@@ -152,7 +162,7 @@
 		} else {
 			round.Add(answer.grant)
 		}
-		outcome.holder, outcome.held = round.Holder()
+		outcome.holder, outcome.hasHolder = round.Holder()
 		if outcome.verdict = round.Verdict(); outcome.verdict != idempotency.Undecided {
 			return outcome
 		}
@@ -160,49 +170,51 @@
 	return outcome
 }
 
-// release withdraws the claims of a request that will not run.
+// release withdraws the claims of a request that did not and will not run. It does
+// not wait for the members.
 func (e *Executor) release(key string, binding idempotency.Binding) {
 	index := shard.Of(key)
 	claim := idempotency.Claim{Shard: index, Key: key, Binding: binding, Release: true}
 	for _, member := range e.replicas.Group(index).Members {
-		e.group.Go(func() {
+		e.background.Go(func() {
 			ctx, cancel := context.WithTimeout(context.Background(), claimTimeout)
 			defer cancel()
-			// A lost release leaves the key bound until it expires, which
-			// costs availability of this key only.
+			// If the release is lost, the key stays bound until it expires. Only
+			// this key is unavailable until then.
 			_, _ = e.replicas.Claim(ctx, member, claim)
 		})
 	}
 }
 
-// execute runs the request. It goes on when the caller goes away, so that the
-// caller finds the answer under its key when it comes back.
+// execute runs the request and stores its outcome. The execution continues when the
+// caller disconnects, so that a retry with the same key gets the answer.
 func (e *Executor) execute(ctx context.Context, key string, binding idempotency.Binding, request *dispatch.Request) (*dispatch.Answer, error) {
-	current := e.answers.begin(key, binding.RequestID)
+	run := e.executions.start(key, binding.RequestID)
 	type outcome struct {
 		answer *dispatch.Answer
 		err    error
 	}
 	done := make(chan outcome, 1)
-	e.group.Go(func() {
+	e.background.Go(func() {
 		runCtx, cancel := context.WithDeadline(context.WithoutCancel(ctx), request.Deadline)
 		defer cancel()
 		answer, err := e.runner.Do(runCtx, request)
 		if err == nil {
 			err = e.bufferAnswer(answer)
 		}
-		e.store(key, binding, current, answer, err)
+		e.storeOutcome(key, binding, run, answer, err)
 		done <- outcome{answer, err}
 	})
 	select {
 	case finished := <-done:
 		return finished.answer, finished.err
 	case <-ctx.Done():
-		return nil, result.New(result.CallerGone, "the caller went away; the answer is kept under its key")
+		return nil, result.New(result.CallerGone, "the caller disconnected; the answer is stored under its key")
 	}
 }
 
-// bufferAnswer buffers a streamed answer, as it has to outlive the exchange.
+// bufferAnswer reads a streamed answer into memory, as it must outlive the exchange
+// with the back end.
 func (e *Executor) bufferAnswer(answer *dispatch.Answer) error {
 	if answer.Buffered != nil {
 		return nil
@@ -213,7 +225,7 @@
 		return result.Wrap(result.AnswerTruncated, err, "read answer")
 	}
 	if len(content) > maxStoreBytes {
-		return result.New(result.AnswerTooLarge, "answer to a keyed request is over %d bytes", maxStoreBytes)
+		return result.New(result.AnswerTooLarge, "answer to a keyed request exceeds %d bytes", maxStoreBytes)
 	}
 	answer.Buffered = content
 	answer.Length = int64(len(content))
@@ -221,50 +233,55 @@
 	return nil
 }
 
-func (e *Executor) store(key string, binding idempotency.Binding, current *execution, answer *dispatch.Answer, err error) {
+// storeOutcome records the outcome of an execution. If the request did not run, the key is
+// freed instead.
+func (e *Executor) storeOutcome(key string, binding idempotency.Binding, run *execution, answer *dispatch.Answer, err error) {
 	switch {
 	case err != nil && result.From(err).Run() == result.NotRun:
-		e.answers.forget(key, current, Stored{Err: err})
+		e.executions.discard(key, run, Outcome{Err: err})
 		e.release(key, binding)
 	case err != nil:
-		e.answers.finish(current, Stored{Err: err})
+		e.executions.finish(run, Outcome{Err: err})
 	case len(answer.Buffered) > maxStoredBytes:
-		e.answers.finish(current, Stored{Status: answer.Status, TooLarge: true})
+		e.executions.finish(run, Outcome{Status: answer.Status, TooLarge: true})
 	default:
-		e.answers.finish(current, Stored{Status: answer.Status, Header: answer.Header, Body: answer.Buffered})
+		e.executions.finish(run, Outcome{Status: answer.Status, Header: answer.Header, Body: answer.Buffered})
 	}
 }
 
-// Stored returns this node's outcome under a key, waiting while it runs.
-func (e *Executor) Stored(ctx context.Context, key string) (Stored, bool) {
-	return e.answers.await(ctx, key)
+// AwaitOutcome returns the outcome under a key at this node, waiting while the request runs.
+// It returns false if there is none or ctx ends first.
+func (e *Executor) AwaitOutcome(ctx context.Context, key string) (Outcome, bool) {
+	return e.executions.await(ctx, key)
 }
 
-// repeat answers a request whose key another request holds.
-func (e *Executor) repeat(ctx context.Context, key string, holder idempotency.Binding, deadline time.Time) (*dispatch.Answer, error) {
+// replay answers a duplicate, a request whose key another request holds, with the
+// outcome of the holder.
+func (e *Executor) replay(ctx context.Context, key string, holder idempotency.Binding, deadline time.Time) (*dispatch.Answer, error) {
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
-	stored, found, err := e.fetch(ctx, key, holder)
+	outcome, found, err := e.fetchOutcome(ctx, key, holder)
 	switch {
 	case err != nil:
-		return nil, result.Wrap(result.KeyOutcomeLost, err, "the key ran at node "+holder.Executor+", which cannot be asked")
+		return nil, result.Wrap(result.KeyOutcomeLost, err, "the request with this key ran at node "+holder.Executor+", which did not return its outcome")
 	case !found:
-		return nil, result.New(result.KeyOutcomeLost, "the key ran at node %s, which no longer has the outcome", holder.Executor)
-	case stored.Err != nil:
-		return nil, stored.Err
-	case stored.TooLarge:
-		return nil, result.New(result.KeyOutcomeLost, "the key was answered with status %d and a body too large to keep", stored.Status)
+		return nil, result.New(result.KeyOutcomeLost, "the request with this key ran at node %s, which no longer stores its outcome", holder.Executor)
+	case outcome.Err != nil:
+		return nil, outcome.Err
+	case outcome.TooLarge:
+		return nil, result.New(result.KeyOutcomeLost, "the request with this key was answered with status %d and a body too large to store", outcome.Status)
 	}
 	return &dispatch.Answer{
-		Status: stored.Status, Header: stored.Header, Length: int64(len(stored.Body)), Buffered: stored.Body,
-		Body: io.NopCloser(bytes.NewReader(stored.Body)), Replayed: true,
+		Status: outcome.Status, Header: outcome.Header, Length: int64(len(outcome.Body)), Buffered: outcome.Body,
+		Body: io.NopCloser(bytes.NewReader(outcome.Body)), Replayed: true,
 	}, nil
 }
 
-func (e *Executor) fetch(ctx context.Context, key string, holder idempotency.Binding) (Stored, bool, error) {
+// fetchOutcome gets the outcome under a key from its holder, which may be this node.
+func (e *Executor) fetchOutcome(ctx context.Context, key string, holder idempotency.Binding) (Outcome, bool, error) {
 	if holder.Executor == e.selfID {
-		stored, found := e.Stored(ctx, key)
-		return stored, found, nil
+		outcome, found := e.AwaitOutcome(ctx, key)
+		return outcome, found, nil
 	}
 	return e.replicas.FetchAnswer(ctx, holder.Executor, key)
 }
--- a/internal/keyed/keyed_test.go
+++ b/internal/keyed/keyed_test.go
@@ -19,17 +19,18 @@
 	"github.com/pathbend/pathbend/internal/shard"
 )
 
-// cluster is a set of executors over shared replicas.
+// cluster is a set of executors that share their replicas. It implements Replicas and
+// Runner.
 type cluster struct {
 	mutex     sync.Mutex
 	table     *shard.Table
 	replicas  map[string]*idempotency.Replica
 	executors map[string]*Executor
 	down      map[string]bool
-	// slow delays the next claim at a member, not a release.
-	slow map[string]time.Duration
-	runs atomic.Int64
-	run  func() (*dispatch.Answer, error)
+	// claimDelay is the delay of the next claim at a member. Releases are not delayed.
+	claimDelay map[string]time.Duration
+	runs       atomic.Int64
+	run        func() (*dispatch.Answer, error)
 }
 
 func newCluster(names ...string) *cluster {
@@ -45,15 +46,15 @@
 	var ids atomic.Int64
 	for _, name := range names {
 		c.replicas[name] = idempotency.NewReplica(name)
-		c.replicas[name].Follow(firstGeneration(c.table), time.Now())
+		c.replicas[name].Follow(withoutFormerGroups(c.table), time.Now())
 		c.executors[name] = NewExecutor(name, c, c, func() string { return fmt.Sprint("id-", ids.Add(1)) })
 	}
 	return c
 }
 
-// firstGeneration lets every replica start ready, as if it had been there from
-// the first record on.
-func firstGeneration(table *shard.Table) *shard.Table {
+// withoutFormerGroups removes the former groups, so that every replica starts ready, as
+// if it had been a member since the first record.
+func withoutFormerGroups(table *shard.Table) *shard.Table {
 	exported := table.Export()
 	for _, group := range exported {
 		group.Former, group.FormerGeneration = nil, 0
@@ -65,8 +66,8 @@
 
 func (c *cluster) Claim(_ context.Context, member string, claim idempotency.Claim) (idempotency.Grant, error) {
 	c.mutex.Lock()
-	if delay := c.slow[member]; delay > 0 && !claim.Release {
-		delete(c.slow, member)
+	if delay := c.claimDelay[member]; delay > 0 && !claim.Release {
+		delete(c.claimDelay, member)
 		c.mutex.Unlock()
 		time.Sleep(delay)
 		c.mutex.Lock()
@@ -86,15 +87,15 @@
 	}
 }
 
-func (c *cluster) FetchAnswer(ctx context.Context, executor, key string) (Stored, bool, error) {
+func (c *cluster) FetchAnswer(ctx context.Context, executor, key string) (Outcome, bool, error) {
 	c.mutex.Lock()
 	down := c.down[executor]
 	c.mutex.Unlock()
 	if down {
-		return Stored{}, false, errors.New("down")
+		return Outcome{}, false, errors.New("down")
 	}
-	stored, found := c.executors[executor].Stored(ctx, key)
-	return stored, found, nil
+	outcome, found := c.executors[executor].AwaitOutcome(ctx, key)
+	return outcome, found, nil
 }
 
 func (c *cluster) Do(context.Context, *dispatch.Request) (*dispatch.Answer, error) {
@@ -106,23 +107,23 @@
 	return &dispatch.Request{Tenant: "shop", IdempotencyKey: "k", AtMostOnce: true, Deadline: time.Now().Add(5 * time.Second)}
 }
 
-func TestRepeatAtAnotherNodeGetsTheFirstAnswer(t *testing.T) {
+func TestDuplicateAtAnyNodeGetsTheFirstAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster("a", "b", "c")
 		first, err := c.executors["a"].Do(context.Background(), request())
 		require.NoError(t, err)
 		require.False(t, first.Replayed)
 		for _, name := range []string{"a", "b", "c"} {
-			repeat, err := c.executors[name].Do(context.Background(), request())
+			duplicate, err := c.executors[name].Do(context.Background(), request())
 			require.NoError(t, err)
-			require.True(t, repeat.Replayed)
-			require.Equal(t, "paid", string(repeat.Buffered))
+			require.True(t, duplicate.Replayed)
+			require.Equal(t, "paid", string(duplicate.Buffered))
 		}
 		require.Equal(t, int64(1), c.runs.Load())
 	})
 }
 
-func TestConcurrentRepeatsRunOnce(t *testing.T) {
+func TestConcurrentDuplicatesRunOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster("a", "b", "c")
 		c.run = func() (*dispatch.Answer, error) {
@@ -132,8 +133,8 @@
 		var group sync.WaitGroup
 		for i := range 12 {
 			group.Go(func() {
-				// Split claims may leave nobody with a majority; that is said
-				// to be not run, and it is not.
+				// Split claims may leave no request with a majority. Such a request
+				// must be reported as not run.
 				_, err := c.executors[string(rune('a'+i%3))].Do(context.Background(), request())
 				if err != nil && result.From(err).Run() != result.NotRun {
 					t.Errorf("unexpected: %v", err)
@@ -145,7 +146,7 @@
 	})
 }
 
-func TestCallerThatWentAwayFindsItsAnswer(t *testing.T) {
+func TestRetryAfterDisconnectGetsTheStoredAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster("a", "b", "c")
 		c.run = func() (*dispatch.Answer, error) {
@@ -163,7 +164,7 @@
 	})
 }
 
-func TestLostExecutorLeavesTheOutcomeUnknown(t *testing.T) {
+func TestFailedExecutorMakesTheOutcomeUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster("a", "b", "c")
 		_, err := c.executors["a"].Do(context.Background(), request())
@@ -175,22 +176,22 @@
 	})
 }
 
-func TestNotRunFreesTheKey(t *testing.T) {
+func TestRequestThatDidNotRunFreesTheKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster("a", "b", "c")
-		good := c.run
+		succeed := c.run
 		c.run = func() (*dispatch.Answer, error) { return nil, result.New(result.NoBackEnd, "none") }
 		_, err := c.executors["a"].Do(context.Background(), request())
 		require.True(t, result.Is(err, result.NoBackEnd))
 		c.executors["a"].Wait()
-		c.run = good
+		c.run = succeed
 		answer, err := c.executors["b"].Do(context.Background(), request())
 		require.NoError(t, err)
 		require.False(t, answer.Replayed)
 	})
 }
 
-func TestLostAnswerStaysLostForRepeats(t *testing.T) {
+func TestLostAnswerIsReportedToDuplicates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster("a", "b", "c")
 		c.run = func() (*dispatch.Answer, error) { return nil, result.New(result.AnswerLost, "cut") }
@@ -214,14 +215,15 @@
 	})
 }
 
-// A claim that its own release overtook stays at the replica. The request's next
-// round took it for another request's, which may have run, and failed with an
-// outcome unknown. It showed once in about thirty runs of the test above.
-func TestOwnClaimOfAnEarlierRoundIsNotTakenForAnothers(t *testing.T) {
+// If the release of a round arrives at a replica before the round's claim, the claim
+// stays there. Guards against the next round taking this claim for one of another
+// request, which may have run, and failing with an unknown outcome. Without the delay
+// of the claim it occurs in about one of thirty runs of TestWithoutMajorityNothingRuns.
+func TestOwnClaimOfEarlierRoundIsNotTakenForAnotherRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster("a", "b", "c")
 		c.takeDown("b", "c")
-		c.slow = map[string]time.Duration{"a": time.Millisecond}
+		c.claimDelay = map[string]time.Duration{"a": time.Millisecond}
 		_, err := c.executors["a"].Do(context.Background(), request())
 		require.True(t, result.Is(err, result.KeyUnavailable), "%v", err)
 		require.Zero(t, c.runs.Load())
--- a/internal/node/replicas.go
+++ b/internal/node/replicas.go
@@ -258,10 +258,10 @@
 }
 
 // FetchAnswer implements keyed.Replicas.
-func (r *replicas) FetchAnswer(ctx context.Context, executor, key string) (keyed.Stored, bool, error) {
+func (r *replicas) FetchAnswer(ctx context.Context, executor, key string) (keyed.Outcome, bool, error) {
 	address, err := r.node.addressOf(executor)
 	if err != nil {
-		return keyed.Stored{}, false, err
+		return keyed.Outcome{}, false, err
 	}
 	wait := time.Second
 	if deadline, ok := ctx.Deadline(); ok {
@@ -271,16 +271,16 @@
 		FetchAnswer: &pathbendv1.FetchAnswer{Key: key, WaitMs: wait.Milliseconds()},
 	}})
 	if err != nil {
-		return keyed.Stored{}, false, err
+		return keyed.Outcome{}, false, err
 	}
 	return decodeStored(reply.GetStoredAnswer())
 }
 
-func decodeStored(encoded *pathbendv1.StoredAnswer) (keyed.Stored, bool, error) {
+func decodeStored(encoded *pathbendv1.StoredAnswer) (keyed.Outcome, bool, error) {
 	if !encoded.GetFound() {
-		return keyed.Stored{}, false, nil
+		return keyed.Outcome{}, false, nil
 	}
-	stored := keyed.Stored{Status: int(encoded.Status), Header: make(http.Header), Body: encoded.Body, TooLarge: encoded.TooLarge}
+	stored := keyed.Outcome{Status: int(encoded.Status), Header: make(http.Header), Body: encoded.Body, TooLarge: encoded.TooLarge}
 	for _, header := range encoded.Headers {
 		stored.Header.Add(header.Name, header.Value)
 	}
@@ -294,7 +294,7 @@
 func (n *Node) handleFetch(ctx context.Context, call *pathbendv1.FetchAnswer) *pathbendv1.StoredAnswer {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(call.WaitMs)*time.Millisecond)
 	defer cancel()
-	stored, found := n.keyed.Stored(ctx, call.Key)
+	stored, found := n.keyed.AwaitOutcome(ctx, call.Key)
 	if !found {
 		return &pathbendv1.StoredAnswer{}
 	}
