--- a/internal/idempotency/bench_test.go
+++ b/internal/idempotency/bench_test.go
@@ -9,12 +9,12 @@
 	"github.com/pathbend/pathbend/internal/shard"
 )
 
-// BenchmarkClaim reports the time of a claim and the heap that a held key takes.
+// BenchmarkClaim measures the time of a claim and the heap bytes per bound key.
 func BenchmarkClaim(b *testing.B) {
 	table := shard.NewTable()
 	table.Join(shard.Member{ID: "node-1", Zone: "z"}, 1)
 	replica := NewReplica("node-1")
-	replica.Follow(table, time.Now())
+	replica.ApplyRoster(table, time.Now())
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
--- a/internal/idempotency/doc.go
+++ b/internal/idempotency/doc.go
@@ -1,20 +1,20 @@
-// Package idempotency makes sure that a request marked as not to be repeated
-// runs at most once, whichever nodes see its key.
+// Package idempotency ensures that a request with an idempotency key runs at most
+// once, whichever nodes receive requests with that key.
 //
 // The key space is divided into shards, each with a replica group (package
 // shard). Before a node sends a keyed request to a back end, a majority of the
 // key's group must bind the key to that request; a replica binds a key once.
-// Two majorities intersect, so two requests never both win one key. No write to
-// the platform's log is needed for a request, and the loss of one replica, or
-// of a zone, does not stop the shard.
+// Any two majorities intersect, so two requests never both win one key. A request
+// needs no write to the platform's log, and the loss of one replica, or of a zone,
+// does not make the shard unavailable.
 //
-// Replica is the pure state of one node's shards; Round evaluates the grants
-// that an executor collected. When the roster changes, a new member of a group
-// fetches the entries of a majority of the former group before it grants
-// anything, and whoever it asks grants nothing in the former generation any
-// more. That keeps every earlier binding visible to every later majority.
+// Replica is the state of one node's shards and does no I/O; Round evaluates the
+// grants that an executor received. When the roster changes, a new member of a group
+// fetches the entries of a majority of the former group before it grants claims, and
+// a member that it fetched from grants no more claims of the former generation. Thus
+// every earlier binding is visible to every later majority.
 //
-// A binding lasts for KeyLifetime. If a majority of a former group is lost at
-// once, the shard refuses keyed requests, as not run, for that long: bindings
-// may have been lost with it.
+// A binding lasts for KeyLifetime. If a majority of a former group is lost at once,
+// bindings may have been lost with it, and the shard refuses keyed requests, as not
+// run, for KeyLifetime.
 package idempotency
--- a/internal/idempotency/idempotency_test.go
+++ b/internal/idempotency/idempotency_test.go
@@ -13,161 +13,165 @@
 
 var start = time.Unix(1000, 0)
 
-// world is a set of replicas that learn rosters at different moments.
-type world struct {
-	table    *shard.Table
-	epoch    uint64
-	roster   []shard.Member
-	tables   []*shard.Table // by epoch
+// cluster is a set of replicas that apply rosters at different times.
+type cluster struct {
+	table *shard.Table
+	// epoch is the number of changes of the roster.
+	epoch  uint64
+	roster []shard.Member
+	// tables are the groups after each change of the roster.
+	tables   []*shard.Table
 	replicas map[string]*Replica
-	// seen is the epoch that each node follows.
-	seen map[string]int
-	down map[string]bool
-	next int
+	// applied is the index in tables that each node applied last; -1 for none.
+	applied map[string]int
+	down    map[string]bool
+	// nextNode is the number of the next node to join.
+	nextNode int
 }
 
-func newWorld(size int) *world {
-	w := &world{table: shard.NewTable(), replicas: map[string]*Replica{}, seen: map[string]int{}, down: map[string]bool{}}
+func newCluster(size int) *cluster {
+	c := &cluster{table: shard.NewTable(), replicas: map[string]*Replica{}, applied: map[string]int{}, down: map[string]bool{}}
 	for range size {
-		w.join()
+		c.join()
 	}
-	w.settle()
-	return w
+	c.converge()
+	return c
 }
 
-func (w *world) join() string {
-	id := fmt.Sprintf("node-%d", w.next)
-	member := shard.Member{ID: id, Zone: fmt.Sprintf("zone-%d", w.next%3)}
-	w.roster = append(w.roster, member)
-	w.next++
-	w.replicas[id] = NewReplica(id)
-	w.seen[id] = -1
-	w.epoch++
-	w.table.Join(member, w.epoch)
-	w.tables = append(w.tables, w.table.Clone())
+func (c *cluster) join() string {
+	id := fmt.Sprintf("node-%d", c.nextNode)
+	member := shard.Member{ID: id, Zone: fmt.Sprintf("zone-%d", c.nextNode%3)}
+	c.roster = append(c.roster, member)
+	c.nextNode++
+	c.replicas[id] = NewReplica(id)
+	c.applied[id] = -1
+	c.epoch++
+	c.table.Join(member, c.epoch)
+	c.tables = append(c.tables, c.table.Clone())
 	return id
 }
 
-func (w *world) leave(id string) {
-	for i, member := range w.roster {
+func (c *cluster) leave(id string) {
+	for i, member := range c.roster {
 		if member.ID == id {
-			w.roster = append(append([]shard.Member{}, w.roster[:i]...), w.roster[i+1:]...)
+			c.roster = append(append([]shard.Member{}, c.roster[:i]...), c.roster[i+1:]...)
 			break
 		}
 	}
-	w.epoch++
-	w.table.Leave(id, w.epoch)
-	w.tables = append(w.tables, w.table.Clone())
+	c.epoch++
+	c.table.Leave(id, c.epoch)
+	c.tables = append(c.tables, c.table.Clone())
 }
 
-// follow lets one node see one more roster.
-func (w *world) follow(id string) {
-	if w.seen[id]+1 < len(w.tables) {
-		w.seen[id]++
-		w.replicas[id].Follow(w.tables[w.seen[id]], start)
+// applyNextRoster applies the next roster at one node, if there is one.
+func (c *cluster) applyNextRoster(id string) {
+	if c.applied[id]+1 < len(c.tables) {
+		c.applied[id]++
+		c.replicas[id].ApplyRoster(c.tables[c.applied[id]], start)
 	}
 }
 
-// sync lets one node do its due fetches.
-func (w *world) sync(id string) {
-	for _, task := range w.replicas[id].Tasks(start) {
+// runSyncs runs the due fetches of one node once.
+func (c *cluster) runSyncs(id string) {
+	for _, task := range c.replicas[id].DueSyncs(start) {
 		for _, source := range task.Sources {
-			if w.down[source] || w.replicas[source] == nil {
+			if c.down[source] || c.replicas[source] == nil {
 				continue
 			}
-			entries, ok := w.replicas[source].Export(task.Shard, task.Generation, task.FormerGeneration, start)
+			entries, ok := c.replicas[source].Export(task.Shard, task.Generation, task.FormerGeneration, start)
 			if ok {
-				w.replicas[id].Synced(task, source, entries, start)
+				c.replicas[id].ApplyEntries(task, source, entries, start)
 			}
 		}
 	}
 }
 
-func (w *world) settle() {
-	for range len(w.tables) + 2 {
-		for id := range w.replicas {
-			if !w.down[id] {
-				w.follow(id)
+// converge applies all rosters and runs all fetches at the nodes that are up.
+func (c *cluster) converge() {
+	for range len(c.tables) + 2 {
+		for id := range c.replicas {
+			if !c.down[id] {
+				c.applyNextRoster(id)
 			}
 		}
-		for id := range w.replicas {
-			if !w.down[id] {
-				w.sync(id)
+		for id := range c.replicas {
+			if !c.down[id] {
+				c.runSyncs(id)
 			}
 		}
 	}
 }
 
-// claim tries to win a key with the groups that an executor knows. reach says
-// which members the executor can talk to.
-func (w *world) claim(executor, key, requestID string, reach func(string) bool) Verdict {
-	group := w.tables[max(w.seen[executor], 0)].Group(shard.Of(key))
+// claim runs a round of claims with the groups that an executor has applied. reach
+// reports whether the executor can reach a member.
+func (c *cluster) claim(executor, key, requestID string, reach func(string) bool) Verdict {
+	group := c.tables[max(c.applied[executor], 0)].Group(shard.Of(key))
 	binding := Binding{Executor: executor, RequestID: requestID}
 	round := NewRound(binding, len(group.Members), shard.Quorum(group.Members))
 	for _, member := range group.Members {
-		if w.down[member] || !reach(member) {
+		if c.down[member] || !reach(member) {
 			round.AddFailure()
 			continue
 		}
 		claim := Claim{Shard: shard.Of(key), Generation: group.Generation, Key: key, Binding: binding}
-		round.Add(w.replicas[member].Claim(claim, start))
+		round.Add(c.replicas[member].Claim(claim, start))
 	}
 	return round.Verdict()
 }
 
-func everywhere(string) bool { return true }
+func reachAll(string) bool { return true }
 
 func TestSecondRequestWithTheKeyLosesAtEveryNode(t *testing.T) {
-	w := newWorld(5)
-	require.Equal(t, Won, w.claim("node-0", "k", "r1", everywhere))
+	c := newCluster(5)
+	require.Equal(t, Won, c.claim("node-0", "k", "r1", reachAll))
 	for i := range 5 {
-		require.Equal(t, Taken, w.claim(fmt.Sprintf("node-%d", i), "k", "r2", everywhere))
+		require.Equal(t, Taken, c.claim(fmt.Sprintf("node-%d", i), "k", "r2", reachAll))
 	}
 }
 
 func TestKeysStayBoundThroughARollingReplacement(t *testing.T) {
-	w := newWorld(3)
+	c := newCluster(3)
 	for i := range 50 {
-		require.Equal(t, Won, w.claim("node-0", fmt.Sprint("key-", i), "first", everywhere))
+		require.Equal(t, Won, c.claim("node-0", fmt.Sprint("key-", i), "first", reachAll))
 	}
 	for _, old := range []string{"node-0", "node-1", "node-2"} {
-		w.join()
-		w.settle()
-		w.leave(old)
-		w.settle()
-		w.down[old] = true
+		c.join()
+		c.converge()
+		c.leave(old)
+		c.converge()
+		c.down[old] = true
 	}
 	for i := range 50 {
-		require.Equal(t, Taken, w.claim("node-4", fmt.Sprint("key-", i), "second", everywhere))
-		require.Equal(t, Won, w.claim("node-4", fmt.Sprint("fresh-", i), "first", everywhere))
+		require.Equal(t, Taken, c.claim("node-4", fmt.Sprint("key-", i), "second", reachAll))
+		require.Equal(t, Won, c.claim("node-4", fmt.Sprint("fresh-", i), "first", reachAll))
 	}
 }
 
-func TestOneLostReplicaDoesNotStopTheShardAndTwoDo(t *testing.T) {
-	w := newWorld(3)
-	w.down["node-1"] = true
-	require.Equal(t, Won, w.claim("node-0", "k1", "r", everywhere))
-	w.down["node-2"] = true
-	require.Equal(t, Unavailable, w.claim("node-0", "k2", "r", everywhere))
+func TestShardStaysAvailableWithOneLostReplicaButNotTwo(t *testing.T) {
+	c := newCluster(3)
+	c.down["node-1"] = true
+	require.Equal(t, Won, c.claim("node-0", "k1", "r", reachAll))
+	c.down["node-2"] = true
+	require.Equal(t, Unavailable, c.claim("node-0", "k2", "r", reachAll))
 }
 
-func TestLostMajorityIsWaitedOut(t *testing.T) {
-	w := newWorld(3)
-	w.down["node-1"], w.down["node-2"] = true, true
-	w.leave("node-1")
-	w.leave("node-2")
-	w.join()
-	w.join()
-	w.settle()
-	require.Equal(t, Unavailable, w.claim("node-3", "k", "r", everywhere))
+func TestLostMajorityBlocksClaimsForKeyLifetime(t *testing.T) {
+	c := newCluster(3)
+	c.down["node-1"], c.down["node-2"] = true, true
+	c.leave("node-1")
+	c.leave("node-2")
+	c.join()
+	c.join()
+	c.converge()
+	require.Equal(t, Unavailable, c.claim("node-3", "k", "r", reachAll))
 	for _, id := range []string{"node-0", "node-3", "node-4"} {
-		w.replicas[id].Tasks(start.Add(KeyLifetime))
+		c.replicas[id].DueSyncs(start.Add(KeyLifetime))
 	}
-	require.Equal(t, Won, w.claim("node-3", "k", "r", everywhere))
+	require.Equal(t, Won, c.claim("node-3", "k", "r", reachAll))
 }
 
 func TestReleasedKeyCanBeClaimedAgain(t *testing.T) {
-	replica := newWorld(1).replicas["node-0"]
+	replica := newCluster(1).replicas["node-0"]
 	claim := Claim{Shard: 1, Generation: 1, Key: "k", Binding: Binding{"node-0", "r1"}}
 	require.Equal(t, Grant{Bound, claim.Binding}, replica.Claim(claim, start))
 	other := claim
@@ -181,39 +185,39 @@
 	require.Zero(t, replica.Keys())
 }
 
-// TestNoKeyIsWonTwice lets joins, leaves, crashes, late rosters, partial
-// reachability and claims of a few keys happen in any order.
+// TestNoKeyIsWonTwice runs joins, leaves, crashes, delayed rosters, partial
+// reachability and claims of a few keys in random order.
 func TestNoKeyIsWonTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(4)
+		c := newCluster(4)
 		winners := map[string]int{}
 		anyNode := func() string {
-			return fmt.Sprintf("node-%d", rapid.IntRange(0, w.next-1).Draw(t, "node"))
+			return fmt.Sprintf("node-%d", rapid.IntRange(0, c.nextNode-1).Draw(t, "node"))
 		}
 		for step := range rapid.IntRange(5, 80).Draw(t, "steps") {
 			switch rapid.IntRange(0, 9).Draw(t, "action") {
 			case 0:
-				if w.next < 9 {
-					w.join()
+				if c.nextNode < 9 {
+					c.join()
 				}
 			case 1:
-				if len(w.roster) > 2 {
-					w.leave(w.roster[rapid.IntRange(0, len(w.roster)-1).Draw(t, "leaver")].ID)
+				if len(c.roster) > 2 {
+					c.leave(c.roster[rapid.IntRange(0, len(c.roster)-1).Draw(t, "leaver")].ID)
 				}
 			case 2:
-				w.down[anyNode()] = true
+				c.down[anyNode()] = true
 			case 3:
-				w.down[anyNode()] = false
+				c.down[anyNode()] = false
 			case 4, 5:
-				w.follow(anyNode())
+				c.applyNextRoster(anyNode())
 			case 6:
-				w.sync(anyNode())
+				c.runSyncs(anyNode())
 			default:
 				key := fmt.Sprint("key-", rapid.IntRange(0, 2).Draw(t, "key"))
 				reachable := rapid.SliceOfN(rapid.Bool(), 9, 9).Draw(t, "reachable")
 				index := 0
 				reach := func(string) bool { index++; return reachable[(index-1)%9] }
-				if w.claim(anyNode(), key, fmt.Sprint("request-", step), reach) == Won {
+				if c.claim(anyNode(), key, fmt.Sprint("request-", step), reach) == Won {
 					winners[key]++
 				}
 			}
@@ -224,36 +228,36 @@
 	})
 }
 
-// A group that shrinks to one member must not trust that member alone: the
-// binding may stand at the two others. An earlier version of follow did.
-func TestShrinkingGroupKeepsBindingsOfTheLeavers(t *testing.T) {
-	w := newWorld(3)
-	others := func(member string) bool { return member != "node-0" }
-	require.Equal(t, Won, w.claim("node-1", "k", "r1", others))
-	w.leave("node-1")
-	w.leave("node-2")
-	w.follow("node-0")
-	w.follow("node-0")
-	require.NotEqual(t, Won, w.claim("node-0", "k", "r2", everywhere))
-	w.settle()
-	require.Equal(t, Taken, w.claim("node-0", "k", "r2", everywhere))
-	require.Equal(t, Won, w.claim("node-0", "fresh", "r3", everywhere))
+// Guards against a group that shrinks to one member becoming ready with the entries of
+// that member alone: a binding may exist at the two members that left only.
+func TestShrinkingGroupKeepsBindingsOfLeavingMembers(t *testing.T) {
+	c := newCluster(3)
+	reachOthers := func(member string) bool { return member != "node-0" }
+	require.Equal(t, Won, c.claim("node-1", "k", "r1", reachOthers))
+	c.leave("node-1")
+	c.leave("node-2")
+	c.applyNextRoster("node-0")
+	c.applyNextRoster("node-0")
+	require.NotEqual(t, Won, c.claim("node-0", "k", "r2", reachAll))
+	c.converge()
+	require.Equal(t, Taken, c.claim("node-0", "k", "r2", reachAll))
+	require.Equal(t, Won, c.claim("node-0", "fresh", "r3", reachAll))
 }
 
-// Nodes that join faster than they can fetch must still become ready: an
-// earlier version waited for a former member that was itself not ready.
+// Guards against a node waiting forever for a former member that is not ready itself,
+// when nodes join faster than they can fetch entries.
 func TestNodesThatJoinTogetherBecomeReady(t *testing.T) {
-	w := newWorld(0)
+	c := newCluster(0)
 	for range 5 {
-		w.join()
+		c.join()
 	}
-	for id := range w.replicas {
-		for range w.tables {
-			w.follow(id)
+	for id := range c.replicas {
+		for range c.tables {
+			c.applyNextRoster(id)
 		}
 	}
-	w.settle()
-	for id, replica := range w.replicas {
+	c.converge()
+	for id, replica := range c.replicas {
 		ready, member := replica.ReadyShards()
 		require.Equal(t, member, ready, id)
 		require.Positive(t, member)
--- a/internal/idempotency/round.go
+++ b/internal/idempotency/round.go
@@ -5,28 +5,29 @@
 
 // Verdicts of a round.
 const (
-	// Undecided means that answers are missing that could still decide.
+	// Undecided means that outstanding answers can still decide the round.
 	Undecided Verdict = iota
-	// Won means that a majority bound the key to this request: it may run.
+	// Won means that a majority bound the key to this request, which may run.
 	Won
-	// Taken means that another request holds the key at some replica and this
-	// one cannot win.
+	// Taken means that a majority bound the key to another request.
 	Taken
-	// Unavailable means that too few replicas granted anything.
+	// Unavailable means that no request can get a majority in this round any more.
 	Unavailable
 )
 
-// Round counts the grants to one claim.
+// Round counts the answers to one claim. It is not safe for concurrent use.
 type Round struct {
 	binding Binding
 	members int
 	quorum  int
 	won     int
 	failed  int
-	taken   map[Binding]int
+	// taken counts the grants that name another request.
+	taken map[Binding]int
 }
 
-// NewRound returns a round over a group of members.
+// NewRound returns a round of claims of a binding at a group with the given number of
+// members, of which quorum must grant.
 func NewRound(binding Binding, members, quorum int) *Round {
 	return &Round{binding: binding, members: members, quorum: quorum, taken: make(map[Binding]int)}
 }
@@ -46,9 +47,9 @@
 // AddFailure counts a member that did not answer.
 func (r *Round) AddFailure() { r.failed++ }
 
-// Verdict evaluates the answers so far. A key that another request holds at a
-// minority is Unavailable rather than Taken: that request may have been
-// released, or may still win.
+// Verdict evaluates the answers so far. If another request holds the key at a minority
+// only, the verdict is Unavailable and not Taken, because that request may have been
+// released or may still win.
 func (r *Round) Verdict() Verdict {
 	others, most := 0, 0
 	for _, count := range r.taken {
@@ -68,7 +69,8 @@
 	}
 }
 
-// Holder returns the other request with the most grants; false if none.
+// Holder returns the other request with the most grants, or false if there is none.
+// Among equal counts it returns the lowest request id.
 func (r *Round) Holder() (Binding, bool) {
 	var holder Binding
 	most := 0
--- a/internal/keyed/keyed_test.go
+++ b/internal/keyed/keyed_test.go
@@ -46,7 +46,7 @@
 	var ids atomic.Int64
 	for _, name := range names {
 		c.replicas[name] = idempotency.NewReplica(name)
-		c.replicas[name].Follow(withoutFormerGroups(c.table), time.Now())
+		c.replicas[name].ApplyRoster(withoutFormerGroups(c.table), time.Now())
 		c.executors[name] = NewExecutor(name, c, c, func() string { return fmt.Sprint("id-", ids.Add(1)) })
 	}
 	return c
--- a/internal/node/replicas.go
+++ b/internal/node/replicas.go
@@ -53,7 +53,7 @@
 func (r *replicas) follow(table *shard.Table) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.replica.Follow(table, time.Now())
+	r.replica.ApplyRoster(table, time.Now())
 	select {
 	case r.followed <- struct{}{}:
 	default:
@@ -161,7 +161,7 @@
 func (r *replicas) syncDue(ctx context.Context) bool {
 	now := time.Now()
 	r.mutex.Lock()
-	tasks := r.replica.Tasks(now)
+	tasks := r.replica.DueSyncs(now)
 	if now.Sub(r.expired) >= expireInterval {
 		r.expired = now
 		r.replica.Expire(now)
@@ -180,7 +180,7 @@
 	fetches.Wait()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return len(r.replica.Tasks(now)) > 0
+	return len(r.replica.DueSyncs(now)) > 0
 }
 
 func (r *replicas) fetch(ctx context.Context, source string, tasks []idempotency.SyncTask) {
@@ -209,7 +209,7 @@
 		if !asked || task.Generation != exported.Generation {
 			continue
 		}
-		r.replica.Synced(task, source, decodeEntries(exported.Entries), time.Now())
+		r.replica.ApplyEntries(task, source, decodeEntries(exported.Entries), time.Now())
 	}
 }
 
