--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -17,6 +17,7 @@
 	"github.com/pathbend/pathbend/internal/state"
 )
 
+// adminHeaderTimeout bounds the read of a request's header by the admin server.
 const adminHeaderTimeout = 5 * time.Second
 
 // Status is the content of the status page.
@@ -27,7 +28,8 @@
 	Ready         bool    `json:"ready"`
 	Draining      bool    `json:"draining"`
 	ActiveRequest int     `json:"active_requests"`
-	// Revision is the configuration revision in force.
+	// Revision is the number of the configuration revision in effect; 0 if there is
+	// none.
 	Revision     uint64                         `json:"revision"`
 	LogOffset    uint64                         `json:"log_offset"`
 	RosterEpoch  uint64                         `json:"roster_epoch"`
@@ -43,7 +45,7 @@
 	ShardsMember int                            `json:"shards_member"`
 }
 
-// MemberStatus describes a node as this node sees it.
+// MemberStatus is the state of a node as known to this node.
 type MemberStatus struct {
 	ID      string `json:"id"`
 	Zone    string `json:"zone"`
@@ -51,14 +53,14 @@
 	Status  string `json:"status"`
 }
 
-// VersionStatus is an announced weight version.
+// VersionStatus is the newest announced weight version of a model.
 type VersionStatus struct {
 	Tenant  string `json:"tenant"`
 	Model   string `json:"model"`
 	Version uint64 `json:"version"`
 }
 
-// Status describes the node now.
+// Status returns the current state of the node.
 func (n *Node) Status() Status {
 	_, revision := n.Current()
 	_, lastRead := n.follower.Lag()
@@ -87,6 +89,8 @@
 	return status
 }
 
+// readyShards returns the number of shards in which this node is a ready member, and the
+// number of shards in which it is a member.
 func (r *replicas) readyShards() (ready, member int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -129,13 +133,13 @@
 	_ = json.NewEncoder(writer).Encode(status)
 }
 
-// serveDrain starts a drain and answers when it is done.
+// serveDrain drains the node and answers when the drain has ended.
 func (n *Node) serveDrain(writer http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	n.Drain()
 	_, _ = writer.Write([]byte("drained\n"))
 }
 
-// Drained is closed when a drain has ended.
+// Drained returns a channel that is closed when a drain has ended.
 func (n *Node) Drained() <-chan struct{} { return n.drained }
 
 var statusPage = template.Must(template.New("status").Parse(`<!doctype html>
--- a/internal/node/doc.go
+++ b/internal/node/doc.go
@@ -1,14 +1,15 @@
-// Package node wires one pathbend process together: it starts the listeners
-// and loops, connects the pure decision packages with sockets and time, and
-// drains and stops in order.
+// Package node assembles one pathbend process. It starts the listeners and
+// background loops, connects the packages that do no I/O to the network and the
+// clock, and drains and stops the process in order.
 //
 //	node, err := node.New(settings, network.TCP{}, logger)
 //	err = node.Start()
 //	<-ctx.Done()
 //	node.Drain(); node.Stop()
 //
-// The files follow the roles of a node: follow.go reads the log, members.go
-// keeps the membership, endpoints.go polls engines, replicas.go holds
-// idempotency keys, jobs.go owns rollout jobs, weights.go orders weights,
-// peers.go answers other nodes, admin.go serves operators.
+// Each file implements one role of a node: follow.go reads the log, members.go
+// maintains the membership, endpoints.go polls engines, replicas.go stores
+// idempotency keys, jobs.go routes rollout jobs to their owners, weights.go updates
+// the weights of engines, peers.go answers calls of other nodes, admin.go serves
+// operators.
 package node
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -12,38 +12,40 @@
 )
 
 const (
-	// pollsPerSecond bounds the load reports that a node asks for, whatever the
-	// size of its pools: the control traffic of a node must not grow with them.
+	// pollsPerSecond is the rate at which a node requests load reports. It does not
+	// depend on the size of the pools, so that the control traffic of a node does not
+	// grow with them.
 	pollsPerSecond = 8
 	pollInterval   = time.Second / pollsPerSecond
-	// demandWindow is how long a pool is polled after the last generation that
-	// this node placed on it.
+	// demandWindow is the time for which a pool is polled after this node last
+	// requested an engine of it.
 	demandWindow = 10 * time.Second
-	// minFreshReport is how old a load report may be at least to count as an
-	// answer; with a large pool it may be as old as a few rounds of polling.
-	minFreshReport = 2 * time.Second
-	freshRounds    = 3
+	// reportAgeFloor is the smallest value of maxReportAge.
+	reportAgeFloor = 2 * time.Second
+	// maxReportAgeRounds is the value of maxReportAge for large pools, in rounds of
+	// polling of the pool.
+	maxReportAgeRounds = 3
 )
 
-// pollEnginesLoop asks engines for their load in turn, as far as this node
-// needs to know it: engines of pools that it places generations on, and of
-// models whose weights it orders.
+// pollEnginesLoop requests the load reports that this node needs, one engine after the
+// other: those of engines in pools that it places generations on, and of models whose
+// weight lease it holds.
 func (n *Node) pollEnginesLoop(ctx context.Context) {
 	polls := &enginePolls{running: make(map[string]bool)}
 	defer polls.group.Wait()
 	next := 0
 	wait.Every(ctx, pollInterval, func() {
-		wanted := n.wantedEngines()
-		if len(wanted) == 0 {
+		engines := n.enginesToPoll()
+		if len(engines) == 0 {
 			return
 		}
-		polls.start(ctx, n, wanted[next%len(wanted)])
+		polls.start(ctx, n, engines[next%len(engines)])
 		next++
 	})
 }
 
-// wantedEngines lists the engines whose load this node needs.
-func (n *Node) wantedEngines() []fleet.Engine {
+// enginesToPoll returns the engines whose load reports this node needs.
+func (n *Node) enginesToPoll() []fleet.Engine {
 	document, _ := n.Current()
 	if document == nil {
 		return nil
@@ -51,31 +53,34 @@
 	pools := make(map[string]bool)
 	for _, tenant := range document.Tenants {
 		for _, model := range tenant.Spec.Models {
-			ordered := n.lease(leaseName(tenant.Name, model.Name)).Holder == n.id
-			if ordered || n.fleet.InDemand(model.Pool, demandWindow) {
+			holdsLease := n.lease(leaseName(tenant.Name, model.Name)).Holder == n.id
+			if holdsLease || n.fleet.InDemand(model.Pool, demandWindow) {
 				pools[model.Pool] = true
 			}
 		}
 	}
-	var wanted []fleet.Engine
+	var engines []fleet.Engine
 	for _, pool := range sortedKeys(pools) {
-		wanted = append(wanted, n.fleet.Engines(pool)...)
+		engines = append(engines, n.fleet.Engines(pool)...)
 	}
-	return wanted
+	return engines
 }
 
-// freshReport is how old a report of an engine may be in a pool of a size.
-func freshReport(poolSize int) time.Duration {
-	return max(minFreshReport, freshRounds*time.Duration(poolSize)*pollInterval)
+// maxReportAge returns the age up to which a load report counts as an answer of its
+// engine, by the number of engines in the pool.
+func maxReportAge(poolSize int) time.Duration {
+	return max(reportAgeFloor, maxReportAgeRounds*time.Duration(poolSize)*pollInterval)
 }
 
-// enginePolls keeps at most one poll per engine in progress.
+// enginePolls limits the polls in progress to one per engine.
 type enginePolls struct {
 	mutex   sync.Mutex
 	running map[string]bool
 	group   conc.WaitGroup
 }
 
+// start polls an engine in the background unless a poll of it is in progress. The load is
+// not recorded if the engine does not answer.
 func (p *enginePolls) start(ctx context.Context, n *Node, target fleet.Engine) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -18,17 +18,19 @@
 )
 
 const (
-	// readersPerZone is how many nodes of a zone read the platform's log and
-	// machine list themselves.
+	// readersPerZone is the number of nodes of a zone that read the platform's log
+	// and machine list directly. The others read through them.
 	readersPerZone = 2
+	// peerReadMargin is the time for a read from a peer beyond the wait that the
+	// peer is asked for.
 	peerReadMargin = 2 * time.Second
 )
 
-// rendezvousScore ranks a member for a purpose.
-func rendezvousScore(purpose, id string) uint64 {
+// rendezvousScore returns the rendezvous hash of a key and a member id.
+func rendezvousScore(key, id string) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
-	digest.WriteString(purpose) // never fails
+	digest.WriteString(key) // never fails
 	digest.WriteString("\n")
 	digest.WriteString(id)
 	var buffer [8]byte
@@ -36,27 +38,28 @@
 	return xxhash.Sum64(buffer[:])
 }
 
-// rank orders members for a purpose, the first choice first.
-func rank(purpose string, members []membership.Member) []membership.Member {
+// rank returns the members ordered by their rendezvous hash with a key, highest first.
+// Equal hashes are ordered by id.
+func rank(key string, members []membership.Member) []membership.Member {
 	ranked := slices.Clone(members)
 	slices.SortFunc(ranked, func(a, b membership.Member) int {
-		return cmp.Or(cmp.Compare(rendezvousScore(purpose, b.ID), rendezvousScore(purpose, a.ID)), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(rendezvousScore(key, b.ID), rendezvousScore(key, a.ID)), cmp.Compare(a.ID, b.ID))
 	})
 	return ranked
 }
 
-// firstFor returns the first choice for a purpose, which is the first of rank
-// without ordering the others; false if there are no members.
-func firstFor(purpose string, members []membership.Member) (membership.Member, bool) {
+// highestRanked returns the first member of rank without ordering the others, or false
+// if there are no members.
+func highestRanked(key string, members []membership.Member) (membership.Member, bool) {
 	if len(members) == 0 {
 		return membership.Member{}, false
 	}
 	return slices.MaxFunc(members, func(a, b membership.Member) int {
-		return cmp.Or(cmp.Compare(rendezvousScore(purpose, a.ID), rendezvousScore(purpose, b.ID)), cmp.Compare(b.ID, a.ID))
+		return cmp.Or(cmp.Compare(rendezvousScore(key, a.ID), rendezvousScore(key, b.ID)), cmp.Compare(b.ID, a.ID))
 	}), true
 }
 
-// zoneReaders are the nodes of this zone that read from the platform.
+// zoneReaders returns the nodes of this zone that read directly from the platform.
 func (n *Node) zoneReaders() []membership.Member {
 	var local []membership.Member
 	for _, member := range n.members.usable() {
@@ -68,12 +71,14 @@
 	return ranked[:min(len(ranked), readersPerZone)]
 }
 
+// isZoneReader reports whether this node is one of the zone's readers.
 func (n *Node) isZoneReader() bool {
 	return slices.ContainsFunc(n.zoneReaders(), func(member membership.Member) bool { return member.ID == n.id })
 }
 
-// Fetch implements control.Source. Designated readers read the log, others
-// read through them; each falls back on the other way.
+// Fetch implements control.Source. The zone's readers read from the log and fall back to
+// peers; other nodes read from the zone's readers and fall back to the log. A read from
+// offset 0 always tries the log first.
 func (n *Node) Fetch(ctx context.Context, from uint64, limit int, wait time.Duration) (control.Update, error) {
 	log := control.LogSource{Reader: n.log}
 	if from == 0 || n.isZoneReader() {
@@ -90,9 +95,11 @@
 	return log.Fetch(ctx, from, limit, wait)
 }
 
-// maxPeersAsked bounds the peers tried in one fetch.
+// maxPeersAsked limits the peers tried in one fetch.
 const maxPeersAsked = 3
 
+// fetchFromPeers fetches from the first candidate that answers. cause is returned if there
+// is no candidate to ask; nil stands for a default error.
 func (n *Node) fetchFromPeers(ctx context.Context, candidates []membership.Member, from uint64, limit int, wait time.Duration, cause error) (control.Update, error) {
 	lastErr := cause
 	asked := 0
@@ -113,6 +120,7 @@
 	return control.Update{}, lastErr
 }
 
+// fetchFromPeer fetches the control records that a peer has applied.
 func (n *Node) fetchFromPeer(ctx context.Context, member membership.Member, from uint64, limit int, wait time.Duration) (control.Update, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+peerReadMargin)
 	defer cancel()
@@ -127,8 +135,8 @@
 	return control.DecodeUpdate(reply.GetRecordBatch())
 }
 
-// onStateChange puts changes of the shared state in force. It runs with the
-// follower's lock held.
+// onStateChange applies a change of the shared state to this node. The caller holds the
+// follower's mutex.
 func (n *Node) onStateChange(part state.Part, machine *state.Machine) {
 	switch part {
 	case state.PartConfig:
@@ -139,7 +147,7 @@
 		n.current.Store(&revision)
 		n.quotas.apply(revision.Document)
 	case state.PartRoster:
-		n.replicas.follow(machine.Shards())
+		n.replicas.applyRoster(machine.Shards())
 	case state.PartSuspects:
 		n.suspects.follow(machine.Suspects())
 	}
--- a/internal/node/machines.go
+++ b/internal/node/machines.go
@@ -12,20 +12,21 @@
 	"github.com/pathbend/pathbend/internal/wait"
 )
 
-// machinesInterval is how often the machine list is read.
+// machinesInterval is the interval between reads of the machine list.
 const machinesInterval = time.Second
 
-// machineCache is the last machine list, for this node and its peers.
+// machineCache holds the last machine list that was read, for this node and its peers.
 type machineCache struct {
 	mutex    sync.Mutex
 	machines []fleet.Machine
 	digest   uint64
 	readAt   time.Time
-	failing  bool
+	// lastReadFailed is set if the last read failed. Only the machines loop accesses it.
+	lastReadFailed bool
 }
 
-// set applies a list that is no older than the present one, and reports
-// whether it differs.
+// set replaces the list unless the given one is older, and reports whether the content
+// changed.
 func (c *machineCache) set(machines []fleet.Machine, at time.Time) bool {
 	digest := fleet.Digest(machines)
 	c.mutex.Lock()
@@ -38,7 +39,7 @@
 	return changed
 }
 
-// confirm records that the present list was still right at a time.
+// confirm records that the list was still current at a time.
 func (c *machineCache) confirm(at time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -47,35 +48,40 @@
 	}
 }
 
-func (c *machineCache) knownDigest() uint64 {
+// currentDigest returns the hash of the list; 0 if there is none.
+func (c *machineCache) currentDigest() uint64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.digest
 }
 
+// get returns the list and the time at which it was last read or confirmed; the zero time
+// if it was never read.
 func (c *machineCache) get() ([]fleet.Machine, time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.machines, c.readAt
 }
 
-// machinesLoop keeps the machine list up to date.
+// machinesLoop refreshes the machine list at each machinesInterval.
 func (n *Node) machinesLoop(ctx context.Context) {
 	wait.Every(ctx, machinesInterval, func() {
 		n.refreshMachines(ctx)
 	})
 }
 
+// refreshMachines reads the machine list and applies its changes to the fleet and the seeds
+// of the membership. Of consecutive failures only the first is logged.
 func (n *Node) refreshMachines(ctx context.Context) {
 	list, err := n.readMachines(ctx)
 	if err != nil {
-		if !n.machines.failing && ctx.Err() == nil {
+		if !n.machines.lastReadFailed && ctx.Err() == nil {
 			n.logger.Log(event.MachineListFailed, "error", err.Error())
 		}
-		n.machines.failing = true
+		n.machines.lastReadFailed = true
 		return
 	}
-	n.machines.failing = false
+	n.machines.lastReadFailed = false
 	if list.unchanged {
 		n.machines.confirm(list.at)
 		return
@@ -93,14 +99,17 @@
 	n.members.setSeeds(seeds)
 }
 
-// machineList is a machine list as it was read.
+// machineList is the result of one read of the machine list.
 type machineList struct {
 	machines []fleet.Machine
-	at       time.Time
-	// unchanged is set, and machines empty, if the list is the one held.
+	// at is the time at which the list was current.
+	at time.Time
+	// unchanged is set if the cache holds the same list. machines may be nil then.
 	unchanged bool
 }
 
+// readMachines reads the machine list from a reader of the zone or, if this node is a
+// reader, has no list yet or no reader answers, from the platform.
 func (n *Node) readMachines(ctx context.Context) (machineList, error) {
 	_, at := n.machines.get()
 	if !at.IsZero() && !n.isZoneReader() {
@@ -112,22 +121,24 @@
 		}
 	}
 	machines, unchanged, err := n.list.List(ctx)
-	// Unchanged to the platform means the list that this node last took from
-	// it, which may not be the one that it holds since a peer gave it another.
-	return machineList{machines: machines, at: time.Now(), unchanged: unchanged && n.isHeld(machines)}, err
+	// The platform compares with the list that this node last read from it. The
+	// cache may hold another one that a peer returned since.
+	return machineList{machines: machines, at: time.Now(), unchanged: unchanged && n.isCached(machines)}, err
 }
 
-// isHeld reports whether a list is the very one that this node holds.
-func (n *Node) isHeld(machines []fleet.Machine) bool {
-	held, _ := n.machines.get()
-	return len(held) > 0 && len(machines) == len(held) && &machines[0] == &held[0]
+// isCached reports whether a list is the same slice as the cached one.
+func (n *Node) isCached(machines []fleet.Machine) bool {
+	cached, _ := n.machines.get()
+	return len(cached) > 0 && len(machines) == len(cached) && &machines[0] == &cached[0]
 }
 
+// machinesFromPeer reads the machine list of a peer. The peer omits the list if its digest
+// is equal to that of the cached list.
 func (n *Node) machinesFromPeer(ctx context.Context, member membership.Member) (machineList, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerReadMargin)
 	defer cancel()
 	reply, err := n.peers.Call(ctx, member.Address, &pathbendv1.Envelope{Body: &pathbendv1.Envelope_ListMachines{
-		ListMachines: &pathbendv1.ListMachines{Known: n.machines.knownDigest()},
+		ListMachines: &pathbendv1.ListMachines{Known: n.machines.currentDigest()},
 	}})
 	if err != nil {
 		return machineList{}, err
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -132,7 +132,7 @@
 	}
 	for _, job := range []string{"j1", "j2", "j3", "j4", "j5", "j6"} {
 		before := rank(job, members)
-		first, ok := firstFor(job, members)
+		first, ok := highestRanked(job, members)
 		require.True(t, ok)
 		require.Equal(t, before[0], first)
 		var rest []membership.Member
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -65,7 +65,7 @@
 func (n *Node) handleList(call *pathbendv1.ListMachines) *pathbendv1.MachineList {
 	machines, at := n.machines.get()
 	list := &pathbendv1.MachineList{AgeMs: time.Since(at).Milliseconds()}
-	if !at.IsZero() && call.GetKnown() == n.machines.knownDigest() {
+	if !at.IsZero() && call.GetKnown() == n.machines.currentDigest() {
 		list.Unchanged = true
 		return list
 	}
--- a/internal/node/quotas.go
+++ b/internal/node/quotas.go
@@ -16,25 +16,27 @@
 	"github.com/pathbend/pathbend/internal/wait"
 )
 
-// minBurst is the least burst of a node. With a burst of one, requests at even
-// gaps that do not divide the time between two tokens waste most of a share.
+// minBurst is the smallest burst of a node. With a burst of one, requests at regular
+// intervals that do not divide the time between two tokens waste most of a share.
 const minBurst = 2
 
-// quotas keeps this node's shares of the tenants' rates, and divides the rates
-// that it owns.
+// quotas holds this node's shares of the tenants' request rates, and divides the rates of
+// the tenants that it owns among all nodes.
 type quotas struct {
 	node *Node
 
-	mutex   sync.Mutex
+	mutex sync.Mutex
+	// ledgers, meters and shares are by the name of the tenant. ledgers divide the
+	// rates that this node owns, meters measure this node's demand.
 	ledgers map[string]*quota.Ledger
 	meters  map[string]*quota.Meter
 	shares  map[string]grantedShare
 }
 
-// grantedShare is a share with the time at which it was granted.
+// grantedShare is a share of a rate and the time at which it was received.
 type grantedShare struct {
 	requestsPerSecond float64
-	at                clock.Moment
+	receivedAt        clock.Moment
 }
 
 func newQuotas(n *Node) *quotas {
@@ -44,9 +46,10 @@
 	}
 }
 
-func rateOwner(tenant string) string { return "rate/" + tenant }
+// rateOwnerKey returns the rendezvous key of the node that divides a tenant's rate.
+func rateOwnerKey(tenant string) string { return "rate/" + tenant }
 
-// loop reports demand and puts the shares in force.
+// loop reports this node's demand to the owners of the rates and applies the shares.
 func (q *quotas) loop(ctx context.Context) {
 	var reports conc.WaitGroup
 	defer reports.Wait()
@@ -67,6 +70,8 @@
 	})
 }
 
+// observe returns the demand of a tenant at this node after the given number of arrivals
+// in the last interval.
 func (q *quotas) observe(tenant string, arrivals int) float64 {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -78,17 +83,18 @@
 	return meter.Observe(arrivals, quota.Interval)
 }
 
-// report asks the owner of a tenant's rate for a share. Without an answer the
-// former share runs out and the even part takes its place.
+// report reports demand to the owner of a tenant's rate and stores the share that the
+// owner returns. Without an answer the previous share expires and an equal share of the
+// rate replaces it.
 func (q *quotas) report(ctx context.Context, tenant string, demand float64) {
-	owner, ok := firstFor(rateOwner(tenant), q.node.members.usable())
+	owner, ok := highestRanked(rateOwnerKey(tenant), q.node.members.usable())
 	if !ok {
 		return
 	}
 	call := &pathbendv1.ShareRate{Tenant: tenant, Demand: demand, From: q.node.id}
 	if owner.ID == q.node.id {
 		if share, err := q.handle(call); err == nil {
-			q.take(tenant, share.RequestsPerSecond)
+			q.setShare(tenant, share.RequestsPerSecond)
 		}
 		return
 	}
@@ -96,20 +102,21 @@
 	defer cancel()
 	reply, err := q.node.peers.Call(ctx, owner.Address, &pathbendv1.Envelope{Body: &pathbendv1.Envelope_ShareRate{ShareRate: call}})
 	if err == nil {
-		q.take(tenant, reply.GetRateShare().GetRequestsPerSecond())
+		q.setShare(tenant, reply.GetRateShare().GetRequestsPerSecond())
 	}
 }
 
-func (q *quotas) take(tenant string, share float64) {
+// setShare stores a share that was received now and applies it.
+func (q *quotas) setShare(tenant string, share float64) {
 	q.mutex.Lock()
-	q.shares[tenant] = grantedShare{requestsPerSecond: share, at: clock.Mark()}
+	q.shares[tenant] = grantedShare{requestsPerSecond: share, receivedAt: clock.Mark()}
 	q.mutex.Unlock()
 	if revision := q.node.current.Load(); revision != nil {
 		q.apply(revision.Document)
 	}
 }
 
-// handle divides a rate that this node owns.
+// handle answers a node's report with its share of a rate that this node owns.
 func (q *quotas) handle(call *pathbendv1.ShareRate) (*pathbendv1.RateShare, error) {
 	revision := q.node.current.Load()
 	if revision == nil {
@@ -130,23 +137,23 @@
 	return &pathbendv1.RateShare{RequestsPerSecond: share}, nil
 }
 
-// apply puts the shares of all tenants in force: the granted one while it is
-// fresh, else an even part of the rate.
+// apply sets the admission limits of all tenants by this node's shares: the granted share
+// up to the age of quota.Lifetime, else an equal share of the rate.
 func (q *quotas) apply(document *config.Document) {
-	even := 1 / float64(max(q.node.members.usableCount(), 1))
+	equalShare := 1 / float64(max(q.node.members.usableCount(), 1))
 	now := time.Now()
 	limits := make(map[string]admission.Limits, len(document.Tenants))
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	for _, tenant := range document.Tenants {
 		capacity := tenant.Spec.Capacity
-		part := even
-		if granted, ok := q.shares[tenant.Name]; ok && granted.at.AgeAt(now) < quota.Lifetime {
-			part = granted.requestsPerSecond / capacity.RequestsPerSecond
+		share := equalShare
+		if granted, ok := q.shares[tenant.Name]; ok && granted.receivedAt.AgeAt(now) < quota.Lifetime {
+			share = granted.requestsPerSecond / capacity.RequestsPerSecond
 		}
 		limits[tenant.Name] = admission.Limits{
-			RequestsPerSecond: capacity.RequestsPerSecond * part,
-			Burst:             max(int(float64(capacity.Burst)*part), minBurst),
+			RequestsPerSecond: capacity.RequestsPerSecond * share,
+			Burst:             max(int(float64(capacity.Burst)*share), minBurst),
 			Concurrent:        capacity.ConcurrentRequests,
 			QueueLength:       capacity.QueueLength,
 		}
--- a/internal/node/replicas.go
+++ b/internal/node/replicas.go
@@ -20,42 +20,46 @@
 )
 
 const (
-	// syncInterval is how soon due fetches of shards are tried again at first,
-	// syncIntervalMax later on.
-	syncInterval    = 100 * time.Millisecond
-	syncIntervalMax = 2 * time.Second
-	syncTimeout     = time.Second
-	// expireInterval is how often old bindings are forgotten.
+	// minSyncInterval is the interval between checks for due fetches of shards. It
+	// doubles up to maxSyncInterval while any fetch stays due.
+	minSyncInterval = 100 * time.Millisecond
+	maxSyncInterval = 2 * time.Second
+	// syncTimeout bounds one fetch of shards from one node.
+	syncTimeout = time.Second
+	// expireInterval is the interval between removals of expired bindings.
 	expireInterval = 10 * time.Second
-	fetchMargin    = 500 * time.Millisecond
+	// fetchMargin is the part of a request's remaining time that is left for the
+	// answer when an executor waits for an outcome.
+	fetchMargin = 500 * time.Millisecond
 )
 
-// replicas drives this node's replica of the idempotency keys and reaches
-// those of other nodes. It implements keyed.Replicas.
+// replicas serves and updates this node's replica of the idempotency keys, and calls the
+// replicas of other nodes. It implements keyed.Replicas.
 type replicas struct {
 	node *Node
 
 	mutex   sync.Mutex
 	replica *idempotency.Replica
-	// exported holds the shards that other nodes fetched, by the generation
-	// they fetched for.
+	// exported is the latest generation for which another node fetched a shard, by
+	// shard.
 	exported map[int]uint64
-	expired  time.Time
-	// followed tells the loop that groups changed.
-	followed chan struct{}
+	// lastExpiry is the time at which expired bindings were last removed.
+	lastExpiry time.Time
+	// groupsChanged wakes the loop after a change of the groups.
+	groupsChanged chan struct{}
 }
 
 func newReplicas(n *Node) *replicas {
-	return &replicas{node: n, replica: idempotency.NewReplica(n.id), exported: make(map[int]uint64), followed: make(chan struct{}, 1)}
+	return &replicas{node: n, replica: idempotency.NewReplica(n.id), exported: make(map[int]uint64), groupsChanged: make(chan struct{}, 1)}
 }
 
-// follow applies new replica groups.
-func (r *replicas) follow(table *shard.Table) {
+// applyRoster applies the replica groups of a new roster.
+func (r *replicas) applyRoster(table *shard.Table) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.replica.ApplyRoster(table, time.Now())
 	select {
-	case r.followed <- struct{}{}:
+	case r.groupsChanged <- struct{}{}:
 	default:
 	}
 }
@@ -70,7 +74,7 @@
 // Claim implements keyed.Replicas.
 func (r *replicas) Claim(ctx context.Context, member string, claim idempotency.Claim) (idempotency.Grant, error) {
 	if member == r.node.id {
-		return r.claimHere(claim), nil
+		return r.claimLocal(claim), nil
 	}
 	address, err := r.node.addressOf(member)
 	if err != nil {
@@ -92,15 +96,16 @@
 	}, nil
 }
 
-func (r *replicas) claimHere(claim idempotency.Claim) idempotency.Grant {
+// claimLocal applies a claim to this node's replica.
+func (r *replicas) claimLocal(claim idempotency.Claim) idempotency.Grant {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.replica.Claim(claim, time.Now())
 }
 
-// handleClaim answers a claim of a peer.
+// handleClaim answers a peer's claim.
 func (r *replicas) handleClaim(claim *pathbendv1.ClaimKey) *pathbendv1.KeyGrant {
-	grant := r.claimHere(idempotency.Claim{
+	grant := r.claimLocal(idempotency.Claim{
 		Shard: int(claim.Shard), Generation: claim.Generation, Key: claim.Key, Release: claim.Release,
 		Binding: idempotency.Binding{Executor: claim.Executor, RequestID: claim.RequestId},
 	})
@@ -109,7 +114,8 @@
 	}
 }
 
-// handleSync gives the entries of shards to a member of later generations.
+// handleSync returns the entries of shards to a member of later generations. Shards that
+// this node cannot export are left out.
 func (r *replicas) handleSync(call *pathbendv1.SyncShards) *pathbendv1.ShardEntries {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -133,22 +139,22 @@
 	return answer
 }
 
-// loop fetches the shards that this node became a member of. Fetches that
-// bring nothing are repeated less and less often.
+// loop fetches the shards that this node became a member of. While fetches stay due, the
+// interval between the attempts doubles up to maxSyncInterval.
 func (r *replicas) loop(ctx context.Context) {
-	pause := syncInterval
+	interval := minSyncInterval
 	for {
 		if r.syncDue(ctx) {
-			pause = min(2*pause, syncIntervalMax)
+			interval = min(2*interval, maxSyncInterval)
 		} else {
-			pause = syncInterval
+			interval = minSyncInterval
 		}
-		timer := time.NewTimer(pause)
+		timer := time.NewTimer(interval)
 		select {
 		case <-timer.C:
-		case <-r.followed:
+		case <-r.groupsChanged:
 			timer.Stop()
-			pause = syncInterval
+			interval = minSyncInterval
 		case <-ctx.Done():
 			timer.Stop()
 			return
@@ -156,14 +162,14 @@
 	}
 }
 
-// syncDue tries the due fetches, one call per source, and reports whether any
-// is left.
+// syncDue attempts the due fetches with one call per source, and reports whether any fetch
+// is still due. It also removes expired bindings at each expireInterval.
 func (r *replicas) syncDue(ctx context.Context) bool {
 	now := time.Now()
 	r.mutex.Lock()
 	tasks := r.replica.DueSyncs(now)
-	if now.Sub(r.expired) >= expireInterval {
-		r.expired = now
+	if now.Sub(r.lastExpiry) >= expireInterval {
+		r.lastExpiry = now
 		r.replica.Expire(now)
 	}
 	r.mutex.Unlock()
@@ -183,10 +189,11 @@
 	return len(r.replica.DueSyncs(now)) > 0
 }
 
+// fetch fetches shards from one source and applies their entries.
 func (r *replicas) fetch(ctx context.Context, source string, tasks []idempotency.SyncTask) {
 	address, err := r.node.addressOf(source)
 	if err != nil {
-		return // tried again at the next interval
+		return // retried after the next interval
 	}
 	ctx, cancel := context.WithTimeout(ctx, syncTimeout)
 	defer cancel()
@@ -205,8 +212,8 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for _, exported := range reply.GetShardEntries().GetShards() {
-		task, asked := byShard[exported.Shard]
-		if !asked || task.Generation != exported.Generation {
+		task, requested := byShard[exported.Shard]
+		if !requested || task.Generation != exported.Generation {
 			continue
 		}
 		r.replica.ApplyEntries(task, source, decodeEntries(exported.Entries), time.Now())
@@ -224,13 +231,13 @@
 	return entries
 }
 
-// awaitExported waits until every shard that gained a member by this node's
-// leave has been fetched from here.
+// awaitExported waits until every shard that gained a member when this node left has been
+// fetched from this node, or until ctx ends.
 func (r *replicas) awaitExported(ctx context.Context) {
 	const pollInterval = 20 * time.Millisecond
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
-	for len(r.awaited()) > 0 {
+	for len(r.unexportedShards()) > 0 {
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -239,8 +246,9 @@
 	}
 }
 
-func (r *replicas) awaited() []int {
-	var due []int
+// unexportedShards returns the shards that awaitExported waits for.
+func (r *replicas) unexportedShards() []int {
+	var unexported []int
 	for index := range shard.Count {
 		group := r.Group(index)
 		if !slices.Contains(group.Former, r.node.id) || slices.Contains(group.Members, r.node.id) {
@@ -251,10 +259,10 @@
 		fetched := r.exported[index] >= group.Generation
 		r.mutex.Unlock()
 		if gained && !fetched {
-			due = append(due, index)
+			unexported = append(unexported, index)
 		}
 	}
-	return due
+	return unexported
 }
 
 // FetchAnswer implements keyed.Replicas.
@@ -273,49 +281,52 @@
 	if err != nil {
 		return keyed.Outcome{}, false, err
 	}
-	return decodeStored(reply.GetStoredAnswer())
+	return decodeOutcome(reply.GetStoredAnswer())
 }
 
-func decodeStored(encoded *pathbendv1.StoredAnswer) (keyed.Outcome, bool, error) {
+// decodeOutcome decodes the outcome under a key. It returns false if the peer has none.
+func decodeOutcome(encoded *pathbendv1.StoredAnswer) (keyed.Outcome, bool, error) {
 	if !encoded.GetFound() {
 		return keyed.Outcome{}, false, nil
 	}
-	stored := keyed.Outcome{Status: int(encoded.Status), Header: make(http.Header), Body: encoded.Body, TooLarge: encoded.TooLarge}
+	outcome := keyed.Outcome{Status: int(encoded.Status), Header: make(http.Header), Body: encoded.Body, TooLarge: encoded.TooLarge}
 	for _, header := range encoded.Headers {
-		stored.Header.Add(header.Name, header.Value)
+		outcome.Header.Add(header.Name, header.Value)
 	}
 	if encoded.Failure != nil {
-		stored.Err = peer.ErrorOf(encoded.Failure)
+		outcome.Err = peer.ErrorOf(encoded.Failure)
 	}
-	return stored, true, nil
+	return outcome, true, nil
 }
 
-// handleFetch answers a peer that asks for the outcome under a key.
+// handleFetch answers a peer that fetches the outcome under a key, and waits for the outcome
+// up to the wait of the call.
 func (n *Node) handleFetch(ctx context.Context, call *pathbendv1.FetchAnswer) *pathbendv1.StoredAnswer {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(call.WaitMs)*time.Millisecond)
 	defer cancel()
-	stored, found := n.keyed.AwaitOutcome(ctx, call.Key)
+	outcome, found := n.keyed.AwaitOutcome(ctx, call.Key)
 	if !found {
 		return &pathbendv1.StoredAnswer{}
 	}
-	encoded := &pathbendv1.StoredAnswer{Found: true, Status: int32(stored.Status), Body: stored.Body, TooLarge: stored.TooLarge}
-	for _, name := range sortedKeys(stored.Header) {
-		for _, value := range stored.Header[name] {
+	encoded := &pathbendv1.StoredAnswer{Found: true, Status: int32(outcome.Status), Body: outcome.Body, TooLarge: outcome.TooLarge}
+	for _, name := range sortedKeys(outcome.Header) {
+		for _, value := range outcome.Header[name] {
 			encoded.Headers = append(encoded.Headers, &pathbendv1.Header{Name: name, Value: value})
 		}
 	}
-	if stored.Err != nil {
-		encoded.Failure = peer.FailureOf(stored.Err)
+	if outcome.Err != nil {
+		encoded.Failure = peer.FailureOf(outcome.Err)
 	}
 	return encoded
 }
 
-// addressOf finds the peer address of a node.
+// addressOf returns the address of a node for peers. It fails if the node is dead or
+// unknown.
 func (n *Node) addressOf(id string) (string, error) {
 	if member, ok := n.members.get(id); ok && member.Status != membership.Dead {
 		return member.Address, nil
 	}
-	// The membership may lag behind the roster while a node joins.
+	// While a node joins, it may be on the roster before the membership knows it.
 	if listed, ok := n.roster()[id]; ok {
 		if _, known := n.members.get(id); !known {
 			return listed.Address, nil
--- a/internal/node/roster.go
+++ b/internal/node/roster.go
@@ -13,36 +13,40 @@
 )
 
 const (
-	// rosterInterval is how often the roster is compared with the membership.
+	// rosterInterval is the interval at which the roster is compared with the
+	// membership.
 	rosterInterval = time.Second
-	// rosterGrace is how long a member must be dead before it is removed.
-	rosterGrace = 10 * time.Second
-	// appendPatience bounds the repeats of one append.
-	appendPatience = 20 * time.Second
+	// deadMemberGracePeriod is the time for which a member must be dead before it is
+	// removed from the roster.
+	deadMemberGracePeriod = 10 * time.Second
+	// appendTimeout bounds one append, with its retries and the wait until the record
+	// is applied.
+	appendTimeout = 20 * time.Second
 )
 
-// rosterLoop joins the roster, removes dead members from it and appends
-// snapshots, as far as this node is the one to do it.
+// rosterLoop adds this node to the roster. If this node ranks highest for the task, it also
+// removes dead members from the roster and appends snapshots.
 func (n *Node) rosterLoop(ctx context.Context) {
-	missing := make(map[string]time.Time)
+	deadSince := make(map[string]time.Time)
 	wait.Every(ctx, rosterInterval, func() {
 		if !n.follower.CaughtUp() || n.draining.Load() {
 			return
 		}
 		roster := n.roster()
 		if _, joined := roster[n.id]; !joined {
-			n.append(ctx, &pathbendv1.Record{Body: &pathbendv1.Record_NodeJoined{NodeJoined: &pathbendv1.NodeJoined{
+			n.appendRecord(ctx, &pathbendv1.Record{Body: &pathbendv1.Record_NodeJoined{NodeJoined: &pathbendv1.NodeJoined{
 				NodeId: n.id, Address: n.settings.PeerAddress, Zone: n.settings.Zone,
 			}}})
 			return
 		}
-		n.removeDead(ctx, roster, missing)
-		if n.follower.SnapshotDue() && n.isFirst("snapshot") {
+		n.removeDead(ctx, roster, deadSince)
+		if n.follower.SnapshotDue() && n.ranksHighest("snapshot") {
 			n.appendSnapshot(ctx)
 		}
 	})
 }
 
+// roster returns the members of the roster by id.
 func (n *Node) roster() map[string]state.RosterMember {
 	roster := make(map[string]state.RosterMember)
 	n.follower.View(func(machine *state.Machine) {
@@ -54,45 +58,47 @@
 	return roster
 }
 
-// isFirst reports whether this node is the first choice for a purpose.
-func (n *Node) isFirst(purpose string) bool {
-	first, ok := firstFor(purpose, n.members.usable())
+// ranksHighest reports whether this node is the highest ranked usable member for a key.
+func (n *Node) ranksHighest(key string) bool {
+	first, ok := highestRanked(key, n.members.usable())
 	return ok && first.ID == n.id
 }
 
-// removeDead appends the leave of members that have been dead for long. missing
-// remembers since when each is.
-func (n *Node) removeDead(ctx context.Context, roster map[string]state.RosterMember, missing map[string]time.Time) {
+// removeDead removes members from the roster that have been dead or unknown for
+// deadMemberGracePeriod. deadSince holds the time at which each was first seen so, and is
+// kept between calls.
+func (n *Node) removeDead(ctx context.Context, roster map[string]state.RosterMember, deadSince map[string]time.Time) {
 	now := time.Now()
 	for id := range roster {
 		if member, ok := n.members.get(id); ok && member.Status != membership.Dead {
-			delete(missing, id)
+			delete(deadSince, id)
 			continue
 		}
-		if _, ok := missing[id]; !ok {
-			missing[id] = now
+		if _, ok := deadSince[id]; !ok {
+			deadSince[id] = now
 		}
 	}
-	for _, id := range sortedKeys(missing) {
+	for _, id := range sortedKeys(deadSince) {
 		if _, listed := roster[id]; !listed {
-			delete(missing, id)
+			delete(deadSince, id)
 			continue
 		}
-		if now.Sub(missing[id]) >= rosterGrace && n.isFirst("roster") {
-			n.append(ctx, leftRecord(id))
+		if now.Sub(deadSince[id]) >= deadMemberGracePeriod && n.ranksHighest("roster") {
+			n.appendRecord(ctx, nodeLeftRecord(id))
 		}
 	}
 }
 
-func leftRecord(id string) *pathbendv1.Record {
+// nodeLeftRecord returns a record that removes a node from the roster.
+func nodeLeftRecord(id string) *pathbendv1.Record {
 	return &pathbendv1.Record{Body: &pathbendv1.Record_NodeLeft{NodeLeft: &pathbendv1.NodeLeft{NodeId: id}}}
 }
 
-// append appends a record under a fresh id and waits a while for its effect to
-// be seen.
-func (n *Node) append(ctx context.Context, record *pathbendv1.Record) {
+// appendRecord appends a record under a new id and waits until this node has applied it, for
+// appendTimeout at most. A failure is logged.
+func (n *Node) appendRecord(ctx context.Context, record *pathbendv1.Record) {
 	record.Id = n.NewID()
-	ctx, cancel := context.WithTimeout(ctx, appendPatience)
+	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
 	offset, err := logstore.AppendRecord(ctx, n.log, record)
 	if err != nil {
@@ -104,7 +110,7 @@
 	n.awaitOffset(ctx, offset)
 }
 
-// awaitOffset waits until the follower has applied an offset.
+// awaitOffset waits until the follower has applied the record at an offset or ctx ends.
 func (n *Node) awaitOffset(ctx context.Context, offset uint64) {
 	const pollInterval = 10 * time.Millisecond
 	ticker := time.NewTicker(pollInterval)
@@ -123,21 +129,23 @@
 	}
 }
 
+// appendSnapshot appends a snapshot of the shared state to the log.
 func (n *Node) appendSnapshot(ctx context.Context) {
-	n.append(ctx, n.follower.EncodeSnapshot(n.NewID()))
+	n.appendRecord(ctx, n.follower.EncodeSnapshot(n.NewID()))
 	n.logger.Log(event.SnapshotAppended)
 }
 
+// leaveTimeout bounds leaveRoster.
 const leaveTimeout = 2 * time.Second
 
-// leaveRoster takes the node off the roster and waits until the new members of
-// its shards have fetched its entries, for as long as that is worth.
+// leaveRoster removes this node from the roster and waits until the new members of its
+// shards have fetched its entries, for leaveTimeout at most.
 func (n *Node) leaveRoster() {
 	if _, listed := n.roster()[n.id]; !listed {
 		return
 	}
 	ctx, cancel := context.WithTimeout(n.ctx, leaveTimeout)
 	defer cancel()
-	n.append(ctx, leftRecord(n.id))
+	n.appendRecord(ctx, nodeLeftRecord(n.id))
 	n.replicas.awaitExported(ctx)
 }
--- a/internal/node/suspects.go
+++ b/internal/node/suspects.go
@@ -30,7 +30,7 @@
 // Tell implements quarantine.Teller.
 func (s *suspects) Tell(ctx context.Context, record quarantine.Record) {
 	quarantine.TellWithin(ctx, suspectPatience, func() {
-		s.node.append(s.node.ctx, &pathbendv1.Record{Body: &pathbendv1.Record_Suspect{Suspect: quarantine.Encode(record, false)}})
+		s.node.appendRecord(s.node.ctx, &pathbendv1.Record{Body: &pathbendv1.Record_Suspect{Suspect: quarantine.Encode(record, false)}})
 	})
 }
 
--- a/internal/node/weights.go
+++ b/internal/node/weights.go
@@ -138,7 +138,7 @@
 		since = time.Now()
 		w.goneSince[name] = since
 	}
-	if !known && time.Since(since) < unknownHolderGrace || !w.node.isFirst(name) {
+	if !known && time.Since(since) < unknownHolderGrace || !w.node.ranksHighest(name) {
 		return
 	}
 	w.appendOnce(ctx, name, &pathbendv1.Record{Body: &pathbendv1.Record_LeaseClaim{LeaseClaim: &pathbendv1.LeaseClaim{
@@ -161,7 +161,7 @@
 	}
 	w.claiming[name] = true
 	w.orders.Go(func() {
-		w.node.append(ctx, record)
+		w.node.appendRecord(ctx, record)
 		if held := w.node.lease(name); held.Holder == w.node.id {
 			w.node.logger.Log(event.LeaseTaken, "lease", name, "token", held.Token)
 		}
@@ -188,7 +188,7 @@
 			continue
 		}
 		load, at, ok := w.node.fleet.EngineReport(target.ID)
-		states = append(states, engineState(target.ID, model, load, ok && time.Since(at) <= freshReport(len(engines))))
+		states = append(states, engineState(target.ID, model, load, ok && time.Since(at) <= maxReportAge(len(engines))))
 	}
 	return states
 }
