--- a/internal/node/generate.go
+++ b/internal/node/generate.go
@@ -19,47 +19,53 @@
 )
 
 const (
-	// prefixBytes is how much of a prompt decides affinity.
+	// prefixBytes is the length of the prefix of a prompt that determines affinity to
+	// an engine.
 	prefixBytes = 256
-	// maxCompletionAttempts bounds the engines tried for a caller's completion.
+	// maxCompletionAttempts limits the attempts at a caller's completion.
 	maxCompletionAttempts = 4
-	// maxBusyEngines bounds the engines asked that take no more work.
+	// maxBusyEngines limits the busy engines that are tried in one attempt.
 	maxBusyEngines = 3
-	// rolloutPriority is the engine priority of a new rollout sample; it grows
-	// by one for each agePerPriority that its slot has been running.
-	rolloutPriority    = 10
-	maxRolloutPriority = 90
-	agePerPriority     = 5 * time.Second
-	generationHint     = 500 * time.Millisecond
+	// minRolloutPriority is the engine priority of a new rollout sample. It increases
+	// by one for each rolloutPriorityInterval that the sample's slot has been running,
+	// up to maxRolloutPriority.
+	minRolloutPriority      = 10
+	maxRolloutPriority      = 90
+	rolloutPriorityInterval = 5 * time.Second
+	// generationRetryAfter is the retry-after hint of a failed completion.
+	generationRetryAfter = 500 * time.Millisecond
 )
 
 var (
-	errNotWanted     = errors.New("the attempt is no longer wanted")
-	errStaleVersion  = errors.New("the engine serves a version below the bound")
-	errNoEngine      = errors.New("no engine serves the model at the wanted version")
-	errEnginesBusy   = errors.New("every engine tried takes no more work")
+	errNotNeeded     = errors.New("the result of the attempt is no longer needed")
+	errStaleVersion  = errors.New("the engine serves a version below the minimum")
+	errNoEngine      = errors.New("no engine serves the model at the required version")
+	errEnginesBusy   = errors.New("all engines that were tried are busy")
 	errModelRemoved  = errors.New("the model was removed from the configuration")
-	errEngineLeaving = errors.New("the engine ended the stream")
+	errEngineLeaving = errors.New("the engine aborted the stream")
 )
 
-// generator runs generations on engines. It implements rollout.Generator and
-// gateway.Completer.
+// generator runs generations on engines and streams their tokens. It implements
+// rollout.Generator and gateway.Completer.
 type generator struct {
 	node *Node
 }
 
-// attempt is one generation on one engine.
+// attempt is one attempt at a generation. Busy engines are skipped within an attempt.
 type attempt struct {
 	tenant  string
 	route   routing.Request
 	request engine.GenerateRequest
-	// minVersion is the lowest version of which tokens are taken.
+	// minVersion is the lowest weight version whose tokens are accepted.
 	minVersion uint64
-	placed     func(engineID string)
-	deliver    func(chunk engine.Chunk) error
+	// onPlaced is called with the id of each engine that is picked, before the attempt at it.
+	onPlaced func(engineID string)
+	// onChunk is called with each chunk of the stream. An error ends the attempt.
+	onChunk func(chunk engine.Chunk) error
 }
 
-// Generate implements rollout.Generator.
+// Generate implements rollout.Generator. It makes one attempt and returns the finish reason
+// of the last chunk.
 func (g *generator) Generate(ctx context.Context, tenantName, modelName string, start rollout.Start, progress rollout.Progress) (string, error) {
 	document, _ := g.node.Current()
 	if document == nil {
@@ -80,14 +86,14 @@
 		request: engine.GenerateRequest{
 			RequestID: g.node.NewID(), Model: model.Name, Adapter: model.Adapter, Prompt: start.Prompt.Prompt,
 			MaxTokens: start.Prompt.MaxTokens, Seed: start.Seed, ResumeTokens: start.Resume,
-			Priority: min(rolloutPriority+int(start.Age/agePerPriority), maxRolloutPriority),
+			Priority: min(minRolloutPriority+int(start.Age/rolloutPriorityInterval), maxRolloutPriority),
 		},
 		minVersion: start.MinVersion,
-		placed:     progress.Placed,
-		deliver: func(chunk engine.Chunk) error {
+		onPlaced:   progress.Placed,
+		onChunk: func(chunk engine.Chunk) error {
 			reason = chunk.FinishReason
 			if !progress.Chunk(chunk.Tokens, chunk.Version) {
-				return errNotWanted
+				return errNotNeeded
 			}
 			return nil
 		},
@@ -95,13 +101,15 @@
 	return reason, err
 }
 
+// prefixHash returns the hash of a prompt's prefix, by which requests with an equal prefix are
+// placed on the same engine.
 func prefixHash(prompt string) uint64 {
 	return xxhash.Sum64String(prompt[:min(len(prompt), prefixBytes)])
 }
 
-// Complete implements gateway.Completer. A generation that breaks goes on at
-// another engine after the tokens that were delivered.
-func (g *generator) Complete(ctx context.Context, completion gateway.Completion, deliver func(engine.Chunk) error) error {
+// Complete implements gateway.Completer. A generation that fails is resumed on another
+// engine after the tokens that were already delivered.
+func (g *generator) Complete(ctx context.Context, completion gateway.Completion, onChunk func(engine.Chunk) error) error {
 	var delivered []string
 	var excluded []string
 	var lastErr error
@@ -119,10 +127,10 @@
 				Prompt: completion.Prompt, MaxTokens: completion.MaxTokens, Seed: completion.Seed, ResumeTokens: delivered,
 				Priority: gateway.PriorityAtEngine(completion.Priority),
 			},
-			placed: func(id string) { engineID = id },
-			deliver: func(chunk engine.Chunk) error {
+			onPlaced: func(id string) { engineID = id },
+			onChunk: func(chunk engine.Chunk) error {
 				delivered = append(delivered, chunk.Tokens...)
-				err := deliver(chunk)
+				err := onChunk(chunk)
 				callerGone = err != nil
 				return err
 			},
@@ -131,7 +139,7 @@
 			return nil
 		}
 		if ctx.Err() != nil || callerGone {
-			return result.New(result.CallerGone, "the caller went away")
+			return result.New(result.CallerGone, "the caller disconnected")
 		}
 		if engineID == "" || result.Is(lastErr, result.RequestQuarantined) {
 			break
@@ -142,29 +150,29 @@
 		return lastErr
 	}
 	if len(delivered) == 0 && (errors.Is(lastErr, errNoEngine) || errors.Is(lastErr, errEnginesBusy)) {
-		return result.Wrap(result.NoBackEnd, lastErr, "start generation").WithRetryAfter(generationHint)
+		return result.Wrap(result.NoBackEnd, lastErr, "start generation").WithRetryAfter(generationRetryAfter)
 	}
-	return result.Wrap(result.GenerationFailed, lastErr, "generate").WithRetryAfter(generationHint)
+	return result.Wrap(result.GenerationFailed, lastErr, "generate").WithRetryAfter(generationRetryAfter)
 }
 
-// run places an attempt on an engine, passing over busy ones, and streams it.
+// run places an attempt on an engine, skips busy engines, and streams the generation.
 func (g *generator) run(ctx context.Context, a attempt) error {
-	leave, err := g.node.suspects.guard.Enter(ctx, a.digest)
+	release, err := g.node.suspects.guard.Enter(ctx, a.digest)
 	if err != nil {
 		return err
 	}
-	defer leave()
+	defer release()
 	for range maxBusyEngines {
 		a.route.Now = time.Now()
 		endpoint := g.node.fleet.PickEngine(&a.route)
 		if endpoint == nil {
 			return errNoEngine
 		}
-		a.placed(endpoint.ID)
-		began := time.Now()
+		a.onPlaced(endpoint.ID)
+		startedAt := time.Now()
 		err := g.stream(ctx, endpoint, a)
-		g.node.fleet.Report(endpoint, reportOf(ctx, err, time.Since(began)))
-		g.noteEnd(ctx, endpoint, a, err)
+		g.node.fleet.Report(endpoint, dispatchReport(ctx, err, time.Since(startedAt)))
+		g.reportToQuarantine(ctx, endpoint, a, err)
 		if !errors.Is(err, engine.ErrBusy) {
 			if err != nil {
 				g.node.logger.Log(event.SampleResumed, "engine", endpoint.ID, "error", err.Error())
@@ -176,7 +184,8 @@
 	return errEnginesBusy
 }
 
-// digest names what all attempts at a prompt have in common.
+// digest identifies the prompt of an attempt for the quarantine. It is equal for all attempts
+// at a prompt.
 func (a attempt) digest() quarantine.Digest {
 	return quarantine.Content{
 		Caller: []string{a.tenant, a.route.Pool}, Path: a.request.Model + "/" + a.request.Adapter,
@@ -184,36 +193,41 @@
 	}.Digest()
 }
 
-// noteEnd tells what the end of a stream says of its prompt.
-func (g *generator) noteEnd(ctx context.Context, endpoint *routing.Endpoint, a attempt, err error) {
+// reportToQuarantine records whether an attempt succeeded or its engine crashed under it.
+// Failures of other kinds say nothing about the prompt.
+func (g *generator) reportToQuarantine(ctx context.Context, endpoint *routing.Endpoint, a attempt, err error) {
 	switch {
 	case err == nil:
 		g.node.suspects.guard.Served(ctx, a.digest)
-	case ctx.Err() == nil && !isOwnEnd(err) && g.node.exchange.BackEndEnded(ctx, endpoint.Address):
+	case ctx.Err() == nil && !isIntentionalEnd(err) && g.node.exchange.BackEndEnded(ctx, endpoint.Address):
 		g.node.suspects.guard.Ended(ctx, a.digest(), endpoint.ID)
 	}
 }
 
-// isOwnEnd reports whether an attempt ended because this node or the engine wanted it so.
-func isOwnEnd(err error) bool {
-	return errors.IsAny(err, engine.ErrBusy, errNotWanted, errStaleVersion, errEngineLeaving)
+// isIntentionalEnd reports whether this node or the engine ended or refused the attempt on
+// purpose.
+func isIntentionalEnd(err error) bool {
+	return errors.IsAny(err, engine.ErrBusy, errNotNeeded, errStaleVersion, errEngineLeaving)
 }
 
-func reportOf(ctx context.Context, err error, latency time.Duration) dispatch.Report {
+// dispatchReport returns the report of an attempt that ended with an error, or with nil.
+func dispatchReport(ctx context.Context, err error, latency time.Duration) dispatch.Report {
 	if err == nil {
 		return dispatch.Report{Ending: dispatch.Answered, Latency: latency}
 	}
-	neutral := ctx.Err() != nil || isOwnEnd(err)
+	neutral := ctx.Err() != nil || isIntentionalEnd(err)
 	return dispatch.Report{Ending: dispatch.Lost, Latency: latency, Neutral: neutral}
 }
 
+// stream runs an attempt on one engine and delivers its chunks. It records the weight version
+// of the tokens whenever it changes.
 func (g *generator) stream(ctx context.Context, endpoint *routing.Endpoint, a attempt) error {
 	stream, err := g.node.engines.Generate(ctx, endpoint.Address, a.request)
 	if err != nil {
 		return err
 	}
 	defer stream.Close()
-	var seen uint64
+	var lastVersion uint64
 	for {
 		chunk, err := stream.Next()
 		if errors.Is(err, io.EOF) {
@@ -225,14 +239,14 @@
 		if chunk.FinishReason == engine.FinishAborted {
 			return errEngineLeaving
 		}
-		if len(chunk.Tokens) > 0 && chunk.Version != seen {
-			seen = chunk.Version
-			g.node.fleet.NoteVersion(endpoint, a.request.Model, seen)
+		if len(chunk.Tokens) > 0 && chunk.Version != lastVersion {
+			lastVersion = chunk.Version
+			g.node.fleet.NoteVersion(endpoint, a.request.Model, lastVersion)
 		}
 		if len(chunk.Tokens) > 0 && chunk.Version < a.minVersion {
 			return errStaleVersion
 		}
-		if err := a.deliver(chunk); err != nil {
+		if err := a.onChunk(chunk); err != nil {
 			return err
 		}
 	}
--- a/internal/node/jobs.go
+++ b/internal/node/jobs.go
@@ -16,72 +16,79 @@
 )
 
 const (
-	// ownersAsked is how many members are asked for a job before it counts as
-	// unknown. A job stays at its owner when a node joins that would be a
-	// better one, so the owner may be the second or third choice.
-	ownersAsked = 3
-	// jobCallMargin is added to the wait of a pull.
+	// maxOwnersAsked limits the members that are asked for a job before it counts as
+	// unknown. A job stays at its owner when a node joins that ranks higher, so the
+	// owner may be the second or third in rank.
+	maxOwnersAsked = 3
+	// jobCallMargin is the timeout of a call to a job's owner beyond the wait of a
+	// pull.
 	jobCallMargin = 2 * time.Second
-	ownerHint     = 200 * time.Millisecond
+	// ownerRetryAfter is the retry-after hint when no owner answered.
+	ownerRetryAfter = 200 * time.Millisecond
 )
 
-// jobs finds the owner of a job and forwards trainers' operations to it. It
+// jobs finds the owners of jobs and forwards the operations of trainers to them. It
 // implements gateway.Jobs.
 type jobs struct {
 	node *Node
 }
 
+// jobOperation is an operation on a job, to be sent to its owner.
 type jobOperation struct {
 	kind   pathbendv1.JobCall_Operation
 	tenant string
 	jobID  string
-	body   any
-	wait   time.Duration
+	// body is sent as JSON.
+	body any
+	// wait is the time for which the owner may wait before it answers.
+	wait time.Duration
 }
 
 // Submit implements gateway.Jobs.
 func (j *jobs) Submit(ctx context.Context, tenant string, spec rollout.Spec) error {
-	// A trainer that is at a version proves that the version exists. This
-	// brings the register back after all nodes were replaced at once.
+	// A trainer that uses a version proves that the version was announced. This
+	// restores the announced versions after all nodes were replaced at once.
 	j.node.members.raiseVersion(weights.ModelKey{Tenant: tenant, Model: spec.Model}, spec.TrainerVersion)
-	_, err := j.firstOwner(ctx, jobOperation{
+	_, err := j.callFirstAvailable(ctx, jobOperation{
 		kind: pathbendv1.JobCall_OPERATION_SUBMIT, tenant: tenant, jobID: spec.JobID, body: spec,
 	})
 	return err
 }
 
-// firstOwner gives an operation to the first member in rank that takes it.
-func (j *jobs) firstOwner(ctx context.Context, operation jobOperation) ([]byte, error) {
+// callFirstAvailable sends an operation to the members in rank order until one accepts or
+// rejects it. Only members that take new work are asked.
+func (j *jobs) callFirstAvailable(ctx context.Context, operation jobOperation) ([]byte, error) {
 	var lastErr error
 	for i, member := range j.node.members.owners(operation.tenant + "/" + operation.jobID) {
-		if i == ownersAsked || !member.Usable() {
+		if i == maxOwnersAsked || !member.Usable() {
 			break
 		}
 		answer, err := j.call(ctx, member, operation)
-		if err == nil || !passesOn(err) {
+		if err == nil || !shouldAskNext(err) {
 			return answer, err
 		}
 		lastErr = err
 	}
-	return nil, ownerLost(lastErr)
+	return nil, ownerLostError(lastErr)
 }
 
-// passesOn reports whether the next member in rank should be asked.
-func passesOn(err error) bool {
+// shouldAskNext reports whether the next member in rank should be asked after an error.
+func shouldAskNext(err error) bool {
 	return result.Is(err, result.PeerUnreached) || result.Is(err, result.PeerLost) || result.Is(err, result.Draining)
 }
 
-func ownerLost(cause error) error {
+// ownerLostError returns the error for an owner that did not answer.
+func ownerLostError(cause error) error {
 	if cause == nil {
 		cause = errors.New("no live member")
 	}
-	return result.Wrap(result.JobOwnerLost, cause, "ask the job's owner").WithRetryAfter(ownerHint)
+	return result.Wrap(result.JobOwnerLost, cause, "ask the job's owner").WithRetryAfter(ownerRetryAfter)
 }
 
 // Pull implements gateway.Jobs.
 func (j *jobs) Pull(ctx context.Context, tenant, jobID string, pull rollout.Pull) (rollout.PullAnswer, error) {
 	var answer rollout.PullAnswer
-	content, err := j.anyOwner(ctx, jobOperation{
+	content, err := j.callOwner(ctx, jobOperation{
 		kind: pathbendv1.JobCall_OPERATION_PULL, tenant: tenant, jobID: jobID, body: pull,
 		wait: time.Duration(pull.WaitMS) * time.Millisecond,
 	})
@@ -91,18 +98,18 @@
 	return answer, json.Unmarshal(content, &answer)
 }
 
-// anyOwner asks members in rank until one knows the job. If those that answer
-// do not, it is unknown: the trainer submits it again, which is harmless should
-// an owner that cannot be reached still run it.
-func (j *jobs) anyOwner(ctx context.Context, operation jobOperation) ([]byte, error) {
+// callOwner sends an operation to the members in rank order until one knows the job. If none
+// of those that answer knows it, the job is reported as unknown and the trainer submits it
+// again. This is harmless even if an owner that cannot be reached still runs the job.
+func (j *jobs) callOwner(ctx context.Context, operation jobOperation) ([]byte, error) {
 	var lost error
 	asked := 0
 	for _, member := range j.node.members.owners(operation.tenant + "/" + operation.jobID) {
-		if asked == ownersAsked {
+		if asked == maxOwnersAsked {
 			break
 		}
 		content, err := j.call(ctx, member, operation)
-		if err == nil || !passesOn(err) && !result.Is(err, result.JobUnknown) {
+		if err == nil || !shouldAskNext(err) && !result.Is(err, result.JobUnknown) {
 			return content, err
 		}
 		if result.Is(err, result.PeerLost) {
@@ -113,31 +120,31 @@
 		}
 	}
 	if lost != nil {
-		return nil, ownerLost(lost)
+		return nil, ownerLostError(lost)
 	}
-	return nil, result.New(result.JobUnknown, "no node holds job %q", operation.jobID)
+	return nil, result.New(result.JobUnknown, "no node has job %q", operation.jobID)
 }
 
-// Cancel implements gateway.Jobs.
+// Cancel implements gateway.Jobs. It cancels the job at every member that may own it.
 func (j *jobs) Cancel(ctx context.Context, tenant, jobID string) error {
 	for i, member := range j.node.members.owners(tenant + "/" + jobID) {
-		if i == ownersAsked {
+		if i == maxOwnersAsked {
 			break
 		}
 		_, err := j.call(ctx, member, jobOperation{kind: pathbendv1.JobCall_OPERATION_CANCEL, tenant: tenant, jobID: jobID})
-		if err != nil && !passesOn(err) {
+		if err != nil && !shouldAskNext(err) {
 			return err
 		}
 	}
 	return nil
 }
 
-// Announce implements gateway.Jobs.
+// Announce implements gateway.Jobs. Announcing the current version again has no effect.
 func (j *jobs) Announce(_ context.Context, tenant, model string, version uint64) error {
 	key := weights.ModelKey{Tenant: tenant, Model: model}
 	if !j.node.members.raiseVersion(key, version) {
 		if current := j.node.members.version(key); version < current {
-			return result.New(result.VersionWentBack, "version %d was announced already", current).WithField("version")
+			return result.New(result.VersionWentBack, "version %d is already announced", current).WithField("version")
 		}
 		return nil
 	}
@@ -146,6 +153,7 @@
 	return nil
 }
 
+// call sends an operation to a member, which may be this node, and returns the JSON answer.
 func (j *jobs) call(ctx context.Context, member membership.Member, operation jobOperation) ([]byte, error) {
 	content, err := json.Marshal(operation.body)
 	if err != nil {
@@ -165,24 +173,24 @@
 	return reply.GetJobReply().GetBody(), nil
 }
 
-// handle carries out an operation on a job that this node owns or will own.
+// handle executes an operation on a job that this node owns or is to own.
 func (j *jobs) handle(ctx context.Context, call *pathbendv1.JobCall) (*pathbendv1.JobReply, error) {
 	switch call.Operation {
 	case pathbendv1.JobCall_OPERATION_SUBMIT:
-		return &pathbendv1.JobReply{}, j.submitHere(call)
+		return &pathbendv1.JobReply{}, j.submitLocal(call)
 	case pathbendv1.JobCall_OPERATION_PULL:
-		return j.pullHere(ctx, call)
+		return j.pullLocal(ctx, call)
 	case pathbendv1.JobCall_OPERATION_CANCEL:
 		j.node.manager.Cancel(call.Tenant, call.JobId)
 		return &pathbendv1.JobReply{}, nil
 	case pathbendv1.JobCall_OPERATION_HANDOVER:
-		return &pathbendv1.JobReply{}, j.acceptHere(call)
+		return &pathbendv1.JobReply{}, j.acceptHandover(call)
 	default:
 		return nil, result.New(result.FrameMalformed, "unknown job operation %d", call.Operation)
 	}
 }
 
-func (j *jobs) submitHere(call *pathbendv1.JobCall) error {
+func (j *jobs) submitLocal(call *pathbendv1.JobCall) error {
 	var spec rollout.Spec
 	if err := json.Unmarshal(call.Body, &spec); err != nil {
 		return result.Wrap(result.FrameMalformed, err, "decode job")
@@ -194,7 +202,7 @@
 	return j.node.manager.Submit(call.Tenant, spec, policy)
 }
 
-func (j *jobs) pullHere(ctx context.Context, call *pathbendv1.JobCall) (*pathbendv1.JobReply, error) {
+func (j *jobs) pullLocal(ctx context.Context, call *pathbendv1.JobCall) (*pathbendv1.JobReply, error) {
 	var pull rollout.Pull
 	if err := json.Unmarshal(call.Body, &pull); err != nil {
 		return nil, result.Wrap(result.FrameMalformed, err, "decode pull")
@@ -215,7 +223,7 @@
 	return &pathbendv1.JobReply{Body: content}, err
 }
 
-func (j *jobs) acceptHere(call *pathbendv1.JobCall) error {
+func (j *jobs) acceptHandover(call *pathbendv1.JobCall) error {
 	var handover rollout.Handover
 	if err := json.Unmarshal(call.Body, &handover); err != nil {
 		return result.Wrap(result.FrameMalformed, err, "decode handover")
@@ -227,6 +235,7 @@
 	return j.node.manager.Accept(handover, policy)
 }
 
+// policy returns the rollout policy of a model by the current configuration.
 func (j *jobs) policy(tenantName, modelName string) (rollout.Policy, error) {
 	document, _ := j.node.Current()
 	if document == nil {
@@ -243,11 +252,11 @@
 	return rollout.PolicyOf(tenant.Spec.Capacity, model), nil
 }
 
-// handOver gives every job of this node to the next in rank. A job that nobody
-// takes is submitted again by its trainer.
+// handOver transfers every job of this node to the next member in rank. A job that no member
+// accepts is logged as cancelled, and its trainer submits it again.
 func (j *jobs) handOver() {
 	for _, handover := range j.node.manager.BeginHandover() {
-		_, err := j.firstOwner(j.node.ctx, jobOperation{
+		_, err := j.callFirstAvailable(j.node.ctx, jobOperation{
 			kind: pathbendv1.JobCall_OPERATION_HANDOVER, tenant: handover.Tenant, jobID: handover.Spec.JobID, body: handover,
 		})
 		if err != nil {
