--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -65,15 +65,15 @@
 	_, revision := n.Current()
 	_, lastRead := n.follower.Lag()
 	status := Status{
-		Node: n.id, Zone: n.settings.Zone, UptimeSeconds: time.Since(n.started).Seconds(),
+		Node: n.id, Zone: n.settings.Zone, UptimeSeconds: time.Since(n.startedAt).Seconds(),
 		Ready: n.Ready(), Draining: n.draining.Load(), ActiveRequest: n.gateway.Active(),
 		Revision: revision, LogLastRead: lastRead, Endpoints: n.fleet.Status(), Jobs: n.manager.Status(),
 		Admission: n.gate.Occupancy(), Keys: n.replicas.keys(),
 	}
-	n.follower.View(func(machine *state.Machine) {
-		status.LogOffset = machine.Next()
-		_, status.RosterEpoch = machine.Roster()
-		status.Leases = machine.Leases().All()
+	n.follower.View(func(stateMachine *state.Machine) {
+		status.LogOffset = stateMachine.Next()
+		_, status.RosterEpoch = stateMachine.Roster()
+		status.Leases = stateMachine.Leases().All()
 	})
 	for _, member := range n.members.all() {
 		status.Members = append(status.Members, MemberStatus{
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -137,18 +137,18 @@
 
 // onStateChange applies a change of the shared state to this node. The caller holds the
 // follower's mutex.
-func (n *Node) onStateChange(part state.Part, machine *state.Machine) {
+func (n *Node) onStateChange(part state.Part, stateMachine *state.Machine) {
 	switch part {
 	case state.PartConfig:
-		revision := machine.Revision()
+		revision := stateMachine.Revision()
 		if revision.Document == nil {
 			return
 		}
 		n.current.Store(&revision)
 		n.quotas.apply(revision.Document)
 	case state.PartRoster:
-		n.replicas.applyRoster(machine.Shards())
+		n.replicas.applyRoster(stateMachine.Shards())
 	case state.PartSuspects:
-		n.suspects.follow(machine.Suspects())
+		n.suspects.merge(stateMachine.Suspects())
 	}
 }
--- a/internal/node/generate.go
+++ b/internal/node/generate.go
@@ -199,7 +199,7 @@
 	switch {
 	case err == nil:
 		g.node.suspects.guard.Served(ctx, a.digest)
-	case ctx.Err() == nil && !isIntentionalEnd(err) && g.node.exchange.BackEndEnded(ctx, endpoint.Address):
+	case ctx.Err() == nil && !isIntentionalEnd(err) && g.node.exchanger.BackEndEnded(ctx, endpoint.Address):
 		g.node.suspects.guard.Ended(ctx, a.digest(), endpoint.ID)
 	}
 }
--- a/internal/node/jobs.go
+++ b/internal/node/jobs.go
@@ -149,7 +149,7 @@
 		return nil
 	}
 	j.node.logger.Log(event.VersionAnnounced, "tenant", tenant, "model", model, "version", version)
-	j.node.members.spread()
+	j.node.members.gossipNow()
 	return nil
 }
 
--- a/internal/node/machines.go
+++ b/internal/node/machines.go
@@ -120,7 +120,7 @@
 			}
 		}
 	}
-	machines, unchanged, err := n.list.List(ctx)
+	machines, unchanged, err := n.machineClient.List(ctx)
 	// The platform compares with the list that this node last read from it. The
 	// cache may hold another one that a peer returned since.
 	return machineList{machines: machines, at: time.Now(), unchanged: unchanged && n.isCached(machines)}, err
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -19,26 +19,29 @@
 	"github.com/pathbend/pathbend/internal/weights"
 )
 
-// heartbeatTimeout bounds the wait for an acknowledgement.
+// heartbeatTimeout bounds the wait for the acknowledgement of a heartbeat.
 const heartbeatTimeout = 450 * time.Millisecond
 
-// newsRepeats is how many ticks a leaving endpoint is told to peers.
-const newsRepeats = 6
+// leavingGossipTicks is the number of ticks for which heartbeats name a leaving endpoint.
+const leavingGossipTicks = 6
 
-// members drives the membership machine and the gossip that rides on it.
+// members runs the membership state machine over the network, and the gossip that its
+// heartbeats carry: announced weight versions and leaving endpoints.
 type members struct {
 	node *Node
 
-	mutex    sync.Mutex
-	machine  *membership.Machine
-	versions *weights.Versions
-	// usableMembers is the answer of usable at the machine's change usableAt.
-	usableMembers []membership.Member
-	usableAt      uint64
-	// leavingNews counts for each endpoint how often it is still to be told.
-	leavingNews map[string]int
-	// fresh wakes the spread loop.
-	fresh chan struct{}
+	mutex        sync.Mutex
+	stateMachine *membership.Machine
+	versions     *weights.Versions
+	// cachedUsable is the result of usable as of the state machine's change number
+	// cachedAtChange.
+	cachedUsable   []membership.Member
+	cachedAtChange uint64
+	// leavingTicks is the number of ticks for which each leaving endpoint is still
+	// gossiped, by endpoint id.
+	leavingTicks map[string]int
+	// gossipRequests wakes the gossip loop.
+	gossipRequests chan struct{}
 }
 
 func newMembers(n *Node, random *rand.Rand) *members {
@@ -46,61 +49,63 @@
 		ID: n.id, Address: n.settings.PeerAddress, HTTPAddress: n.settings.HTTPAddress, Zone: n.settings.Zone,
 	}
 	return &members{
-		node:        n,
-		machine:     membership.New(membership.DefaultSettings(), self, random, time.Now()),
-		versions:    weights.NewVersions(),
-		leavingNews: make(map[string]int),
-		fresh:       make(chan struct{}, 1),
+		node:           n,
+		stateMachine:   membership.New(membership.DefaultSettings(), self, random, time.Now()),
+		versions:       weights.NewVersions(),
+		leavingTicks:   make(map[string]int),
+		gossipRequests: make(chan struct{}, 1),
 	}
 }
 
+// sortedKeys returns the keys of a map in ascending order.
 func sortedKeys[V any](index map[string]V) []string { return slices.Sorted(maps.Keys(index)) }
 
-// usable returns the members that take new work, this node included unless it
-// leaves. The caller must not modify the slice.
+// usable returns the members that take new work, including this node unless it is
+// leaving. The caller must not modify the slice.
 func (m *members) usable() []membership.Member {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if m.usableAt != m.machine.Changes() {
-		m.usableAt = m.machine.Changes()
-		m.usableMembers = slices.DeleteFunc(m.machine.Members(), func(member membership.Member) bool { return !member.Usable() })
+	if m.cachedAtChange != m.stateMachine.Changes() {
+		m.cachedAtChange = m.stateMachine.Changes()
+		m.cachedUsable = slices.DeleteFunc(m.stateMachine.Members(), func(member membership.Member) bool { return !member.Usable() })
 	}
-	return m.usableMembers
+	return m.cachedUsable
 }
 
 func (m *members) usableCount() int { return len(m.usable()) }
 
-// all returns every member, also leaving and dead ones.
+// all returns all members, including leaving and dead ones.
 func (m *members) all() []membership.Member {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.machine.Members()
+	return m.stateMachine.Members()
 }
 
 func (m *members) get(id string) (membership.Member, bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.machine.Get(id)
+	return m.stateMachine.Get(id)
 }
 
 func (m *members) setSeeds(addresses []string) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.machine.SetSeeds(addresses)
+	m.stateMachine.SetSeeds(addresses)
 }
 
-// raiseVersion records an announced version and reports whether it is news. A
-// new version wakes the weight roller.
+// raiseVersion records an announced version and reports whether it is higher than the
+// known one. A higher version triggers the weight updater.
 func (m *members) raiseVersion(key weights.ModelKey, version uint64) bool {
 	m.mutex.Lock()
 	raised := m.versions.Raise(key, version)
 	m.mutex.Unlock()
 	if raised {
-		m.node.weights.wake()
+		m.node.weights.trigger()
 	}
 	return raised
 }
 
+// version returns the newest announced version of a model; 0 if there is none.
 func (m *members) version(key weights.ModelKey) uint64 {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -113,70 +118,73 @@
 	return m.versions.All()
 }
 
-// spreadPause collects fresh statements before they are sent on.
-const spreadPause = 50 * time.Millisecond
+// gossipDelay is the time for which updates are collected before they are sent on.
+const gossipDelay = 50 * time.Millisecond
 
-// spreadLoop sends fresh statements on without waiting for the next tick, so
-// that the time until all nodes know grows little with their number.
-func (m *members) spreadLoop(ctx context.Context) {
+// gossipLoop sends updates on without waiting for the next tick, so that the time until
+// all nodes have them grows little with the number of nodes.
+func (m *members) gossipLoop(ctx context.Context) {
 	for {
 		select {
-		case <-m.fresh:
+		case <-m.gossipRequests:
 		case <-ctx.Done():
 			return
 		}
-		if !wait.For(ctx, spreadPause) {
+		if !wait.For(ctx, gossipDelay) {
 			return
 		}
 		m.mutex.Lock()
-		messages := m.machine.Spread()
+		messages := m.stateMachine.Spread()
 		m.mutex.Unlock()
 		m.sendAll(messages)
 	}
 }
 
-// noteFresh wakes the spread loop if there is something to send on. The mutex
-// is held.
-func (m *members) noteFresh() {
-	if !m.machine.Fresh() {
+// requestGossip wakes the gossip loop if there are unsent updates. The caller holds
+// m.mutex.
+func (m *members) requestGossip() {
+	if !m.stateMachine.Fresh() {
 		return
 	}
 	select {
-	case m.fresh <- struct{}{}:
+	case m.gossipRequests <- struct{}{}:
 	default:
 	}
 }
 
+// loop sends heartbeats at each interval of the membership until ctx ends.
 func (m *members) loop(ctx context.Context) {
-	var beats conc.WaitGroup
-	defer beats.Wait()
-	beats.Go(func() { m.spreadLoop(ctx) })
+	var sends conc.WaitGroup
+	defer sends.Wait()
+	sends.Go(func() { m.gossipLoop(ctx) })
 	wait.Every(ctx, membership.DefaultSettings().Interval, func() {
 		for _, message := range m.tick() {
-			beats.Go(func() { m.send(ctx, message) })
+			sends.Go(func() { m.send(ctx, message) })
 		}
 		m.logChanges()
 	})
 }
 
+// tick advances the membership by one interval and returns the heartbeats to send.
 func (m *members) tick() []membership.Message {
-	news := m.node.fleet.TakeNewlyLeaving()
+	leaving := m.node.fleet.TakeNewlyLeaving()
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	for id := range m.leavingNews {
-		m.leavingNews[id]--
-		if m.leavingNews[id] <= 0 {
-			delete(m.leavingNews, id)
+	for id := range m.leavingTicks {
+		m.leavingTicks[id]--
+		if m.leavingTicks[id] <= 0 {
+			delete(m.leavingTicks, id)
 		}
 	}
-	for _, id := range news {
-		m.leavingNews[id] = newsRepeats
+	for _, id := range leaving {
+		m.leavingTicks[id] = leavingGossipTicks
 	}
-	messages := m.machine.Tick(time.Now())
-	m.noteFresh()
+	messages := m.stateMachine.Tick(time.Now())
+	m.requestGossip()
 	return messages
 }
 
+// send sends one heartbeat and applies its acknowledgement, or records that it is missing.
 func (m *members) send(ctx context.Context, message membership.Message) {
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
@@ -186,30 +194,30 @@
 	if err != nil {
 		m.mutex.Lock()
 		defer m.mutex.Unlock()
-		m.machine.HandleMiss(now, message.ToID)
-		m.noteFresh()
+		m.stateMachine.HandleMiss(now, message.ToID)
+		m.requestGossip()
 		return
 	}
-	m.takeIn(reply.GetHeartbeat())
+	m.applyGossip(reply.GetHeartbeat())
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.machine.HandleAck(now, decodeHeartbeat(reply.GetHeartbeat()))
-	m.noteFresh()
+	m.stateMachine.HandleAck(now, decodeHeartbeat(reply.GetHeartbeat()))
+	m.requestGossip()
 }
 
-// handle answers a heartbeat of a peer.
+// handle applies a peer's heartbeat and returns the acknowledgement.
 func (m *members) handle(beat *pathbendv1.Heartbeat) *pathbendv1.Heartbeat {
-	m.takeIn(beat)
+	m.applyGossip(beat)
 	m.mutex.Lock()
-	reply := m.machine.HandleHeartbeat(time.Now(), decodeHeartbeat(beat))
-	m.noteFresh()
+	reply := m.stateMachine.HandleHeartbeat(time.Now(), decodeHeartbeat(beat))
+	m.requestGossip()
 	m.mutex.Unlock()
 	m.logChanges()
 	return m.encode(reply)
 }
 
-// takeIn merges what rides on a heartbeat beside membership.
-func (m *members) takeIn(beat *pathbendv1.Heartbeat) {
+// applyGossip applies the announced versions and leaving endpoints that a heartbeat carries.
+func (m *members) applyGossip(beat *pathbendv1.Heartbeat) {
 	for _, version := range beat.GetVersions() {
 		m.raiseVersion(weights.ModelKey{Tenant: version.Tenant, Model: version.Model}, version.Version)
 	}
@@ -218,9 +226,10 @@
 	}
 }
 
+// logChanges logs the changes of the membership since the last call.
 func (m *members) logChanges() {
 	m.mutex.Lock()
-	changes := m.machine.TakeChanges()
+	changes := m.stateMachine.TakeChanges()
 	m.mutex.Unlock()
 	numbers := map[membership.Status]event.Number{
 		membership.Alive: event.MemberJoined, membership.Suspect: event.MemberSuspected,
@@ -235,46 +244,49 @@
 	}
 }
 
+// logRefutation logs that peers declared this node dead, which it has refuted.
 func (m *members) logRefutation(change membership.Change) {
 	if change.Former == membership.Dead {
 		m.node.logger.Log(event.SelfDeclaredDead, "version", change.Member.Version)
 	}
 }
 
-// leave announces the drain, at once to the neighbours.
+// leave marks this node as leaving and sends heartbeats to its neighbours at once.
 func (m *members) leave() {
 	m.mutex.Lock()
-	m.machine.Leave(time.Now())
-	messages := m.machine.Tick(time.Now())
+	m.stateMachine.Leave(time.Now())
+	messages := m.stateMachine.Tick(time.Now())
 	m.mutex.Unlock()
 	m.sendAll(messages)
 }
 
-// depart announces the end of the process.
+// depart tells peers that this process ends.
 func (m *members) depart() {
 	m.mutex.Lock()
-	messages := m.machine.Depart(time.Now())
+	messages := m.stateMachine.Depart(time.Now())
 	m.mutex.Unlock()
 	m.sendAll(messages)
 }
 
-// spread sends heartbeats at once, so that an announced version, which rides on
-// them, does not wait for the next tick.
-func (m *members) spread() {
+// gossipNow sends heartbeats at once, so that an announced version, which heartbeats
+// carry, does not wait for the next tick.
+func (m *members) gossipNow() {
 	m.mutex.Lock()
-	messages := m.machine.Tick(time.Now())
+	messages := m.stateMachine.Tick(time.Now())
 	m.mutex.Unlock()
 	m.sendAll(messages)
 }
 
 func (m *members) sendAll(messages []membership.Message) {
-	var beats conc.WaitGroup
+	var sends conc.WaitGroup
 	for _, message := range messages {
-		beats.Go(func() { m.send(m.node.ctx, message) })
+		sends.Go(func() { m.send(m.node.ctx, message) })
 	}
-	beats.Wait()
+	sends.Wait()
 }
 
+// encode encodes a heartbeat and adds the configuration revision, the announced versions and
+// the leaving endpoints.
 func (m *members) encode(beat membership.Heartbeat) *pathbendv1.Heartbeat {
 	encoded := &pathbendv1.Heartbeat{From: beat.From, Digest: beat.Digest, Full: beat.Full}
 	for _, member := range beat.Updates {
@@ -293,12 +305,14 @@
 			Tenant: announced.Tenant, Model: announced.Model, Version: announced.Version,
 		})
 	}
-	for _, id := range sortedKeys(m.leavingNews) {
+	for _, id := range sortedKeys(m.leavingTicks) {
 		encoded.Leaving = append(encoded.Leaving, &pathbendv1.LeavingEndpoint{Id: id})
 	}
 	return encoded
 }
 
+// decodeHeartbeat decodes the membership part of a heartbeat. Updates with an unknown status
+// are ignored.
 func decodeHeartbeat(encoded *pathbendv1.Heartbeat) membership.Heartbeat {
 	beat := membership.Heartbeat{From: encoded.GetFrom(), Digest: encoded.GetDigest(), Full: encoded.GetFull()}
 	for _, member := range encoded.GetUpdates() {
@@ -314,18 +328,20 @@
 	return beat
 }
 
-// owners ranks the members for a job: those that take new work first.
+// owners returns the members that are not dead in rank order for a job, those that take new
+// work first.
 func (m *members) owners(jobKey string) []membership.Member {
 	ranked := rank(jobKey, slices.DeleteFunc(m.all(), func(member membership.Member) bool {
 		return member.Status == membership.Dead
 	}))
 	slices.SortStableFunc(ranked, func(a, b membership.Member) int {
-		return cmp.Compare(ordinal(a), ordinal(b))
+		return cmp.Compare(usabilityOrder(a), usabilityOrder(b))
 	})
 	return ranked
 }
 
-func ordinal(member membership.Member) int {
+// usabilityOrder returns the sort key that puts usable members first.
+func usabilityOrder(member membership.Member) int {
 	if member.Usable() {
 		return 0
 	}
@@ -336,16 +352,16 @@
 // connections that this node opened.
 func (n *Node) PeerTraffic() (sent, received int64) { return n.peers.Traffic() }
 
-// Settled reports whether the node takes work, is on the roster, sees a number
-// of nodes that take work, and holds the entries of all its shards.
+// Settled reports whether this node takes new work, is on the roster, knows at least the
+// given number of nodes that take new work, and is ready in all its shards.
 func (n *Node) Settled(nodes int) bool {
 	ready, member := n.replicas.readyShards()
 	_, listed := n.roster()[n.id]
 	return n.Ready() && listed && n.members.usableCount() >= nodes && ready == member
 }
 
-// Sees returns the status that this node holds of a member; empty if it does
-// not know it.
+// Sees returns the status of a member as known to this node, or the empty string if the
+// member is unknown.
 func (n *Node) Sees(id string) string {
 	member, ok := n.members.get(id)
 	if !ok {
@@ -354,8 +370,8 @@
 	return member.Status.String()
 }
 
-// CountDead counts the members that this node takes for dead, except those
-// whose id begins with a name.
+// CountDead returns the number of members that this node considers dead, without those
+// whose id begins with except. An empty except excludes none.
 func (n *Node) CountDead(except string) int {
 	count := 0
 	for _, member := range n.members.all() {
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -9,8 +9,8 @@
 	"github.com/pathbend/pathbend/internal/result"
 )
 
-// metrics are the node's Prometheus metrics, on a registry of its own. It
-// implements gateway.Recorder.
+// metrics holds the node's Prometheus metrics in a registry of its own. It implements
+// gateway.Recorder.
 type metrics struct {
 	registry *prometheus.Registry
 	requests *prometheus.CounterVec
@@ -61,16 +61,18 @@
 	return m
 }
 
+// register registers a gauge whose value is read at each scrape.
 func (m *metrics) register(name, help string, read func() float64) {
 	m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, read))
 }
 
-// Record implements gateway.Recorder.
+// Record implements gateway.Recorder. It counts a request and observes its duration.
 func (m *metrics) Record(tenant, route string, code result.Code, duration time.Duration) {
 	m.requests.WithLabelValues(tenant, route, strconv.Itoa(int(code))).Inc()
 	m.duration.WithLabelValues(tenant, route).Observe(duration.Seconds())
 }
 
+// keys returns the number of idempotency keys that this node's replica holds.
 func (r *replicas) keys() int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -31,48 +31,49 @@
 	"github.com/pathbend/pathbend/internal/state"
 )
 
-// Node is one pathbend process. Its methods are safe for concurrent use.
+// Node is one pathbend process. Its methods are safe for concurrent use, except that Start
+// must be called once and before Drain and Stop.
 type Node struct {
-	id       string
-	settings Settings
-	network  network.Network
-	logger   *event.Logger
-	started  time.Time
+	id        string
+	settings  Settings
+	network   network.Network
+	logger    *event.Logger
+	startedAt time.Time
 
-	log      *logstore.Client
-	list     *fleet.ListClient
-	machines machineCache
-	follower *control.Follower
-	members  *members
-	fleet    *fleet.Fleet
-	engines  *engine.Client
-	replicas *replicas
-	gate     *admission.Gate
-	quotas   *quotas
-	exchange *dispatch.Exchanger
-	keyed    *keyed.Executor
-	jobs     *jobs
-	manager  *rollout.Manager
-	weights  *weightRoller
-	suspects *suspects
-	gateway  *gateway.Gateway
-	metrics  *metrics
+	log           *logstore.Client
+	machineClient *fleet.ListClient
+	machines      machineCache
+	follower      *control.Follower
+	members       *members
+	fleet         *fleet.Fleet
+	engines       *engine.Client
+	replicas      *replicas
+	gate          *admission.Gate
+	quotas        *quotas
+	exchanger     *dispatch.Exchanger
+	keyed         *keyed.Executor
+	jobs          *jobs
+	manager       *rollout.Manager
+	weights       *weightUpdater
+	suspects      *suspects
+	gateway       *gateway.Gateway
+	metrics       *metrics
 
 	peers      *peer.Pool
 	peerServer *peer.Server
 
-	// current is the configuration in force, swapped as a whole.
+	// current is the configuration revision in effect. It is replaced as a whole.
 	current atomic.Pointer[state.Revision]
 
 	idMutex  sync.Mutex
 	idRandom *rand.Rand
 
-	ctx        context.Context
-	cancel     context.CancelFunc
-	loops      conc.WaitGroup
-	listeners  []net.Listener
-	httpServer *http.Server
-	admin      *http.Server
+	ctx         context.Context
+	cancel      context.CancelFunc
+	loops       conc.WaitGroup
+	listeners   []net.Listener
+	httpServer  *http.Server
+	adminServer *http.Server
 
 	readyOnce sync.Once
 	drainOnce sync.Once
@@ -80,10 +81,10 @@
 	draining  atomic.Bool
 }
 
-// randomIDBytes is the length of the random part of ids.
+// randomIDBytes is the length in bytes of the random part of ids.
 const randomIDBytes = 8
 
-// New returns a node that has not started.
+// New returns a node that is not started. It fails if the settings are invalid.
 func New(settings Settings, transport network.Network, logger *event.Logger) (*Node, error) {
 	if err := settings.Validate(); err != nil {
 		return nil, err
@@ -93,14 +94,14 @@
 		seed = rand.Uint64()
 	}
 	n := &Node{
-		settings: settings, network: transport, logger: logger, started: time.Now(),
+		settings: settings, network: transport, logger: logger, startedAt: time.Now(),
 		idRandom: rand.New(rand.NewPCG(seed, 1)),
 		drained:  make(chan struct{}),
 	}
 	n.id = settings.Name + "-" + n.randomHex()
 	n.ctx, n.cancel = context.WithCancel(context.Background())
 	n.log = logstore.NewClient(transport, settings.LogAddress)
-	n.list = fleet.NewListClient(transport, settings.MachinesAddress)
+	n.machineClient = fleet.NewListClient(transport, settings.MachinesAddress)
 	n.peers = peer.NewPool(transport, n.id)
 	n.peerServer = peer.NewServer(n, logger)
 	n.metrics = newMetrics(n)
@@ -110,11 +111,11 @@
 	n.replicas = newReplicas(n)
 	n.gate = admission.NewGate()
 	n.quotas = newQuotas(n)
-	n.weights = newWeightRoller(n)
+	n.weights = newWeightUpdater(n)
 	n.follower = control.NewFollower(n, n.onStateChange, logger)
-	n.exchange = dispatch.NewExchanger(transport)
+	n.exchanger = dispatch.NewExchanger(transport)
 	n.suspects = newSuspects(n)
-	dispatcher := dispatch.NewDispatcher(n.exchange, dispatch.OwnProtocol{}, n.fleet, n.suspects.guard, settings.Zone, n.NewID, logger)
+	dispatcher := dispatch.NewDispatcher(n.exchanger, dispatch.OwnProtocol{}, n.fleet, n.suspects.guard, settings.Zone, n.NewID, logger)
 	n.keyed = keyed.NewExecutor(n.id, n.replicas, dispatcher, n.NewID)
 	generator := &generator{node: n}
 	n.manager = rollout.NewManager(generator, logger)
@@ -126,12 +127,13 @@
 	return n, nil
 }
 
-// ID returns the id of the process, which is new at every start.
+// ID returns the id of the process. Every process has a new one.
 func (n *Node) ID() string { return n.id }
 
-// NewID returns a unique id that names this process.
+// NewID returns a unique id that begins with the id of this process.
 func (n *Node) NewID() string { return n.id + "." + n.randomHex() }
 
+// randomHex returns randomIDBytes random bytes in hexadecimal.
 func (n *Node) randomHex() string {
 	n.idMutex.Lock()
 	defer n.idMutex.Unlock()
@@ -140,7 +142,8 @@
 	return hex.EncodeToString(buffer[:])
 }
 
-// Current implements gateway.Configuration.
+// Current implements gateway.Configuration. It returns nil and 0 if there is no
+// configuration or this node has not read the log to its end.
 func (n *Node) Current() (*config.Document, uint64) {
 	revision := n.current.Load()
 	if revision == nil || !n.follower.CaughtUp() {
@@ -149,7 +152,7 @@
 	return revision.Document, revision.Number
 }
 
-// Start opens the listeners and starts the loops.
+// Start opens the listeners and starts the servers and background loops.
 func (n *Node) Start() error {
 	n.logger.Log(event.NodeStarting, "node", n.id, "zone", n.settings.Zone, "http", n.settings.HTTPAddress, "peer", n.settings.PeerAddress)
 	peerListener, err := n.listen(n.settings.PeerAddress)
@@ -165,11 +168,11 @@
 		return err
 	}
 	n.httpServer = n.gateway.Server()
-	n.admin = &http.Server{Handler: n.adminHandler(), ReadHeaderTimeout: adminHeaderTimeout}
-	// Each Serve returns when its listener or server is closed.
+	n.adminServer = &http.Server{Handler: n.adminHandler(), ReadHeaderTimeout: adminHeaderTimeout}
+	// Each Serve returns an error when its listener or server is closed.
 	n.loops.Go(func() { _ = n.peerServer.Serve(peerListener) })
 	n.loops.Go(func() { _ = n.httpServer.Serve(httpListener) })
-	n.loops.Go(func() { _ = n.admin.Serve(adminListener) })
+	n.loops.Go(func() { _ = n.adminServer.Serve(adminListener) })
 	for _, loop := range []func(context.Context){
 		n.machinesLoop, n.follower.Run, n.members.loop, n.pollEnginesLoop, n.replicas.loop, n.weights.loop, n.rosterLoop, n.quotas.loop,
 	} {
@@ -178,6 +181,7 @@
 	return nil
 }
 
+// listen opens a listener. If it fails, it closes those that are open already.
 func (n *Node) listen(address string) (net.Listener, error) {
 	listener, err := n.network.Listen(address)
 	if err != nil {
@@ -200,20 +204,20 @@
 	return document != nil && !n.draining.Load()
 }
 
-// noteReady logs once that the node has become ready.
-func (n *Node) noteReady() {
+// logReadyOnce logs when the node is ready for the first time.
+func (n *Node) logReadyOnce() {
 	if !n.Ready() {
 		return
 	}
 	n.readyOnce.Do(func() {
 		_, revision := n.Current()
-		n.logger.Log(event.NodeReady, "revision", revision, "after_ms", time.Since(n.started).Milliseconds())
+		n.logger.Log(event.NodeReady, "revision", revision, "after_ms", time.Since(n.startedAt).Milliseconds())
 	})
 }
 
-// Drain announces that the node leaves, refuses new work as not run, finishes
-// what runs and hands its jobs over. It returns when that is done or the drain
-// timeout has passed; a second call waits for the first.
+// Drain announces that the node is leaving, refuses new work as not run, completes the
+// requests in progress and hands over its jobs. It returns when that is done or, with
+// requests still in progress, after the drain timeout. A second call waits for the first.
 func (n *Node) Drain() {
 	n.drainOnce.Do(func() {
 		defer close(n.drained)
@@ -239,21 +243,22 @@
 	n.leaveRoster()
 }
 
-// Stop ends the process's work at once. Call Drain before for a planned stop.
+// Stop stops the node immediately and aborts requests in progress. For a graceful shutdown
+// call Drain first.
 func (n *Node) Stop() {
 	n.members.depart()
 	n.cancel()
 	n.httpServer.Close()
-	n.admin.Close()
+	n.adminServer.Close()
 	n.closeListeners()
 	n.manager.Close()
 	n.peerServer.Close()
 	n.peers.Close()
 	n.loops.Wait()
 	n.keyed.Wait()
-	n.exchange.Close()
+	n.exchanger.Close()
 	n.engines.Close()
 	n.log.Close()
-	n.list.Close()
+	n.machineClient.Close()
 	n.logger.Log(event.NodeStopped, "node", n.id)
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -35,6 +35,7 @@
         - {name: look, pool: b, deadline: 2s, priority: normal, max_attempts: 2, max_body_bytes: 1000}
 `
 
+// reserve returns an address with a free port.
 func reserve(t *testing.T, reserved *network.Reserved) string {
 	t.Helper()
 	address, err := reserved.Reserve()
@@ -42,7 +43,8 @@
 	return address
 }
 
-// startNode runs one node against a platform with one back end.
+// startNode starts a node with an emulated platform and one back end, and waits until it is
+// ready. At the end of the test it checks that no goroutine is left.
 func startNode(t *testing.T) *Node {
 	t.Helper()
 	platform := emulator.NewPlatform(0, 0, 1)
@@ -60,19 +62,19 @@
 	reserved := network.NewReserved()
 	settings.HTTPAddress, settings.PeerAddress, settings.AdminAddress = reserve(t, reserved), reserve(t, reserved), reserve(t, reserved)
 	settings.LogAddress, settings.MachinesAddress = address, address
-	started, err := New(settings, reserved, event.Discard())
+	node, err := New(settings, reserved, event.Discard())
 	require.NoError(t, err)
-	require.NoError(t, started.Start())
+	require.NoError(t, node.Start())
 	t.Cleanup(func() {
-		started.Stop()
+		node.Stop()
 		log.Close()
 		backEnd.Close()
 		server.Close()
 		http.DefaultClient.CloseIdleConnections()
 		goleak.VerifyNone(t)
 	})
-	require.Eventually(t, func() bool { return started.Ready() && len(started.fleet.Status()) == 1 }, 20*time.Second, 5*time.Millisecond)
-	return started
+	require.Eventually(t, func() bool { return node.Ready() && len(node.fleet.Status()) == 1 }, 20*time.Second, 5*time.Millisecond)
+	return node
 }
 
 func get(t *testing.T, url, accept string) (int, string) {
@@ -88,20 +90,20 @@
 	return response.StatusCode, string(content)
 }
 
-func TestNodeServesOperatorsAndLeavesNothingBehind(t *testing.T) {
+func TestNodeServesOperatorsAndStopsAllGoroutines(t *testing.T) {
 	n := startNode(t)
 	callers, admin := "http://"+n.settings.HTTPAddress, "http://"+n.settings.AdminAddress
 	status, body := get(t, callers+"/v1/tenants/shop/routes/look", "")
 	require.Equal(t, http.StatusOK, status, body)
 
 	_, content := get(t, admin+"/status", "application/json")
-	var page Status
-	require.NoError(t, json.Unmarshal([]byte(content), &page))
-	require.Equal(t, uint64(1), page.Revision)
-	require.Equal(t, "b-1", page.Endpoints[0].ID)
+	var parsed Status
+	require.NoError(t, json.Unmarshal([]byte(content), &parsed))
+	require.Equal(t, uint64(1), parsed.Revision)
+	require.Equal(t, "b-1", parsed.Endpoints[0].ID)
 	_, html := get(t, admin+"/status", "text/html")
 	require.Contains(t, html, "<h2>Engines and back ends</h2>")
-	// The books are kept after the answer has gone out.
+	// Metrics are recorded after the answer was sent.
 	require.Eventually(t, func() bool {
 		_, metrics := get(t, admin+"/metrics", "")
 		return strings.Contains(metrics, `pathbend_requests_total{code="0",route="look",tenant="shop"} 1`)
@@ -122,10 +124,10 @@
 	spec := rollout.Spec{JobID: "j", Model: "m", TrainerVersion: 7, Prompts: []rollout.Prompt{{Prompt: "p", Samples: 1, MaxTokens: 5}}}
 	require.NoError(t, n.jobs.Submit(context.Background(), "shop", spec))
 	require.Equal(t, uint64(7), n.members.version(weights.ModelKey{Tenant: "shop", Model: "m"}))
-	require.Error(t, n.jobs.Announce(context.Background(), "shop", "m", 6), "versions only rise")
+	require.Error(t, n.jobs.Announce(context.Background(), "shop", "m", 6), "announced versions must not decrease")
 }
 
-func TestRankMovesFewJobsWhenAMemberLeaves(t *testing.T) {
+func TestRankMovesJobToSecondMemberWhenFirstLeaves(t *testing.T) {
 	var members []membership.Member
 	for _, id := range []string{"a", "b", "c", "d", "e"} {
 		members = append(members, membership.Member{ID: id})
@@ -135,17 +137,17 @@
 		first, ok := highestRanked(job, members)
 		require.True(t, ok)
 		require.Equal(t, before[0], first)
-		var rest []membership.Member
+		var remaining []membership.Member
 		for _, member := range members {
 			if member.ID != before[0].ID {
-				rest = append(rest, member)
+				remaining = append(remaining, member)
 			}
 		}
-		require.Equal(t, before[1].ID, rank(job, rest)[0].ID)
+		require.Equal(t, before[1].ID, rank(job, remaining)[0].ID)
 	}
 }
 
-func TestSettingsNameTheFieldAndTheFix(t *testing.T) {
+func TestInvalidSettingsErrorNamesFieldAndFix(t *testing.T) {
 	settings := DefaultSettings()
 	settings.Zone, settings.LogAddress, settings.MachinesAddress = "z", "here", "127.0.0.1:1"
 	err := settings.Validate()
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -10,7 +10,7 @@
 	"github.com/pathbend/pathbend/internal/result"
 )
 
-// HandlePeer implements peer.Handler.
+// HandlePeer implements peer.Handler. It passes a call to the component that answers it.
 func (n *Node) HandlePeer(ctx context.Context, call *pathbendv1.Envelope) (*pathbendv1.Envelope, error) {
 	switch body := call.Body.(type) {
 	case *pathbendv1.Envelope_Heartbeat:
@@ -39,13 +39,14 @@
 		}
 		return &pathbendv1.Envelope{Body: &pathbendv1.Envelope_JobReply{JobReply: reply}}, nil
 	default:
-		return nil, result.New(result.FrameMalformed, "a call without a known body")
+		return nil, result.New(result.FrameMalformed, "call with a missing or unknown body")
 	}
 }
 
+// handleRead answers a peer's read of the control stream.
 func (n *Node) handleRead(ctx context.Context, call *pathbendv1.ReadRecords) (*pathbendv1.Envelope, error) {
 	if call.Stream != logstore.ControlStream {
-		return nil, result.New(result.FrameMalformed, "this node follows no stream %q", call.Stream).WithField("stream")
+		return nil, result.New(result.FrameMalformed, "this node does not serve stream %q", call.Stream).WithField("stream")
 	}
 	wait := min(time.Duration(call.WaitMs)*time.Millisecond, maxPeerWait)
 	update, err := n.follower.Serve(ctx, call.From, int(call.Max), wait)
@@ -59,9 +60,11 @@
 	return &pathbendv1.Envelope{Body: &pathbendv1.Envelope_RecordBatch{RecordBatch: batch}}, nil
 }
 
-// maxPeerWait bounds how long a peer's read may wait here.
+// maxPeerWait is the longest time that a peer's read waits for new records.
 const maxPeerWait = 30 * time.Second
 
+// handleList returns the cached machine list to a peer, without its machines if the peer has
+// the same list.
 func (n *Node) handleList(call *pathbendv1.ListMachines) *pathbendv1.MachineList {
 	machines, at := n.machines.get()
 	list := &pathbendv1.MachineList{AgeMs: time.Since(at).Milliseconds()}
--- a/internal/node/replicas.go
+++ b/internal/node/replicas.go
@@ -67,7 +67,7 @@
 // Group implements keyed.Replicas.
 func (r *replicas) Group(index int) shard.Group {
 	var group shard.Group
-	r.node.follower.View(func(machine *state.Machine) { group = machine.Shards().Group(index) })
+	r.node.follower.View(func(stateMachine *state.Machine) { group = stateMachine.Shards().Group(index) })
 	return group
 }
 
--- a/internal/node/roster.go
+++ b/internal/node/roster.go
@@ -49,8 +49,8 @@
 // roster returns the members of the roster by id.
 func (n *Node) roster() map[string]state.RosterMember {
 	roster := make(map[string]state.RosterMember)
-	n.follower.View(func(machine *state.Machine) {
-		members, _ := machine.Roster()
+	n.follower.View(func(stateMachine *state.Machine) {
+		members, _ := stateMachine.Roster()
 		for _, member := range members {
 			roster[member.ID] = member
 		}
@@ -117,7 +117,7 @@
 	defer ticker.Stop()
 	for {
 		var next uint64
-		n.follower.View(func(machine *state.Machine) { next = machine.Next() })
+		n.follower.View(func(stateMachine *state.Machine) { next = stateMachine.Next() })
 		if next > offset {
 			return
 		}
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -13,8 +13,8 @@
 	"github.com/goccy/go-yaml"
 )
 
-// Settings are a process's own settings, from a file and flags. What tenants
-// may do is configuration and comes from the log.
+// Settings are the settings of one process, from a file and flags. The configuration of
+// tenants is not part of them; it is read from the log.
 type Settings struct {
 	Name string `yaml:"name" validate:"required" doc:"Name of the machine; the process adds a random part."`
 	Zone string `yaml:"zone" validate:"required" doc:"Zone that the machine is in."`
@@ -28,11 +28,11 @@
 
 	DrainTimeout time.Duration `yaml:"drain_timeout" validate:"gt=0" doc:"How long a drain waits for requests in progress."`
 	LogLevel     string        `yaml:"log_level" validate:"oneof=debug info warn error" doc:"Least severe level that is logged."`
-	// Seed makes random choices repeatable; 0 draws one at the start.
+	// Seed makes random choices reproducible. With 0 a random seed is used.
 	Seed uint64 `yaml:"seed,omitempty" doc:"Seed of random choices; 0 draws one."`
 }
 
-// DefaultSettings returns the settings that a file may leave out.
+// DefaultSettings returns the values of the settings that a file may omit.
 func DefaultSettings() Settings {
 	return Settings{
 		HTTPAddress:  "127.0.0.1:8080",
@@ -43,7 +43,8 @@
 	}
 }
 
-// LoadSettings reads a settings file over the defaults.
+// LoadSettings reads a settings file. Settings that it omits have their default values;
+// unknown settings are an error.
 func LoadSettings(path string) (Settings, error) {
 	settings := DefaultSettings()
 	content, err := os.ReadFile(path)
@@ -57,33 +58,35 @@
 	return settings, nil
 }
 
-// Validate checks the settings. The error names the field and the fix.
+// Validate checks the settings. The error has one line per invalid field, with the field and
+// how to fix it.
 func (s Settings) Validate() error {
-	check := validator.New(validator.WithRequiredStructEnabled())
-	check.RegisterTagNameFunc(func(field reflect.StructField) string {
+	validate := validator.New(validator.WithRequiredStructEnabled())
+	validate.RegisterTagNameFunc(func(field reflect.StructField) string {
 		name, _, _ := strings.Cut(field.Tag.Get("yaml"), ",")
 		return name
 	})
-	var found validator.ValidationErrors
-	if !errors.As(check.Struct(s), &found) {
+	var invalid validator.ValidationErrors
+	if !errors.As(validate.Struct(s), &invalid) {
 		return nil
 	}
 	var lines []string
-	for _, fault := range found {
-		lines = append(lines, fmt.Sprintf("%s: value %q is not allowed; %s", fault.Field(), fault.Value(), settingFix(fault)))
+	for _, field := range invalid {
+		lines = append(lines, fmt.Sprintf("%s: value %q is not allowed; %s", field.Field(), field.Value(), settingFix(field)))
 	}
 	return errors.Newf("settings: %s", strings.Join(lines, "\nsettings: "))
 }
 
-func settingFix(fault validator.FieldError) string {
-	switch fault.Tag() {
+// settingFix returns how to fix an invalid field.
+func settingFix(field validator.FieldError) string {
+	switch field.Tag() {
 	case "required":
-		return "set it in the settings file or by --" + strings.ReplaceAll(fault.Field(), "_", "-")
+		return "set it in the settings file or by --" + strings.ReplaceAll(field.Field(), "_", "-")
 	case "hostname_port":
 		return "write host:port"
 	case "oneof":
-		return "use one of " + strings.ReplaceAll(fault.Param(), " ", ", ")
+		return "use one of " + strings.ReplaceAll(field.Param(), " ", ", ")
 	default:
-		return "must be greater than " + fault.Param()
+		return "must be greater than " + field.Param()
 	}
 }
--- a/internal/node/suspects.go
+++ b/internal/node/suspects.go
@@ -8,14 +8,15 @@
 	"github.com/pathbend/pathbend/internal/quarantine"
 )
 
-// suspectPatience is how long a request waits until what its node knows of it is in the log
-// and read back. With a log that is slow or lost the node goes on with what it knows.
-const suspectPatience = 200 * time.Millisecond
+// suspectAppendTimeout bounds the time for which a request waits until the record of its
+// crashes is in the log and applied by this node. If the log is slow or unavailable, the node
+// continues with its local records.
+const suspectAppendTimeout = 200 * time.Millisecond
 
-// suspects guards requests under which back ends ended. What nodes know of them is in the
-// stream that all nodes follow, and in its snapshots. Ways weighed: heartbeats, which without
-// news of members go to three neighbours each, 70 s to the last of 420 nodes; a call to every
-// node, which those that start later miss.
+// suspects quarantines requests under which back ends crashed. The records of all nodes are
+// shared through the control stream, which all nodes follow, and its snapshots. Heartbeats
+// would take 70 s to reach the last of 420 nodes, as without changes of members each goes to
+// three neighbours only. A call to every node would miss the nodes that start later.
 type suspects struct {
 	node  *Node
 	guard *quarantine.Guard
@@ -27,17 +28,17 @@
 	return s
 }
 
-// Tell implements quarantine.Teller.
+// Tell implements quarantine.Teller. It appends a record to the log.
 func (s *suspects) Tell(ctx context.Context, record quarantine.Record) {
-	quarantine.TellWithin(ctx, suspectPatience, func() {
+	quarantine.TellWithin(ctx, suspectAppendTimeout, func() {
 		s.node.appendRecord(s.node.ctx, &pathbendv1.Record{Body: &pathbendv1.Record_Suspect{Suspect: quarantine.Encode(record, false)}})
 	})
 }
 
-// follow takes in what the log tells. It is called with the follower's lock held.
-func (s *suspects) follow(told *quarantine.Book) {
+// merge merges the records of the log into the guard. The caller holds the follower's mutex.
+func (s *suspects) merge(records *quarantine.Book) {
 	s.guard.Expire()
-	for _, record := range told.All() {
+	for _, record := range records.All() {
 		s.guard.Merge(record)
 	}
 }
--- a/internal/node/weights.go
+++ b/internal/node/weights.go
@@ -20,78 +20,89 @@
 )
 
 const (
-	// weightsInterval is how often pools are compared with their target.
+	// weightsInterval is the interval at which pools are compared with their target.
 	weightsInterval = 200 * time.Millisecond
-	// unknownHolderGrace is how long a lease without a known holder is left.
-	unknownHolderGrace = 4 * time.Second
+	// unknownHolderGracePeriod is the time before a lease is claimed whose holder is
+	// not a known member.
+	unknownHolderGracePeriod = 4 * time.Second
 )
 
-// weightRoller brings pools to their weight version where this node holds the
-// pool's lease, and claims leases whose holder is gone.
-type weightRoller struct {
-	node  *Node
-	waker chan struct{}
-
-	mutex    sync.Mutex
-	plans    map[string]*weights.Plan
-	claiming map[string]bool
-	// goneSince is since when a lease has no live holder. Only the loop uses it.
-	goneSince map[string]time.Time
-	// announcedDone is the target that was last reported as reached.
-	announcedDone map[string]uint64
-	orders        conc.WaitGroup
+// weightUpdater runs the rolling updates of pools to their target weight version while
+// this node holds the lease of the model, and claims leases without a live holder.
+type weightUpdater struct {
+	node     *Node
+	triggers chan struct{}
+
+	mutex sync.Mutex
+	// planners are by the name of the lease.
+	planners map[string]*weights.Plan
+	// appending is set for the leases with an append in progress.
+	appending map[string]bool
+	// holderMissingSince is the time since which a lease has had no live holder. Only
+	// the loop accesses it.
+	holderMissingSince map[string]time.Time
+	// reachedVersions is the target version that was last logged as reached, by lease.
+	reachedVersions map[string]uint64
+	// background tracks the orders and appends in progress.
+	background conc.WaitGroup
 }
 
-func newWeightRoller(n *Node) *weightRoller {
-	return &weightRoller{
-		node: n, waker: make(chan struct{}, 1), plans: make(map[string]*weights.Plan),
-		claiming: make(map[string]bool), goneSince: make(map[string]time.Time), announcedDone: make(map[string]uint64),
+func newWeightUpdater(n *Node) *weightUpdater {
+	return &weightUpdater{
+		node: n, triggers: make(chan struct{}, 1), planners: make(map[string]*weights.Plan),
+		appending: make(map[string]bool), holderMissingSince: make(map[string]time.Time), reachedVersions: make(map[string]uint64),
 	}
 }
 
-// wake makes the roller look at once.
-func (w *weightRoller) wake() {
+// trigger starts the next reconciliation at once.
+func (w *weightUpdater) trigger() {
 	select {
-	case w.waker <- struct{}{}:
+	case w.triggers <- struct{}{}:
 	default:
 	}
 }
 
-func (w *weightRoller) loop(ctx context.Context) {
-	defer w.orders.Wait()
+// loop reconciles at each weightsInterval and when triggered, until ctx ends.
+func (w *weightUpdater) loop(ctx context.Context) {
+	defer w.background.Wait()
 	ticker := time.NewTicker(weightsInterval)
 	defer ticker.Stop()
 	for {
-		w.step(ctx)
+		w.reconcile(ctx)
 		select {
 		case <-ticker.C:
-		case <-w.waker:
+		case <-w.triggers:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
+// leaseName returns the name of the lease of a model's weights.
 func leaseName(tenant, model string) string { return "weights/" + tenant + "/" + model }
 
-func (w *weightRoller) step(ctx context.Context) {
+// reconcile reconciles all models of the current configuration.
+func (w *weightUpdater) reconcile(ctx context.Context) {
 	document, _ := w.node.Current()
 	if document == nil {
 		return
 	}
-	w.node.noteReady()
+	w.node.logReadyOnce()
 	for _, tenant := range document.Tenants {
 		for i := range tenant.Spec.Models {
-			w.stepModel(ctx, tenant.Name, &tenant.Spec.Models[i])
+			w.reconcileModel(ctx, tenant.Name, &tenant.Spec.Models[i])
 		}
 	}
 }
 
-func (w *weightRoller) stepModel(ctx context.Context, tenant string, model *config.Model) {
+// reconcileModel issues the next orders to a model's engines if this node holds the model's
+// lease. A draining node releases the lease; a node without it claims it if the holder is
+// missing.
+func (w *weightUpdater) reconcileModel(ctx context.Context, tenant string, model *config.Model) {
 	name := leaseName(tenant, model.Name)
 	held := w.node.lease(name)
 	if held.Holder != w.node.id {
-		w.claimIfGone(ctx, name, held)
+		w.claimIfHolderMissing(ctx, name, held)
 		return
 	}
 	if w.node.draining.Load() {
@@ -103,42 +114,43 @@
 	states := w.states(engines, model)
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	plan, ok := w.plans[name]
+	planner, ok := w.planners[name]
 	if !ok {
-		plan = weights.NewPlan()
-		w.plans[name] = plan
+		planner = weights.NewPlan()
+		w.planners[name] = planner
 	}
-	for _, order := range plan.Next(time.Now(), states, target) {
-		w.orders.Go(func() { w.carryOut(ctx, plan, model, engines, order, target, held.Token) })
+	for _, order := range planner.Next(time.Now(), states, target) {
+		w.background.Go(func() { w.execute(ctx, planner, model, engines, order, target, held.Token) })
 	}
-	if target.Version > 0 && w.announcedDone[name] != target.Version && weights.Reached(states, target) {
-		w.announcedDone[name] = target.Version
+	if target.Version > 0 && w.reachedVersions[name] != target.Version && weights.Reached(states, target) {
+		w.reachedVersions[name] = target.Version
 		w.node.logger.Log(event.WeightsSwitched, "tenant", tenant, "model", model.Name, "version", target.Version)
 	}
 }
 
+// lease returns a lease by the state that this node has applied.
 func (n *Node) lease(name string) lease.Lease {
 	var held lease.Lease
-	n.follower.View(func(machine *state.Machine) { held = machine.Leases().Get(name) })
+	n.follower.View(func(stateMachine *state.Machine) { held = stateMachine.Leases().Get(name) })
 	return held
 }
 
-// claimIfGone claims a lease without a live holder, if this node is the first
-// choice for it.
-func (w *weightRoller) claimIfGone(ctx context.Context, name string, held lease.Lease) {
+// claimIfHolderMissing claims a lease without a live holder if this node ranks highest for
+// it.
+func (w *weightUpdater) claimIfHolderMissing(ctx context.Context, name string, held lease.Lease) {
 	member, known := w.node.members.get(held.Holder)
 	if known && member.Status != membership.Dead {
-		delete(w.goneSince, name)
+		delete(w.holderMissingSince, name)
 		return
 	}
-	// A holder that is merely unknown here may be one that this node has yet to
-	// meet, so the claim waits until the membership had time to form.
-	since, waiting := w.goneSince[name]
+	// An unknown holder may be a live node that this node has not discovered yet, so
+	// the claim waits until the membership has had time to form.
+	since, waiting := w.holderMissingSince[name]
 	if !waiting {
 		since = time.Now()
-		w.goneSince[name] = since
+		w.holderMissingSince[name] = since
 	}
-	if !known && time.Since(since) < unknownHolderGrace || !w.node.ranksHighest(name) {
+	if !known && time.Since(since) < unknownHolderGracePeriod || !w.node.ranksHighest(name) {
 		return
 	}
 	w.appendOnce(ctx, name, &pathbendv1.Record{Body: &pathbendv1.Record_LeaseClaim{LeaseClaim: &pathbendv1.LeaseClaim{
@@ -146,32 +158,35 @@
 	}}})
 }
 
-func (w *weightRoller) release(ctx context.Context, held lease.Lease) {
+// release releases a lease that this node holds.
+func (w *weightUpdater) release(ctx context.Context, held lease.Lease) {
 	w.appendOnce(ctx, held.Name, &pathbendv1.Record{Body: &pathbendv1.Record_LeaseRelease{LeaseRelease: &pathbendv1.LeaseRelease{
 		Name: held.Name, Token: held.Token,
 	}}})
 }
 
-// appendOnce appends a lease record unless one for the name is on its way.
-func (w *weightRoller) appendOnce(ctx context.Context, name string, record *pathbendv1.Record) {
+// appendOnce appends a lease record in the background unless an append for the lease is in
+// progress.
+func (w *weightUpdater) appendOnce(ctx context.Context, name string, record *pathbendv1.Record) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if w.claiming[name] {
+	if w.appending[name] {
 		return
 	}
-	w.claiming[name] = true
-	w.orders.Go(func() {
+	w.appending[name] = true
+	w.background.Go(func() {
 		w.node.appendRecord(ctx, record)
 		if held := w.node.lease(name); held.Holder == w.node.id {
 			w.node.logger.Log(event.LeaseTaken, "lease", name, "token", held.Token)
 		}
 		w.mutex.Lock()
 		defer w.mutex.Unlock()
-		w.claiming[name] = false
+		w.appending[name] = false
 	})
 }
 
-func (w *weightRoller) target(tenant string, model *config.Model) weights.Target {
+// target returns the target version of a model: the pinned one, or the newest announced one.
+func (w *weightUpdater) target(tenant string, model *config.Model) weights.Target {
 	target := weights.Target{Adapter: model.Adapter, MinServingPercent: model.Switch.MinServingPercent}
 	if model.Version.Follow == "pinned" {
 		target.Version, target.Exact = model.Version.Pin, true
@@ -181,7 +196,8 @@
 	return target
 }
 
-func (w *weightRoller) states(engines []fleet.Engine, model *config.Model) []weights.EngineState {
+// states returns the states of the engines that are not leaving.
+func (w *weightUpdater) states(engines []fleet.Engine, model *config.Model) []weights.EngineState {
 	var states []weights.EngineState
 	for _, target := range engines {
 		if target.Leaving {
@@ -193,8 +209,10 @@
 	return states
 }
 
-func engineState(id string, model *config.Model, load engine.Load, asked bool) weights.EngineState {
-	state := weights.EngineState{ID: id, Asked: asked}
+// engineState returns the state of an engine by its load report. responding tells whether the
+// report is recent.
+func engineState(id string, model *config.Model, load engine.Load, responding bool) weights.EngineState {
+	state := weights.EngineState{ID: id, Asked: responding}
 	for _, held := range load.Models {
 		if held.Model != model.Name {
 			continue
@@ -207,7 +225,8 @@
 	return state
 }
 
-func (w *weightRoller) carryOut(ctx context.Context, plan *weights.Plan, model *config.Model, engines []fleet.Engine, order weights.Order, target weights.Target, token uint64) {
+// execute sends an order to an engine with the lease's fencing token and records the result.
+func (w *weightUpdater) execute(ctx context.Context, planner *weights.Plan, model *config.Model, engines []fleet.Engine, order weights.Order, target weights.Target, token uint64) {
 	address := ""
 	for _, candidate := range engines {
 		if candidate.ID == order.EngineID {
@@ -216,7 +235,8 @@
 	}
 	w.node.logger.Log(event.WeightsOrdered, "engine", order.EngineID, "order", int(order.Kind), "version", target.Version, "fence", token)
 	err := w.node.engines.Order(ctx, address, engineOrder(model, order, target, token))
-	// What the engine holds now decides the next order, whatever it answered.
+	// The next order depends on the versions that the engine holds now, whether or not
+	// the order succeeded.
 	if load, loadErr := w.node.engines.Load(ctx, address); loadErr == nil {
 		w.node.fleet.RecordLoad(order.EngineID, load, time.Now())
 	}
@@ -228,11 +248,12 @@
 		w.node.logger.Log(number, "engine", order.EngineID, "error", err.Error())
 	}
 	w.mutex.Lock()
-	plan.Done(time.Now(), order.EngineID, err == nil)
+	planner.Done(time.Now(), order.EngineID, err == nil)
 	w.mutex.Unlock()
-	w.wake()
+	w.trigger()
 }
 
+// engineOrder returns the order in the form that the engine client sends.
 func engineOrder(model *config.Model, order weights.Order, target weights.Target, token uint64) engine.Order {
 	actions := map[weights.Kind]engine.Action{
 		weights.Load: engine.ActionLoad, weights.Switch: engine.ActionSwitch, weights.LoadAdapter: engine.ActionLoadAdapter,
