--- a/internal/node/generate.go
+++ b/internal/node/generate.go
@@ -101,8 +101,8 @@
 	return reason, err
 }
 
-// prefixHash returns the hash of a prompt's prefix, by which requests with an equal prefix are
-// placed on the same engine.
+// prefixHash returns the hash of a prompt's prefix, by which requests with an equal prefix
+// prefer the same engine.
 func prefixHash(prompt string) uint64 {
 	return xxhash.Sum64String(prompt[:min(len(prompt), prefixBytes)])
 }
