--- a/internal/feed/ask.go
+++ b/internal/feed/ask.go
@@ -11,16 +11,17 @@
 	"github.com/pathbend/pathbend/internal/sharedlog"
 )
 
-// answerTime is how long an answer may take beside the time for which it is held: the newest
-// entries for one node are some 60 kB packed, a tenth of a second on the smallest link, and a
-// reader may serve some thirty at once (chosen).
-const answerTime = 700 * time.Millisecond
+// responseTimeout bounds a reader's response, beyond the time for which the reader may hold
+// the request. The newest entries for one node are about 60 kB compressed, which takes 100 ms
+// on the slowest link, and a reader may serve about thirty nodes at once.
+const responseTimeout = 700 * time.Millisecond
 
-// ask puts a question to the readers in turn. It reports false if none of them helped.
-func (f *Feed) ask(ctx context.Context, plan fanout.Plan, question *pathbendv1.ReadEntries, hold time.Duration) (sharedlog.KeyedBatch, bool) {
-	question.Topic = f.config.Topic
+// fetch sends a request to the readers in turn until one responds. It reports false if none
+// of them did.
+func (f *Feed) fetch(ctx context.Context, plan fanout.Plan, request *pathbendv1.ReadEntries, hold time.Duration) (sharedlog.KeyedBatch, bool) {
+	request.Topic = f.config.Topic
 	for _, parent := range f.choice.Parents(plan, time.Now()) {
-		batch, err := f.askOne(ctx, parent, question, hold)
+		batch, err := f.fetchFrom(ctx, parent, request, hold)
 		f.config.Counts.EntriesRead(FromReader, err == nil)
 		if err == nil {
 			return batch, true
@@ -28,56 +29,58 @@
 		if ctx.Err() != nil {
 			return sharedlog.KeyedBatch{}, false
 		}
-		// One that starts as this node does has nothing yet, and is asked again soon.
+		// A reader that is still starting has no entries yet; it is not avoided.
 		if !result.Is(err, result.NotReady) {
-			f.passOver(parent, err)
+			f.avoid(parent, err)
 		}
 	}
 	return sharedlog.KeyedBatch{}, false
 }
 
-// passOver leaves a reader alone for a while.
-func (f *Feed) passOver(parent fanout.Node, err error) {
+// avoid excludes a reader from being selected for a while, and logs its error.
+func (f *Feed) avoid(parent fanout.Node, err error) {
 	now := time.Now()
 	f.choice.Unhelpful(parent.Name, now)
-	if f.lines.Allow(now) {
+	if f.logLimiter.Allow(now) {
 		f.config.Logger.Log(event.ReaderUnhelpful, "reader", parent.Name, "topic", f.config.Topic, "detail", err.Error())
 	}
 }
 
-func (f *Feed) askOne(ctx context.Context, parent fanout.Node, question *pathbendv1.ReadEntries, hold time.Duration) (sharedlog.KeyedBatch, error) {
-	ctx, cancel := context.WithTimeout(ctx, hold+answerTime)
+func (f *Feed) fetchFrom(ctx context.Context, parent fanout.Node, request *pathbendv1.ReadEntries, hold time.Duration) (sharedlog.KeyedBatch, error) {
+	ctx, cancel := context.WithTimeout(ctx, hold+responseTimeout)
 	defer cancel()
-	reply, err := f.config.Caller.Call(ctx, parent.Address, &pathbendv1.Envelope{Body: &pathbendv1.Envelope_ReadEntries{ReadEntries: question}})
+	reply, err := f.config.Caller.Call(ctx, parent.Address, &pathbendv1.Envelope{Body: &pathbendv1.Envelope_ReadEntries{ReadEntries: request}})
 	if err != nil {
 		return sharedlog.KeyedBatch{}, err
 	}
-	return readAnswer(reply.GetEntryBatch(), question)
+	return decodeResponse(reply.GetEntryBatch(), request)
 }
 
-// readAnswer checks a reader's answer whole: nothing of one that makes no sense is applied.
-func readAnswer(answer *pathbendv1.EntryBatch, question *pathbendv1.ReadEntries) (sharedlog.KeyedBatch, error) {
+// decodeResponse validates and decodes a reader's response. An invalid response is rejected as
+// a whole, so that no part of it is applied.
+func decodeResponse(response *pathbendv1.EntryBatch, request *pathbendv1.ReadEntries) (sharedlog.KeyedBatch, error) {
 	switch {
-	case answer == nil:
-		return sharedlog.KeyedBatch{}, result.New(result.FrameMalformed, "the answer holds no entries")
-	case answer.Truncated:
+	case response == nil:
+		return sharedlog.KeyedBatch{}, result.New(result.FrameMalformed, "the response is not an entry batch")
+	case response.Truncated:
 		return sharedlog.KeyedBatch{}, nil
-	case answer.AgeMs < 0 || time.Duration(answer.AgeMs)*time.Millisecond > fanout.StalestAge:
-		return sharedlog.KeyedBatch{}, result.New(result.LogUnavailable, "the reader heard of the log %d ms ago", answer.AgeMs)
-	case answer.Next == 0 && !question.Newest || answer.Next < question.From:
-		return sharedlog.KeyedBatch{}, result.New(result.FrameMalformed, "the answer to entries from %d on ends at %d", question.From, answer.Next)
+	case response.AgeMs < 0 || time.Duration(response.AgeMs)*time.Millisecond > fanout.StalestAge:
+		return sharedlog.KeyedBatch{}, result.New(result.LogUnavailable, "the reader last read the log %d ms ago", response.AgeMs)
+	case response.Next == 0 && !request.Newest || response.Next < request.From:
+		return sharedlog.KeyedBatch{}, result.New(result.FrameMalformed, "the response to a read from offset %d ends at offset %d", request.From, response.Next)
 	}
-	records, err := unpack(answer.Packed)
+	records, err := decompress(response.Packed)
 	if err != nil {
 		return sharedlog.KeyedBatch{}, err
 	}
 	for _, record := range records {
-		// The newest of each key are no snapshot: some may be newer than the offset to go on from.
-		if !question.Newest && (record.Offset >= answer.Next || record.Offset < question.From) {
-			return sharedlog.KeyedBatch{}, result.New(result.FrameMalformed, "an entry at %d, outside of %d to %d", record.Offset, question.From, answer.Next)
+		// The newest entries are no consistent snapshot: some may lie at or beyond the offset at
+		// which reading continues.
+		if !request.Newest && (record.Offset >= response.Next || record.Offset < request.From) {
+			return sharedlog.KeyedBatch{}, result.New(result.FrameMalformed, "the entry at offset %d is outside of the range from %d to %d", record.Offset, request.From, response.Next)
 		}
 	}
 	return sharedlog.KeyedBatch{
-		End: answer.Next, Next: answer.Next, Records: records, Age: time.Duration(answer.AgeMs) * time.Millisecond,
+		End: response.Next, Next: response.Next, Records: records, Age: time.Duration(response.AgeMs) * time.Millisecond,
 	}, nil
 }
--- a/internal/feed/doc.go
+++ b/internal/feed/doc.go
@@ -1,8 +1,9 @@
-// Package feed brings a keyed topic of the log to a node the way that package fanout
-// decides: from the log itself, or from another node that reads it.
+// Package feed reads a keyed topic either from the log itself or through another node that
+// reads the log (a reader). Package fanout decides which.
 //
-// Feed is a sharedlog.Log whose keyed reads go either way, so that the follower of the topic
-// is the same for both. State: the reader's cache, the groups that the follower's list is
-// whole for, and which readers did not help of late. It has no goroutines of its own; it
-// calls the log, and other nodes through a Caller, and answers their questions.
+// Feed is a sharedlog.Log whose keyed reads use either source, so that the topic's follower
+// need not distinguish them. Its state is the cache from which a reader serves other nodes,
+// the groups that the follower has loaded, and the readers that failed recently. It starts
+// no goroutines; it calls the log, calls other nodes through a Caller, and serves their
+// read requests.
 package feed
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -19,57 +19,60 @@
 	Call(ctx context.Context, address string, call *pathbendv1.Envelope) (*pathbendv1.Envelope, error)
 }
 
-// Counter counts what the feed does.
+// Counter counts a feed's reads and responses.
 type Counter interface {
-	// EntriesRead counts a reading, by where it came from and whether it was answered.
+	// EntriesRead counts a read, by its source and whether it succeeded.
 	EntriesRead(source Source, answered bool)
-	// EntriesServed counts an answer to another node, in bytes.
+	// EntriesServed counts a response to another node, by its compressed size in bytes.
 	EntriesServed(bytes int)
 }
 
-// Source is where entries come from.
+// Source is where entries are read from. Its values are metric labels.
 type Source string
 
-// Sources.
+// Sources of entries: the log itself, and another node that reads it.
 const (
 	FromLog    Source = "log"
 	FromReader Source = "reader"
 )
 
-// Config is what a feed works with.
+// Config holds the settings and dependencies of a feed.
 type Config struct {
 	Log   sharedlog.Log
 	Topic string
-	// GroupOf names the group of a record, empty if it has none.
+	// GroupOf returns the group of a record, or "" if it names none.
 	GroupOf func(sharedlog.KeyedRecord) string
-	// Plan tells what this node does now, Wanted which groups it needs where it asks others.
-	Plan   func() fanout.Plan
+	// Plan returns this node's current role and its readers.
+	Plan func() fanout.Plan
+	// Wanted returns the groups that this node needs if it reads through others.
 	Wanted func() fanout.Groups
 	Caller Caller
-	// Hurried is set for a topic that is read from the log itself where no reader has it yet.
+	// Hurried makes the node read the log at once if no reader responds, instead of waiting
+	// for a reader to become ready.
 	Hurried bool
 	Counts  Counter
 	Logger  *event.Logger
 }
 
-// Feed reads a keyed topic. It is safe for concurrent use.
+// Feed reads a keyed topic from the log or through a reader. It is safe for concurrent use.
 type Feed struct {
 	sharedlog.Log
 	config Config
 	choice *fanout.Choice
 	cache  *fanout.Cache
-	// lines bounds what is logged of readers that do not help.
-	lines event.Limiter
+	// logLimiter limits the rate of log entries about failed readers.
+	logLimiter event.Limiter
 
-	// age tells how old what the follower read is.
+	// age returns the age of the follower's data. It is nil until Watch.
 	age atomic.Pointer[func() time.Duration]
 
 	mutex sync.Mutex
-	// held are the groups for which the follower's list is whole.
-	held fanout.Groups
-	// read is set once there was a list, heldAt is when the newest of each key were read.
-	read   bool
-	heldAt time.Time
+	// loaded holds the groups of which the follower has every entry.
+	loaded fanout.Groups
+	// hasLoaded is set after the first read of the newest entries, loadedAt is the time of
+	// the last one.
+	hasLoaded bool
+	loadedAt  time.Time
 }
 
 // New returns a feed that has read nothing.
@@ -79,91 +82,93 @@
 	}
 }
 
-// Watch names what tells how old what the follower read is. Nodes are answered from then on.
+// Watch sets the function that returns the age of the follower's data. Requests of other
+// nodes are refused before it is set.
 func (f *Feed) Watch(age func() time.Duration) { f.age.Store(&age) }
 
-// wanted returns the groups that this node needs now.
-func (f *Feed) wanted(plan fanout.Plan) fanout.Groups {
+// requiredGroups returns the groups that this node needs under a plan: all of them if it reads the log.
+func (f *Feed) requiredGroups(plan fanout.Plan) fanout.Groups {
 	if plan.Reads {
 		return fanout.All()
 	}
 	return f.config.Wanted()
 }
 
-func (f *Feed) holds() fanout.Groups {
+func (f *Feed) loadedGroups() fanout.Groups {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.held
+	return f.loaded
 }
 
-// Whole reports whether the follower's list has every entry.
-func (f *Feed) Whole() bool { return f.holds().Every() }
+// Complete reports whether the follower has the entries of all groups.
+func (f *Feed) Complete() bool { return f.loadedGroups().Every() }
 
-// Partial reports whether the follower's list has only the entries that this node wanted.
+// Partial reports whether the follower has loaded entries, but only those of some groups.
 func (f *Feed) Partial() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.read && !f.held.Every()
+	return f.hasLoaded && !f.loaded.Every()
 }
 
-func (f *Feed) hold(groups fanout.Groups) {
+func (f *Feed) setLoaded(groups fanout.Groups) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.held, f.read, f.heldAt = groups, true, time.Now()
+	f.loaded, f.hasLoaded, f.loadedAt = groups, true, time.Now()
 }
 
-// shrinkAfter is how long a node keeps a whole list that it does not need: the readers did
-// not have theirs when it asked, and a list that is read again in vain costs as much (chosen).
-const shrinkAfter = 10 * time.Second
+// shrinkDelay is the minimum time for which a node keeps entries of groups that it does not
+// need. It read them from the log because the readers had none; if they still have none, another
+// read of the full list costs as much again.
+const shrinkDelay = 10 * time.Second
 
 func (f *Feed) mayShrink() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return time.Since(f.heldAt) > shrinkAfter
+	return time.Since(f.loadedAt) > shrinkDelay
 }
 
-// Newest implements sharedlog.Log. The first page is asked of a reader, which answers with
-// all that this node wants.
+// Newest implements sharedlog.Log. A node that does not read the log itself requests the first
+// page from a reader, whose response holds the newest entries of all groups that it needs.
 func (f *Feed) Newest(ctx context.Context, partition sharedlog.Partition, after string) (sharedlog.KeyedPage, error) {
 	plan := f.config.Plan()
 	if after == "" && !plan.Reads {
-		wanted := f.wanted(plan)
-		batch, asked := f.ask(ctx, plan, &pathbendv1.ReadEntries{Newest: true, All: wanted.Every(), Groups: wanted.Names()}, 0)
-		if asked {
-			f.hold(wanted)
+		required := f.requiredGroups(plan)
+		batch, fetched := f.fetch(ctx, plan, &pathbendv1.ReadEntries{Newest: true, All: required.Every(), Groups: required.Names()}, 0)
+		if fetched {
+			f.setLoaded(required)
 			return sharedlog.KeyedPage{KeyedBatch: batch}, nil
 		}
 		if f.choice.Waits(time.Now()) && len(plan.Parents) > 0 && !f.config.Hurried {
 			wait.For(ctx, fanout.AskAgain)
-			return sharedlog.KeyedPage{}, result.New(result.LogUnavailable, "no reader of the entries has answered yet")
+			return sharedlog.KeyedPage{}, result.New(result.LogUnavailable, "no reader has served the newest entries yet")
 		}
 	}
 	page, err := f.Log.Newest(ctx, partition, after)
 	f.config.Counts.EntriesRead(FromLog, err == nil)
 	if err == nil && !page.More {
-		f.hold(fanout.All())
+		f.setLoaded(fanout.All())
 	}
 	return page, err
 }
 
-// ReadKeyed implements sharedlog.Log. A node whose list lacks what it wants by now reads it
-// anew, as after a truncation.
+// ReadKeyed implements sharedlog.Log. It returns result.LogTruncated, upon which the follower
+// reads the newest entries again, if this node now needs other groups than it has loaded.
 func (f *Feed) ReadKeyed(ctx context.Context, partition sharedlog.Partition, from uint64, hold time.Duration) (sharedlog.KeyedBatch, error) {
 	plan := f.config.Plan()
-	held := f.holds()
-	if wanted := f.wanted(plan); !held.Covers(wanted) || held.Every() && !wanted.Every() && len(plan.Parents) > 0 && f.mayShrink() {
-		return sharedlog.KeyedBatch{}, result.New(result.LogTruncated, "other entries are wanted than were read")
+	loaded := f.loadedGroups()
+	if required := f.requiredGroups(plan); !loaded.Covers(required) || loaded.Every() && !required.Every() && len(plan.Parents) > 0 && f.mayShrink() {
+		return sharedlog.KeyedBatch{}, result.New(result.LogTruncated, "the groups that this node needs differ from those that it has loaded")
 	}
 	if f.serves() && !f.cache.Ready() {
-		return sharedlog.KeyedBatch{}, result.New(result.LogTruncated, "the newest entries are to be read for others, too")
+		return sharedlog.KeyedBatch{}, result.New(result.LogTruncated, "the newest entries must be read again to serve other nodes")
 	}
 	if !plan.Reads {
-		question := &pathbendv1.ReadEntries{From: from, All: held.Every(), Groups: held.Names(), HoldMs: hold.Milliseconds()}
-		batch, asked := f.ask(ctx, plan, question, hold)
+		request := &pathbendv1.ReadEntries{From: from, All: loaded.Every(), Groups: loaded.Names(), HoldMs: hold.Milliseconds()}
+		batch, fetched := f.fetch(ctx, plan, request, hold)
 		switch {
-		case asked && batch.Next == 0:
-			return sharedlog.KeyedBatch{}, result.New(result.LogTruncated, "the readers do not keep entries from %d on", from)
-		case asked:
+		case fetched && batch.Next == 0:
+			return sharedlog.KeyedBatch{}, result.New(result.LogTruncated, "the readers no longer keep the entries from offset %d", from)
+		case fetched:
 			if len(batch.Records) == 0 {
 				batch.Held = hold
 			}
@@ -172,25 +177,26 @@
 	}
 	batch, err := f.Log.ReadKeyed(ctx, partition, from, hold)
 	f.config.Counts.EntriesRead(FromLog, err == nil)
-	if err == nil && !held.Every() {
-		batch.Records = f.only(batch.Records, held)
+	if err == nil && !loaded.Every() {
+		batch.Records = f.filter(batch.Records, loaded)
 	}
 	return batch, err
 }
 
-// only drops records of groups that this node does not hold. Those that say that a key is
-// gone, or cannot be read, name no group.
-func (f *Feed) only(records []sharedlog.KeyedRecord, held fanout.Groups) []sharedlog.KeyedRecord {
+// filter returns the records of the given groups. It keeps records without a group: those
+// that delete a key, or cannot be decoded.
+func (f *Feed) filter(records []sharedlog.KeyedRecord, groups fanout.Groups) []sharedlog.KeyedRecord {
 	var kept []sharedlog.KeyedRecord
 	for _, record := range records {
-		if group := f.config.GroupOf(record); group == "" || held.Has(group) {
+		if group := f.config.GroupOf(record); group == "" || groups.Has(group) {
 			kept = append(kept, record)
 		}
 	}
 	return kept
 }
 
-// Reset notes what the follower read as the newest of each key, for other nodes.
+// Reset replaces the cache that serves other nodes by the newest entries, as the follower
+// read them; next is the offset of the record after them.
 func (f *Feed) Reset(records []sharedlog.KeyedRecord, next uint64) {
 	if f.serves() {
 		f.cache.Reset(records, next)
@@ -199,8 +205,8 @@
 	f.cache.Clear()
 }
 
-// Apply notes what the follower read after that. A node that begins to read for others reads
-// the newest of each key first, so that there is nothing to note before.
+// Apply adds records that the follower read after the newest entries. Until Reset has filled
+// the cache, nothing is added: a node that becomes a reader reads the newest entries first.
 func (f *Feed) Apply(records []sharedlog.KeyedRecord, next uint64) {
 	if f.serves() && f.cache.Ready() {
 		f.cache.Apply(records, next)
@@ -209,8 +215,8 @@
 	f.cache.Clear()
 }
 
-// serves reports whether this node reads the entries for others.
+// serves reports whether this node is a reader that serves all groups to other nodes.
 func (f *Feed) serves() bool {
 	plan := f.config.Plan()
-	return plan.Shared && plan.Reads && f.Whole()
+	return plan.Shared && plan.Reads && f.Complete()
 }
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -54,62 +54,62 @@
 func (noCounts) EntriesRead(Source, bool) {}
 func (noCounts) EntriesServed(int)        {}
 
-// fleet is nodes that share the readings of one log.
-type fleet struct {
-	t       *testing.T
-	log     *topicLog
-	plans   map[string]*fanout.Plan
-	feeds   map[string]*Feed
-	servers map[string]*Server
-	ages    map[string]time.Duration
-	asked   []string
-	lines   strings.Builder
-	wants   fanout.Groups
+// testCluster is a set of nodes that read one log through each other.
+type testCluster struct {
+	t        *testing.T
+	log      *topicLog
+	plans    map[string]*fanout.Plan
+	feeds    map[string]*Feed
+	servers  map[string]*Server
+	ages     map[string]time.Duration
+	called   []string
+	logs     strings.Builder
+	required fanout.Groups
 }
 
-func newFleet(t *testing.T) *fleet {
-	return &fleet{
+func newTestCluster(t *testing.T) *testCluster {
+	return &testCluster{
 		t: t, log: &topicLog{}, plans: map[string]*fanout.Plan{}, feeds: map[string]*Feed{}, servers: map[string]*Server{},
-		ages: map[string]time.Duration{}, wants: fanout.Only("api"),
+		ages: map[string]time.Duration{}, required: fanout.Only("api"),
 	}
 }
 
-// Call implements Caller: addresses are names.
-func (f *fleet) Call(ctx context.Context, address string, call *pathbendv1.Envelope) (*pathbendv1.Envelope, error) {
-	f.asked = append(f.asked, address)
+// Call implements Caller. The address of a node is its name.
+func (f *testCluster) Call(ctx context.Context, address string, call *pathbendv1.Envelope) (*pathbendv1.Envelope, error) {
+	f.called = append(f.called, address)
 	server := f.servers[address]
 	if server == nil {
-		return nil, result.New(result.PeerUnreached, "nobody at %s", address)
+		return nil, result.New(result.PeerUnreached, "no node at %s", address)
 	}
-	answer, err := server.Answer(ctx, call.GetReadEntries())
+	response, err := server.Answer(ctx, call.GetReadEntries())
 	if err != nil {
 		return nil, err
 	}
-	return &pathbendv1.Envelope{Body: &pathbendv1.Envelope_EntryBatch{EntryBatch: answer}}, nil
+	return &pathbendv1.Envelope{Body: &pathbendv1.Envelope_EntryBatch{EntryBatch: response}}, nil
 }
 
-func (f *fleet) node(name string, plan fanout.Plan) *Feed {
+func (f *testCluster) node(name string, plan fanout.Plan) *Feed {
 	f.plans[name] = &plan
-	made := New(Config{
+	feed := New(Config{
 		Log: f.log, Topic: "t", GroupOf: func(record sharedlog.KeyedRecord) string { return string(record.Value) },
 		Plan:   func() fanout.Plan { return *f.plans[name] },
-		Wanted: func() fanout.Groups { return f.wants }, Caller: f, Counts: noCounts{},
-		Logger: event.NewLogger(&f.lines, slog.LevelDebug),
+		Wanted: func() fanout.Groups { return f.required }, Caller: f, Counts: noCounts{},
+		Logger: event.NewLogger(&f.logs, slog.LevelDebug),
 	})
-	f.feeds[name] = made
-	made.Watch(func() time.Duration { return f.ages[name] })
-	f.servers[name] = NewServer(made)
-	return made
+	f.feeds[name] = feed
+	feed.Watch(func() time.Duration { return f.ages[name] })
+	f.servers[name] = NewServer(feed)
+	return feed
 }
 
-// reader is a node that reads for others, and has read all there is.
-func (f *fleet) reader(name string) *Feed {
-	made := f.node(name, fanout.Plan{Shared: true, Reads: true})
-	f.readNewest(made)
-	return made
+// reader adds a node that reads the log for others and has loaded all entries.
+func (f *testCluster) reader(name string) *Feed {
+	feed := f.node(name, fanout.Plan{Shared: true, Reads: true})
+	f.readNewest(feed)
+	return feed
 }
 
-func (f *fleet) asker(name string, parents ...string) *Feed {
+func (f *testCluster) client(name string, parents ...string) *Feed {
 	plan := fanout.Plan{Shared: true}
 	for _, parent := range parents {
 		plan.Parents = append(plan.Parents, fanout.Node{Name: parent, Address: parent})
@@ -117,7 +117,7 @@
 	return f.node(name, plan)
 }
 
-func (f *fleet) readNewest(of *Feed) []string {
+func (f *testCluster) readNewest(of *Feed) []string {
 	f.t.Helper()
 	page, err := of.Newest(f.t.Context(), sharedlog.Partition{Topic: "t"}, "")
 	require.NoError(f.t, err)
@@ -125,7 +125,7 @@
 	return keys(page.Records)
 }
 
-func (f *fleet) readOn(of *Feed, from uint64) sharedlog.KeyedBatch {
+func (f *testCluster) readFrom(of *Feed, from uint64) sharedlog.KeyedBatch {
 	f.t.Helper()
 	batch, err := of.ReadKeyed(f.t.Context(), sharedlog.Partition{Topic: "t"}, from, 100*time.Millisecond)
 	require.NoError(f.t, err)
@@ -143,138 +143,139 @@
 
 func TestNodeReadsThroughItsReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t)
+		f := newTestCluster(t)
 		f.log.put("a", "api")
 		f.log.put("b", "llm")
 		reader := f.reader("r")
 		reads := f.log.reads
-		asker := f.asker("n", "r")
-		require.Equal(t, []string{"a"}, f.readNewest(asker), "only what it wants")
+		client := f.client("n", "r")
+		require.Equal(t, []string{"a"}, f.readNewest(client), "only the entries of the required group")
 		f.log.put("c", "api")
 		f.log.put("d", "llm")
-		f.readOn(reader, 2)
+		f.readFrom(reader, 2)
 		f.ages["r"] = 300 * time.Millisecond
-		batch := f.readOn(asker, 2)
+		batch := f.readFrom(client, 2)
 		require.Equal(t, []string{"c"}, keys(batch.Records))
 		require.EqualValues(t, 4, batch.Next)
-		require.Equal(t, 300*time.Millisecond, batch.Age, "the reader's age counts")
-		require.Equal(t, reads+1, f.log.reads, "the log was read by the reader only")
-		require.True(t, reader.Whole())
-		require.False(t, asker.Whole())
+		require.Equal(t, 300*time.Millisecond, batch.Age, "the age is that of the reader's data")
+		require.Equal(t, reads+1, f.log.reads, "only the reader reads the log")
+		require.True(t, reader.Complete())
+		require.False(t, client.Complete())
 	})
 }
 
-// A reader that is gone, lags, does not read or answers nonsense is passed over; then the
-// node reads the log itself.
+// A reader that is unreachable or lags is not called again for a while, and the node reads the
+// log itself once no reader is left.
 func TestNodeWhoseReadersFailReadsTheLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t)
+		f := newTestCluster(t)
 		f.log.put("a", "api")
 		f.reader("lags")
 		f.ages["lags"] = fanout.StalestAge + time.Millisecond
-		asker := f.asker("n", "gone", "lags")
-		_, err := asker.Newest(t.Context(), sharedlog.Partition{Topic: "t"}, "")
+		client := f.client("n", "gone", "lags")
+		_, err := client.Newest(t.Context(), sharedlog.Partition{Topic: "t"}, "")
 		require.True(t, result.Is(err, result.LogUnavailable))
-		require.Equal(t, []string{"gone", "lags"}, f.asked)
+		require.Equal(t, []string{"gone", "lags"}, f.called)
 		time.Sleep(5 * time.Second)
-		f.readNewest(asker)
-		require.True(t, asker.Whole(), "the log has no part of a list")
-		require.Contains(t, f.lines.String(), "reader_unhelpful")
+		f.readNewest(client)
+		require.True(t, client.Complete(), "a read of the log loads all groups")
+		require.Contains(t, f.logs.String(), "reader_unhelpful")
 		f.plans["n"].Parents = nil
 		f.log.put("b", "api")
-		require.Equal(t, []string{"b"}, keys(f.readOn(asker, 1).Records))
+		require.Equal(t, []string{"b"}, keys(f.readFrom(client, 1).Records))
 	})
 }
 
-// When all start at once, nobody has read anything: a node waits a little for its readers,
-// and reads the log itself only then.
-func TestNodesThatStartTogetherLeaveTheLogToTheReaders(t *testing.T) {
+// When all nodes start at once, no reader has loaded entries yet. Other nodes wait for their
+// readers for a limited time before they read the log themselves.
+func TestNodesThatStartTogetherWaitForTheirReaders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t)
+		f := newTestCluster(t)
 		f.log.put("a", "api")
 		f.node("r", fanout.Plan{Shared: true, Reads: true})
-		asker := f.asker("n", "r")
-		_, err := asker.Newest(t.Context(), sharedlog.Partition{Topic: "t"}, "")
+		client := f.client("n", "r")
+		_, err := client.Newest(t.Context(), sharedlog.Partition{Topic: "t"}, "")
 		require.True(t, result.Is(err, result.LogUnavailable))
 		require.Zero(t, f.log.reads)
 		f.readNewest(f.feeds["r"])
-		require.Equal(t, []string{"a"}, f.readNewest(asker), "a reader that was not ready is asked again at once")
+		require.Equal(t, []string{"a"}, f.readNewest(client), "a reader that was not ready is not avoided")
 		require.Equal(t, 1, f.log.reads)
-		late := f.asker("late", "gone")
+		waiting := f.client("late", "gone")
 		for range 8 {
-			_, err := late.Newest(t.Context(), sharedlog.Partition{Topic: "t"}, "")
+			_, err := waiting.Newest(t.Context(), sharedlog.Partition{Topic: "t"}, "")
 			require.True(t, result.Is(err, result.LogUnavailable))
 			time.Sleep(250 * time.Millisecond)
 		}
-		f.readNewest(late)
-		require.Equal(t, 2, f.log.reads, "its patience is over")
+		f.readNewest(waiting)
+		require.Equal(t, 2, f.log.reads, "the node reads the log once its wait for the readers has ended")
 	})
 }
 
-// A node that needs other entries than it has reads them anew: services of a new
-// configuration, all of them once it is to execute, and fewer once others read for it.
-func TestNodeThatWantsOtherEntriesReadsAnew(t *testing.T) {
+// A node reads the newest entries again when it needs other groups than it has loaded: those of
+// services in a new configuration, all of them once it becomes an executor, and fewer once
+// other nodes read the log for it.
+func TestNodeThatNeedsOtherGroupsReadsTheNewestEntriesAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t)
+		f := newTestCluster(t)
 		f.log.put("a", "api")
 		f.log.put("b", "llm")
 		f.reader("r")
-		asker := f.asker("n", "r")
-		f.readNewest(asker)
+		client := f.client("n", "r")
+		f.readNewest(client)
 		truncated := func() {
-			_, err := asker.ReadKeyed(t.Context(), sharedlog.Partition{Topic: "t"}, 2, 0)
+			_, err := client.ReadKeyed(t.Context(), sharedlog.Partition{Topic: "t"}, 2, 0)
 			require.True(t, result.Is(err, result.LogTruncated))
 		}
-		f.wants = fanout.Only("api", "llm")
+		f.required = fanout.Only("api", "llm")
 		truncated()
-		require.Equal(t, []string{"a", "b"}, f.readNewest(asker))
-		f.wants = fanout.All()
+		require.Equal(t, []string{"a", "b"}, f.readNewest(client))
+		f.required = fanout.All()
 		truncated()
-		f.readNewest(asker)
-		require.True(t, asker.Whole())
-		f.wants = fanout.Only("api")
-		f.readOn(asker, 2)
-		time.Sleep(shrinkAfter + time.Second)
+		f.readNewest(client)
+		require.True(t, client.Complete())
+		f.required = fanout.Only("api")
+		f.readFrom(client, 2)
+		time.Sleep(shrinkDelay + time.Second)
 		truncated()
-		require.Equal(t, []string{"a"}, f.readNewest(asker))
+		require.Equal(t, []string{"a"}, f.readNewest(client))
 	})
 }
 
-func TestQuestionIsAnsweredAsSoonAsThereIsAnEntry(t *testing.T) {
+func TestHeldRequestReturnsAtTheFirstRequestedEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t)
+		f := newTestCluster(t)
 		reader := f.reader("r")
-		question := &pathbendv1.ReadEntries{Topic: "t", Groups: []string{"api"}, HoldMs: 1000}
+		request := &pathbendv1.ReadEntries{Topic: "t", Groups: []string{"api"}, HoldMs: 1000}
 		began := time.Now()
 		go func() {
 			time.Sleep(100 * time.Millisecond)
 			f.log.put("m", "llm")
-			f.readOn(reader, 0)
+			f.readFrom(reader, 0)
 			time.Sleep(200 * time.Millisecond)
 			f.log.put("a", "api")
-			f.readOn(reader, 1)
+			f.readFrom(reader, 1)
 		}()
-		answer, err := f.servers["r"].Answer(t.Context(), question)
+		response, err := f.servers["r"].Answer(t.Context(), request)
 		require.NoError(t, err)
-		require.Equal(t, 300*time.Millisecond, time.Since(began), "what is not wanted wakes nobody")
-		require.EqualValues(t, 2, answer.Next)
-		question.From = 2
+		require.Equal(t, 300*time.Millisecond, time.Since(began), "entries of other groups do not end the hold")
+		require.EqualValues(t, 2, response.Next)
+		request.From = 2
 		began = time.Now()
-		answer, err = f.servers["r"].Answer(t.Context(), question)
+		response, err = f.servers["r"].Answer(t.Context(), request)
 		require.NoError(t, err)
-		require.Empty(t, answer.Packed)
+		require.Empty(t, response.Packed)
 		require.Equal(t, time.Second, time.Since(began))
 	})
 }
 
-func TestQuestionsAreBounded(t *testing.T) {
+func TestHeldRequestsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t)
+		f := newTestCluster(t)
 		f.reader("r")
 		ctx, cancel := context.WithCancel(t.Context())
-		for range mostHeld {
+		for range maxHeldRequests {
 			go func() {
-				// It ends with ctx.
+				// The request is held until ctx ends.
 				_, _ = f.servers["r"].Answer(ctx, &pathbendv1.ReadEntries{Topic: "t", All: true, HoldMs: 1 << 40})
 			}()
 		}
@@ -290,32 +291,32 @@
 	})
 }
 
-// Nothing of an answer that makes no sense is applied.
-func TestAnswerThatMakesNoSenseIsDropped(t *testing.T) {
-	packed, err := pack([]sharedlog.KeyedRecord{{Key: "a", Value: []byte("api"), Offset: 7}})
+// Nothing of an invalid response is applied.
+func TestInvalidResponseIsRejected(t *testing.T) {
+	packed, err := compress([]sharedlog.KeyedRecord{{Key: "a", Value: []byte("api"), Offset: 7}})
 	require.NoError(t, err)
-	question := &pathbendv1.ReadEntries{From: 5}
+	request := &pathbendv1.ReadEntries{From: 5}
 	good := &pathbendv1.EntryBatch{Packed: packed, Next: 9}
-	batch, err := readAnswer(good, question)
+	batch, err := decodeResponse(good, request)
 	require.NoError(t, err)
 	require.Equal(t, []sharedlog.KeyedRecord{{Key: "a", Value: []byte("api"), Offset: 7}}, batch.Records)
 	for name, bad := range map[string]*pathbendv1.EntryBatch{
-		"none":              nil,
-		"backwards":         {Next: 4},
-		"no end":            {},
-		"beyond its end":    {Packed: packed, Next: 7},
-		"not packed":        {Packed: []byte("entries"), Next: 9},
-		"cut":               {Packed: packed[:len(packed)-3], Next: 9},
-		"from the future":   {Packed: packed, Next: 9, AgeMs: -1},
-		"too old":           {Packed: packed, Next: 9, AgeMs: 60_000},
-		"before the offset": {Packed: must(pack([]sharedlog.KeyedRecord{{Key: "a", Offset: 3}})), Next: 9},
+		"no entry batch":                       nil,
+		"next offset before the requested one": {Next: 4},
+		"no next offset":                       {},
+		"entry at the next offset":             {Packed: packed, Next: 7},
+		"not compressed":                       {Packed: []byte("entries"), Next: 9},
+		"compressed data cut short":            {Packed: packed[:len(packed)-3], Next: 9},
+		"negative age":                         {Packed: packed, Next: 9, AgeMs: -1},
+		"too old":                              {Packed: packed, Next: 9, AgeMs: 60_000},
+		"entry before the requested offset":    {Packed: must(compress([]sharedlog.KeyedRecord{{Key: "a", Offset: 3}})), Next: 9},
 	} {
-		_, err := readAnswer(bad, question)
+		_, err := decodeResponse(bad, request)
 		require.Error(t, err, name)
 	}
-	batch, err = readAnswer(&pathbendv1.EntryBatch{Truncated: true}, question)
+	batch, err = decodeResponse(&pathbendv1.EntryBatch{Truncated: true}, request)
 	require.NoError(t, err)
-	require.Zero(t, batch.Next, "the list is read anew")
+	require.Zero(t, batch.Next, "a truncated response has no next offset, so that the newest entries are read again")
 }
 
 func must(packed []byte, err error) []byte {
@@ -325,15 +326,15 @@
 	return packed
 }
 
-func TestAnswerThatUnpacksToTooMuchIsDropped(t *testing.T) {
-	bomb := must(pack([]sharedlog.KeyedRecord{{Key: "a", Value: make([]byte, mostUnpacked+1)}}))
-	require.Less(t, len(bomb), mostUnpacked/100)
-	_, err := unpack(bomb)
+func TestOversizedResponseIsRejected(t *testing.T) {
+	bomb := must(compress([]sharedlog.KeyedRecord{{Key: "a", Value: make([]byte, maxDecompressedBytes+1)}}))
+	require.Less(t, len(bomb), maxDecompressedBytes/100)
+	_, err := decompress(bomb)
 	require.True(t, result.Is(err, result.FrameTooLarge))
 }
 
-// The entries of 2,222 application servers for one node: 0.38 MB before, some 60 kB packed.
-func TestEntriesOfAFleetArePackedSmall(t *testing.T) {
+// The entries of 2,222 application servers are 0.38 MB, and about 60 kB compressed.
+func TestEntriesOfManyServersCompressWell(t *testing.T) {
 	var records []sharedlog.KeyedRecord
 	size := 0
 	for i := range 2222 {
@@ -343,18 +344,18 @@
 		records = append(records, sharedlog.KeyedRecord{Key: key, Value: []byte(value), Offset: uint64(i)})
 		size += len(key) + len(value)
 	}
-	packed := must(pack(records))
+	packed := must(compress(records))
 	require.Greater(t, size, 350_000)
 	require.Less(t, len(packed), 100_000)
-	unpacked, err := unpack(packed)
+	decoded, err := decompress(packed)
 	require.NoError(t, err)
-	require.Equal(t, records, unpacked)
+	require.Equal(t, records, decoded)
 }
 
 func FuzzAnswer(f *testing.F) {
-	f.Add(must(pack([]sharedlog.KeyedRecord{{Key: "a", Value: []byte("api"), Offset: 7}})), uint64(9), int64(0), uint64(5), false)
+	f.Add(must(compress([]sharedlog.KeyedRecord{{Key: "a", Value: []byte("api"), Offset: 7}})), uint64(9), int64(0), uint64(5), false)
 	f.Fuzz(func(t *testing.T, packed []byte, next uint64, age int64, from uint64, newest bool) {
-		batch, err := readAnswer(&pathbendv1.EntryBatch{Packed: packed, Next: next, AgeMs: age}, &pathbendv1.ReadEntries{From: from, Newest: newest})
+		batch, err := decodeResponse(&pathbendv1.EntryBatch{Packed: packed, Next: next, AgeMs: age}, &pathbendv1.ReadEntries{From: from, Newest: newest})
 		if err != nil {
 			return
 		}
@@ -364,24 +365,24 @@
 	})
 }
 
-// A node that read for itself alone begins to read for others: it reads the newest of each
-// key again, and serves them.
+// A node that has read the log only for itself becomes a reader: it reads the newest entries
+// again, which fills its cache, and serves them.
 func TestNodeThatBecomesAReaderServes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t)
+		f := newTestCluster(t)
 		f.log.put("a", "api")
 		reader := f.node("r", fanout.Plan{Reads: true})
 		f.readNewest(reader)
-		question := &pathbendv1.ReadEntries{Topic: "t", All: true, Newest: true}
-		_, err := f.servers["r"].Answer(t.Context(), question)
+		request := &pathbendv1.ReadEntries{Topic: "t", All: true, Newest: true}
+		_, err := f.servers["r"].Answer(t.Context(), request)
 		require.True(t, result.Is(err, result.NotReady))
 		f.plans["r"].Shared = true
 		_, err = reader.ReadKeyed(t.Context(), sharedlog.Partition{Topic: "t"}, 1, 0)
 		require.True(t, result.Is(err, result.LogTruncated))
 		f.readNewest(reader)
-		f.readOn(reader, 1)
-		answer, err := f.servers["r"].Answer(t.Context(), question)
+		f.readFrom(reader, 1)
+		response, err := f.servers["r"].Answer(t.Context(), request)
 		require.NoError(t, err)
-		require.NotEmpty(t, answer.Packed)
+		require.NotEmpty(t, response.Packed)
 	})
 }
--- a/internal/feed/pack.go
+++ b/internal/feed/pack.go
@@ -12,13 +12,13 @@
 	"github.com/pathbend/pathbend/internal/sharedlog"
 )
 
-// mostUnpacked bounds the entries of one answer, in bytes: those of 20,000 samplers that
-// serve eight models each have some 12 MB (worked out).
-const mostUnpacked = 32 << 20
+// maxDecompressedBytes bounds the decompressed entries of one response. Those of 20,000 samplers
+// that serve eight models each take about 12 MB.
+const maxDecompressedBytes = 32 << 20
 
-// pack writes records for the way. Entries of one topic name the same fields again and
-// again: those of 2,222 samplers shrink from 0.38 MB to 60 kB.
-func pack(records []sharedlog.KeyedRecord) ([]byte, error) {
+// compress encodes records for a response to another node. The entries of a topic repeat the
+// same field names: those of 2,222 samplers shrink from 0.38 MB to 60 kB.
+func compress(records []sharedlog.KeyedRecord) ([]byte, error) {
 	if len(records) == 0 {
 		return nil, nil
 	}
@@ -35,28 +35,29 @@
 	var packed bytes.Buffer
 	writer, err := flate.NewWriter(&packed, flate.BestSpeed)
 	if err != nil {
-		return nil, result.Wrap(result.RecordMalformed, err, "pack entries")
+		return nil, result.Wrap(result.RecordMalformed, err, "compress entries")
 	}
 	if _, err := writer.Write(encoded); err != nil {
-		return nil, result.Wrap(result.RecordMalformed, err, "pack entries")
+		return nil, result.Wrap(result.RecordMalformed, err, "compress entries")
 	}
 	if err := writer.Close(); err != nil {
-		return nil, result.Wrap(result.RecordMalformed, err, "pack entries")
+		return nil, result.Wrap(result.RecordMalformed, err, "compress entries")
 	}
 	return packed.Bytes(), nil
 }
 
-// unpack reads records that another node packed.
-func unpack(packed []byte) ([]sharedlog.KeyedRecord, error) {
+// decompress decodes records that another node compressed. It fails with
+// result.FrameTooLarge beyond maxDecompressedBytes.
+func decompress(packed []byte) ([]sharedlog.KeyedRecord, error) {
 	if len(packed) == 0 {
 		return nil, nil
 	}
-	encoded, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), mostUnpacked+1))
+	encoded, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxDecompressedBytes+1))
 	if err != nil {
-		return nil, result.Wrap(result.FrameMalformed, err, "unpack entries")
+		return nil, result.Wrap(result.FrameMalformed, err, "decompress entries")
 	}
-	if len(encoded) > mostUnpacked {
-		return nil, result.New(result.FrameTooLarge, "the entries unpack to more than %d bytes", mostUnpacked)
+	if len(encoded) > maxDecompressedBytes {
+		return nil, result.New(result.FrameTooLarge, "the decompressed entries exceed %d bytes", maxDecompressedBytes)
 	}
 	var list pathbendv1.EntryList
 	if err := proto.Unmarshal(encoded, &list); err != nil {
--- a/internal/feed/serve.go
+++ b/internal/feed/serve.go
@@ -11,66 +11,71 @@
 )
 
 const (
-	// mostHold bounds how long a question is held, mostHeld how many are at once: several
-	// times those that the plan gives a reader, as when half of the readers are gone (chosen).
-	mostHold = 2 * time.Second
-	mostHeld = 256
+	// maxHoldTime bounds how long a request is held.
+	maxHoldTime = 2 * time.Second
+	// maxHeldRequests bounds the requests held at once. It is several times the number that the
+	// plan assigns to a reader, so that it suffices when half of the readers have failed.
+	maxHeldRequests = 256
 )
 
-// Server answers the questions of other nodes about topics that this node reads.
+// Server serves the read requests of other nodes for the topics that this node reads.
 type Server struct {
 	feeds map[string]*Feed
 	slots chan struct{}
 }
 
-// NewServer returns a server of feeds.
+// NewServer returns a server of the given feeds, each under its topic.
 func NewServer(feeds ...*Feed) *Server {
-	server := &Server{feeds: make(map[string]*Feed), slots: make(chan struct{}, mostHeld)}
+	server := &Server{feeds: make(map[string]*Feed), slots: make(chan struct{}, maxHeldRequests)}
 	for _, feed := range feeds {
 		server.feeds[feed.config.Topic] = feed
 	}
 	return server
 }
 
-// Answer answers a question. A node that does not read the topic says that it is not ready.
-func (s *Server) Answer(ctx context.Context, question *pathbendv1.ReadEntries) (*pathbendv1.EntryBatch, error) {
-	feed := s.feeds[question.Topic]
+// Answer serves one request. It returns result.NotReady if this node is not a reader of the
+// topic, or has not loaded it yet, and result.PeerUnreached if too many requests are held.
+func (s *Server) Answer(ctx context.Context, request *pathbendv1.ReadEntries) (*pathbendv1.EntryBatch, error) {
+	feed := s.feeds[request.Topic]
 	if feed == nil {
-		return nil, result.New(result.FrameMalformed, "no entries of topic %q here", question.Topic)
+		return nil, result.New(result.FrameMalformed, "topic %q is not served", request.Topic)
 	}
 	select {
 	case s.slots <- struct{}{}:
 		defer func() { <-s.slots }()
 	default:
-		return nil, result.New(result.PeerUnreached, "%d questions are held already", mostHeld)
+		return nil, result.New(result.PeerUnreached, "%d read requests are already held", maxHeldRequests)
 	}
-	batch, truncated, err := feed.answer(ctx, question)
+	batch, truncated, err := feed.read(ctx, request)
 	if err != nil {
 		return nil, err
 	}
-	answer := &pathbendv1.EntryBatch{Next: batch.Next, Truncated: truncated, AgeMs: (*feed.age.Load())().Milliseconds()}
-	if answer.Packed, err = pack(batch.Records); err != nil {
+	response := &pathbendv1.EntryBatch{Next: batch.Next, Truncated: truncated, AgeMs: (*feed.age.Load())().Milliseconds()}
+	if response.Packed, err = compress(batch.Records); err != nil {
 		return nil, err
 	}
-	feed.config.Counts.EntriesServed(len(answer.Packed))
-	return answer, nil
+	feed.config.Counts.EntriesServed(len(response.Packed))
+	return response, nil
 }
 
-func (f *Feed) answer(ctx context.Context, question *pathbendv1.ReadEntries) (batch sharedlog.KeyedBatch, truncated bool, err error) {
+// read serves a request from the cache. truncated reports that the cache does not keep the
+// requested entries.
+func (f *Feed) read(ctx context.Context, request *pathbendv1.ReadEntries) (batch sharedlog.KeyedBatch, truncated bool, err error) {
 	if f.age.Load() == nil || !f.serves() || !f.cache.Ready() {
-		return batch, false, result.New(result.NotReady, "this node does not read the entries for others, or not yet")
+		return batch, false, result.New(result.NotReady, "this node is not a reader of the topic, or has not loaded it yet")
 	}
-	groups := groupsOf(question)
-	if question.Newest {
+	groups := requestedGroups(request)
+	if request.Newest {
 		batch, ready := f.cache.Newest(groups)
 		return batch, !ready, nil
 	}
-	hold := min(time.Duration(max(question.HoldMs, 0))*time.Millisecond, mostHold)
-	batch, kept := f.await(ctx, question.From, groups, hold)
+	hold := min(time.Duration(max(request.HoldMs, 0))*time.Millisecond, maxHoldTime)
+	batch, kept := f.await(ctx, request.From, groups, hold)
 	return batch, !kept, nil
 }
 
-// await waits for a record that is wanted.
+// await returns the records of the groups from an offset, and waits up to hold for the first
+// one. It reports false if the cache no longer keeps that offset.
 func (f *Feed) await(ctx context.Context, from uint64, groups fanout.Groups, hold time.Duration) (sharedlog.KeyedBatch, bool) {
 	timer := time.NewTimer(hold)
 	defer timer.Stop()
@@ -89,10 +94,10 @@
 	}
 }
 
-// groupsOf reads the groups of a question.
-func groupsOf(question *pathbendv1.ReadEntries) fanout.Groups {
-	if question.All {
+// requestedGroups returns the groups that a request names.
+func requestedGroups(request *pathbendv1.ReadEntries) fanout.Groups {
+	if request.All {
 		return fanout.All()
 	}
-	return fanout.Only(question.Groups...)
+	return fanout.Only(request.Groups...)
 }
