--- a/internal/carry/carry_test.go
+++ b/internal/carry/carry_test.go
@@ -15,9 +15,9 @@
 
 var twoRegions = locality.NewTopology(map[string]string{"n": "north", "s": "south"})
 
-// The worker stands in the regions, has a large machine if there is one, and is the same
-// whoever chooses and in whichever order the nodes were announced.
-func TestWorkerStandsWhereItsWorkMayBe(t *testing.T) {
+// The worker is in the required regions and has a large machine if any node there has one. The
+// choice does not depend on the order in which the nodes are listed.
+func TestWorkerIsInAnAllowedRegion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.SliceOfDistinct(rapid.Custom(func(t *rapid.T) Node {
 			return Node{
@@ -42,105 +42,105 @@
 		}
 		require.Equal(t, "s", chosen.Zone)
 		require.Equal(t, largest, chosen.Millicores)
-		again, _ := Choose(rapid.Permutation(nodes).Draw(t, "order"), twoRegions, regions, avoid)
-		require.Equal(t, chosen, again)
+		permuted, _ := Choose(rapid.Permutation(nodes).Draw(t, "order"), twoRegions, regions, avoid)
+		require.Equal(t, chosen, permuted)
 	})
 }
 
-func TestReplacedDeciderIsRefused(t *testing.T) {
-	now := Session{Decider: "b", Generation: 5, ID: 9}
-	begins, err := now.Admit(now)
+func TestReplacedExecutorIsRejected(t *testing.T) {
+	current := Session{Decider: "b", Generation: 5, ID: 9}
+	begins, err := current.Admit(current)
 	require.NoError(t, err)
 	require.False(t, begins)
-	_, err = now.Admit(Session{Decider: "a", Generation: 4, ID: 8})
+	_, err = current.Admit(Session{Decider: "a", Generation: 4, ID: 8})
 	require.True(t, result.Is(err, result.LeaseConflict))
 	for _, newer := range []Session{{Decider: "a", Generation: 6, ID: 1}, {Decider: "b", Generation: 5, ID: 10}} {
-		begins, err = now.Admit(newer)
+		begins, err = current.Admit(newer)
 		require.NoError(t, err)
 		require.True(t, begins, "%v", newer)
 	}
 }
 
-// Whatever is reported and acknowledged, the caller ends with the last state of each run
-// and every other report, once each.
-func TestReportsAreKeptUntilTheCallerHasThem(t *testing.T) {
+// However reports and acknowledgements interleave, the executor receives the last state of each
+// run, and every other report exactly once.
+func TestReportsAreKeptUntilAcknowledged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var reports Reports
-		wanted, got := make(map[uint64]uint64), make(map[uint64]uint64)
-		lost, seen := 0, uint64(0)
-		read := func() {
+		expected, received := make(map[uint64]uint64), make(map[uint64]uint64)
+		pendingLost, acknowledged := 0, uint64(0)
+		acknowledge := func() {
 			for _, report := range reports.Pending() {
 				if state := report.GetRun(); state != nil {
-					got[state.Run] = state.Events
+					received[state.Run] = state.Events
 				} else {
-					lost--
+					pendingLost--
 				}
-				require.Greater(t, report.Sequence, seen)
-				seen = report.Sequence
+				require.Greater(t, report.Sequence, acknowledged)
+				acknowledged = report.Sequence
 			}
-			reports.Acknowledge(seen)
+			reports.Acknowledge(acknowledged)
 			require.Empty(t, reports.Pending())
 		}
 		for step := range rapid.IntRange(0, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "kind") {
 			case 0:
-				read()
+				acknowledge()
 			case 1:
 				reports.Add(&pathbendv1.CarryReport{Report: &pathbendv1.CarryReport_Lost{Lost: &pathbendv1.LostItem{ItemId: fmt.Sprint(step)}}})
-				lost++
+				pendingLost++
 			default:
 				run := rapid.Uint64Range(1, 4).Draw(t, "run")
-				wanted[run] = uint64(step)
+				expected[run] = uint64(step)
 				reports.Add(&pathbendv1.CarryReport{Report: &pathbendv1.CarryReport_Run{Run: &pathbendv1.RunState{Run: run, Events: uint64(step)}}})
 			}
 		}
-		read()
-		require.Equal(t, wanted, got)
-		require.Zero(t, lost)
+		acknowledge()
+		require.Equal(t, expected, received)
+		require.Zero(t, pendingLost)
 	})
 }
 
-// Whatever the offset of the two clocks, a call that was held up is told, and one that
-// follows it is not.
-func TestCallThatWasHeldUpIsTold(t *testing.T) {
+// Whatever the offset of the two clocks, a delayed call is detected, and the call after it, which
+// was not delayed, is not reported.
+func TestDelayedCallIsDetected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var way Way
+		var delays Way
 		arrived := time.Unix(1000, 0).Add(time.Duration(rapid.Int64Range(-1e12, 1e12).Draw(t, "offset")))
-		const usual = 8 * time.Millisecond
+		const transit = 8 * time.Millisecond
 		sent := time.Duration(0)
 		for range rapid.IntRange(1, 20).Draw(t, "calls") {
 			sent += time.Duration(rapid.Int64Range(0, 1e9).Draw(t, "pause"))
-			require.Zero(t, way.HeldUp(arrived.Add(sent+usual), sent))
+			require.Zero(t, delays.HeldUp(arrived.Add(sent+transit), sent))
 		}
-		held := time.Duration(rapid.Int64Range(1, 1e10).Draw(t, "held"))
-		require.Equal(t, held, way.HeldUp(arrived.Add(sent+usual+held), sent))
-		require.Zero(t, way.HeldUp(arrived.Add(sent+held+usual), sent+held))
+		delay := time.Duration(rapid.Int64Range(1, 1e10).Draw(t, "delay"))
+		require.Equal(t, delay, delays.HeldUp(arrived.Add(sent+transit+delay), sent))
+		require.Zero(t, delays.HeldUp(arrived.Add(sent+delay+transit), sent+delay))
 	})
 }
 
-// The two clocks need not run alike. A session of two hours whose worker's clock is 0.01 %
-// fast took every call for one that was held up.
-func TestCallsAreNotHeldUpByADriftOfTheClocks(t *testing.T) {
-	var way Way
-	const pause, usual, fast = 250 * time.Millisecond, 8 * time.Millisecond, 1e-4
+// Clocks drift. With a baseline that never expired, a worker whose clock ran 0.01 % fast took
+// every call of a two-hour session for a delayed one.
+func TestClockDriftIsNotTakenForDelay(t *testing.T) {
+	var delays Way
+	const pause, transit, drift = 250 * time.Millisecond, 8 * time.Millisecond, 1e-4
 	arrived, sent := time.Unix(1000, 0), time.Duration(0)
 	for sent < 2*time.Hour {
 		sent += pause
-		at := arrived.Add(usual + sent + time.Duration(fast*float64(sent)))
-		require.Less(t, way.HeldUp(at, sent), 10*time.Millisecond)
+		at := arrived.Add(transit + sent + time.Duration(drift*float64(sent)))
+		require.Less(t, delays.HeldUp(at, sent), 10*time.Millisecond)
 	}
-	held := arrived.Add(usual + sent + time.Duration(fast*float64(sent)) + time.Second)
-	require.Greater(t, way.HeldUp(held, sent), 900*time.Millisecond)
+	delayedArrival := arrived.Add(transit + sent + time.Duration(drift*float64(sent)) + time.Second)
+	require.Greater(t, delays.HeldUp(delayedArrival, sent), 900*time.Millisecond)
 }
 
-// After a freeze, however long, the calls that waited for its end are told.
-func TestCallAfterALongFreezeIsHeldUp(t *testing.T) {
-	var way Way
+// Calls that arrive after the process was frozen, for however long, count as delayed.
+func TestCallAfterALongFreezeIsDelayed(t *testing.T) {
+	var delays Way
 	began := time.Unix(1000, 0)
 	for sent := time.Duration(0); sent < time.Minute; sent += time.Second {
-		require.Zero(t, way.HeldUp(began.Add(sent), sent))
+		require.Zero(t, delays.HeldUp(began.Add(sent), sent))
 	}
-	for _, frozen := range []time.Duration{time.Second, 3 * time.Minute} {
-		require.Equal(t, frozen, way.HeldUp(began.Add(time.Minute+frozen), time.Minute))
+	for _, freeze := range []time.Duration{time.Second, 3 * time.Minute} {
+		require.Equal(t, freeze, delays.HeldUp(began.Add(time.Minute+freeze), time.Minute))
 	}
 }
--- a/internal/carry/choose.go
+++ b/internal/carry/choose.go
@@ -7,38 +7,38 @@
 	"github.com/pathbend/pathbend/internal/locality"
 )
 
-// Node is a node that takes calls of others.
+// Node is a candidate for a worker. A node with an empty Address accepts no calls.
 type Node struct {
 	Name    string
 	Zone    string
 	Address string
-	// Millicores is the processor time a second that its machine may use.
+	// Millicores is the CPU limit of its machine, in thousandths of a core.
 	Millicores uint64
 }
 
-// Choose returns the worker for work of some regions, false if no node may be it: the first
-// of a fixed order among the nodes there with a large machine, or among all if there is
-// none. Every node that decides chooses alike, so that a successor finds the texts that
-// the worker holds. avoided reports nodes that failed of late.
+// Choose returns the worker for items that must stay in the given regions, or false if no node
+// there is eligible. It picks the node with the highest rendezvous hash among those with a large
+// machine, or among all if none is large. Every executor makes the same choice, so that a
+// successor finds the texts that the worker holds. avoided reports nodes that failed recently.
 func Choose(nodes []Node, topology locality.Topology, regions locality.Regions, avoided func(name string) bool) (Node, bool) {
-	var allowed []Node
+	var eligible []Node
 	view := election.View{}
 	for _, node := range nodes {
 		if node.Address != "" && regions.Allow(topology.Region(node.Zone)) && !avoided(node.Name) {
-			allowed = append(allowed, node)
+			eligible = append(eligible, node)
 			view.Largest = max(view.Largest, node.Millicores)
 		}
 	}
 	var chosen Node
-	var best uint64
+	var highest uint64
 	found := false
-	for _, node := range allowed {
+	for _, node := range eligible {
 		if !view.Regular(node.Millicores) {
 			continue
 		}
-		weight := xxhash.Sum64String(regions.String() + "\x00" + node.Name)
-		if !found || weight > best || weight == best && node.Name < chosen.Name {
-			chosen, best, found = node, weight, true
+		hash := xxhash.Sum64String(regions.String() + "\x00" + node.Name)
+		if !found || hash > highest || hash == highest && node.Name < chosen.Name {
+			chosen, highest, found = node, hash, true
 		}
 	}
 	return chosen, found
--- a/internal/carry/doc.go
+++ b/internal/carry/doc.go
@@ -1,5 +1,6 @@
-// Package carry decides about runs of items that a worker carries for the node that
-// decides: which node is the worker, whose calls a worker obeys, and which reports it still
-// owes. Items and texts whose regions rule out the deciding node stay with the worker
-// (docs/design/0016-regions.md). The package is pure.
+// Package carry holds the rules for batch items that a worker runs on behalf of the executor
+// in another region: which node is the worker, which executor's calls the worker accepts, and
+// which reports the executor has not acknowledged. Items and texts that may not leave their
+// regions for that of the executor stay with the worker (docs/design/0016-regions.md). The
+// package performs no I/O and reads no clock.
 package carry
--- a/internal/carry/session.go
+++ b/internal/carry/session.go
@@ -6,53 +6,56 @@
 	"github.com/pathbend/pathbend/internal/result"
 )
 
-// Session is one time that a node runs the batch jobs.
+// Session identifies a period in which one node is the executor of a share of the batch jobs.
 type Session struct {
 	Decider string
-	// Generation is that of its share of the jobs, which rises with every change.
+	// Generation is that of the share of the jobs. It increases with every change of
+	// the share's assignment.
 	Generation uint64
-	// ID is drawn for each session.
+	// ID is a random number that tells sessions of one generation apart.
 	ID uint64
 }
 
-// Admit reports whether a call of another session begins a new one at a worker that obeys
-// this one, or returns an error if the call came from a node that was replaced.
+// Admit reports whether a call begins a new session at a worker whose session is s. It returns
+// result.LeaseConflict if the call comes from an executor that has been replaced.
 func (s Session) Admit(call Session) (begins bool, err error) {
 	switch {
 	case call == s:
 		return false, nil
 	case call.Generation < s.Generation:
-		return false, result.New(result.LeaseConflict, "%s decides since generation %d", s.Decider, s.Generation)
+		return false, result.New(result.LeaseConflict, "%s has been the executor since generation %d", s.Decider, s.Generation)
 	}
 	return true, nil
 }
 
-// wayMemory is for how long the quickest call counts at least, twice that at most: the
-// clocks of two machines drift apart by up to 0.05 % (chosen; 10 ms in that time).
-const wayMemory = 10 * time.Second
+// baselineWindow is the minimum time for which the fastest call remains the baseline, and half
+// of the maximum. The clocks of two machines may drift apart by up to 0.05 %, which is 10 ms
+// within that maximum.
+const baselineWindow = 10 * time.Second
 
-// Way tells how long calls of a session were held up, by their times of sending on the
-// caller's clock and of arrival on the own one; the two need neither agree nor run quite
-// alike. Its zero value has seen no call.
+// Way estimates by how much the calls of a session were delayed, from their send times on the
+// caller's clock and their arrival times on the local one. The clocks may differ by any offset,
+// and may drift slowly. The zero value has observed no call.
 type Way struct {
-	began time.Time
-	// least is the smallest difference of the two clocks that was seen since renewedAt,
-	// former that of the time before.
-	least     time.Duration
-	former    time.Duration
-	renewedAt time.Time
+	// firstArrival is the arrival time of the first call, from which transit times are counted.
+	firstArrival time.Time
+	// minimum is the least transit time, up to a constant offset, since windowStart;
+	// previousMinimum is that of the window before.
+	minimum         time.Duration
+	previousMinimum time.Duration
+	windowStart     time.Time
 }
 
-// HeldUp returns how much longer a call was on its way than the quickest one of late. The
-// calls before a pause count after it, however long it was.
+// HeldUp returns how much longer a call was in transit than the fastest recent one. Calls before
+// a pause remain the baseline after it, however long the pause was.
 func (w *Way) HeldUp(arrived time.Time, sent time.Duration) time.Duration {
-	if w.began.IsZero() {
-		w.began, w.renewedAt, w.least, w.former = arrived, arrived, -sent, -sent
+	if w.firstArrival.IsZero() {
+		w.firstArrival, w.windowStart, w.minimum, w.previousMinimum = arrived, arrived, -sent, -sent
 	}
-	passed := arrived.Sub(w.began) - sent
-	if arrived.Sub(w.renewedAt) > wayMemory {
-		w.former, w.least, w.renewedAt = w.least, passed, arrived
+	transit := arrived.Sub(w.firstArrival) - sent
+	if arrived.Sub(w.windowStart) > baselineWindow {
+		w.previousMinimum, w.minimum, w.windowStart = w.minimum, transit, arrived
 	}
-	w.least = min(w.least, passed)
-	return passed - min(w.least, w.former)
+	w.minimum = min(w.minimum, transit)
+	return transit - min(w.minimum, w.previousMinimum)
 }
