--- a/internal/relay/way.go
+++ b/internal/relay/way.go
@@ -1,12 +1,12 @@
 // Package relay decides when a node reaches the log service through another node.
 //
-// The log service may turn one machine away, or the way to it may be cut, while it serves
-// all others. A node in that state hands its calls to a peer, which makes each of them once
-// and passes the service's own answer back, byte for byte. The peer adds nothing: it keeps
-// no answers, so none is older than the call, and it makes no call for a peer while its own
-// way is silent, so that no call takes more than one hop.
+// The log service may refuse one machine, or the network path to it may fail, while it serves
+// all others. A node in that state sends its calls to a peer, which makes each call once and
+// returns the service's response unchanged, byte for byte. The peer caches no responses, so none
+// is older than its call, and it relays no calls while its own direct path is silent, so that no
+// call takes more than one hop.
 //
-// The package is pure: it makes no calls.
+// The package makes no calls itself; its callers pass the time and report the outcomes.
 package relay
 
 import (
@@ -18,170 +18,184 @@
 )
 
 const (
-	// silentFor is the shortest time without any answer after which the direct way counts
-	// as silent: the service answers in 4 to 30 ms, and a share in the group lasts for 1.5 s.
-	silentFor = 150 * time.Millisecond
-	// silentRatio is the same in mean times of an answer, for a service that is slow.
-	silentRatio = 5
-	// timeWeight is the share of a new observation in the mean time of an answer.
-	timeWeight = 0.1
-	// probeEvery is how often a node that goes through peers tries the direct way, and
-	// ProbeFor how long it waits for that before it goes through a peer all the same.
-	probeEvery = 500 * time.Millisecond
-	ProbeFor   = 60 * time.Millisecond
-	// firstRest is for how long peers are left alone after one had no answer either, as
-	// when the service is down for all; it doubles up to longestRest.
-	firstRest   = 500 * time.Millisecond
-	longestRest = 4 * time.Second
-	// avoidFor is how long a peer is avoided that could not help.
-	avoidFor = 3 * time.Second
+	// minSilenceTimeout is the lower bound of the time without any answer after which the
+	// direct path counts as silent. The service answers in 4 to 30 ms, and a node loses its
+	// partition assignment after 1.5 s.
+	minSilenceTimeout = 150 * time.Millisecond
+	// silenceLatencyFactor is the same timeout as a multiple of the mean latency, which
+	// prevails if the service is slow.
+	silenceLatencyFactor = 5
+	// latencyWeight is the weight of a new sample in the moving average of the latency.
+	latencyWeight = 0.1
+	// probeInterval is how often a node that relays its calls tries the direct path.
+	probeInterval = 500 * time.Millisecond
+	// ProbeFor is how long such a call waits for the direct path before it goes through a
+	// peer as well.
+	ProbeFor = 60 * time.Millisecond
+	// minBackoff is for how long no peer is tried after a peer got no answer either, as when
+	// the service is down for all nodes. It doubles up to maxBackoff.
+	minBackoff = 500 * time.Millisecond
+	maxBackoff = 4 * time.Second
+	// avoidPeriod is for how long a peer is not selected after it failed to relay a call.
+	avoidPeriod = 3 * time.Second
 )
 
-// Peer is a node that may make calls for others.
+// Peer is a node that may relay calls. One with an empty Address relays none.
 type Peer struct {
 	Name    string
 	Zone    string
 	Address string
 }
 
-// Way is what a node knows of its ways to the log service. It is safe for concurrent use.
+// Way tracks whether a node's direct path to the log service is silent, and selects the peers
+// that relay its calls if so. It is safe for concurrent use.
 type Way struct {
 	self Peer
 
-	mutex      sync.Mutex
-	answeredAt time.Time
-	mean       time.Duration
-	around     bool
-	probeAt    time.Time
-	restUntil  time.Time
-	rest       time.Duration
-	avoid      map[string]time.Time
-	// turned is closed and replaced when the node begins to go through peers.
-	turned chan struct{}
+	mutex sync.Mutex
+	// answeredAt is the time of the last answer on the direct path.
+	answeredAt  time.Time
+	meanLatency time.Duration
+	// relaying is set while calls go through peers.
+	relaying     bool
+	nextProbe    time.Time
+	backoffUntil time.Time
+	backoff      time.Duration
+	// avoidUntil holds, by name, the peers that failed to relay a call.
+	avoidUntil map[string]time.Time
+	// switched is closed and replaced when calls begin to go through peers.
+	switched chan struct{}
 }
 
-// NewWay returns the ways of a node.
+// NewWay returns the state of a node whose calls go directly to the service.
 func NewWay(self Peer) *Way {
-	return &Way{self: self, avoid: make(map[string]time.Time), turned: make(chan struct{})}
+	return &Way{self: self, avoidUntil: make(map[string]time.Time), switched: make(chan struct{})}
 }
 
-// Around reports whether calls go through peers, and whether this one, if it may, is to try
-// the direct way first. turned is closed once calls go through peers.
-func (w *Way) Around(mayProbe bool, now time.Time) (around, probe bool, turned <-chan struct{}) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	if !w.around {
-		return false, false, w.turned
+// Around reports whether calls go through peers, and whether this call, if mayProbe allows it,
+// is to try the direct path first. If calls go directly, switched is closed once they begin to
+// go through peers; otherwise it is nil.
+func (s *Way) Around(mayProbe bool, now time.Time) (relaying, probe bool, switched <-chan struct{}) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if !s.relaying {
+		return false, false, s.switched
 	}
-	if probe = mayProbe && !now.Before(w.probeAt); probe {
-		w.probeAt = now.Add(probeEvery)
+	if probe = mayProbe && !now.Before(s.nextProbe); probe {
+		s.nextProbe = now.Add(probeInterval)
 	}
 	return true, probe, nil
 }
 
-// Patience is how long a call without an answer is waited for before its way counts as
-// silent, beside the time for which the service was asked to hold it.
-func (w *Way) Patience() time.Duration {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return w.patience()
+// Patience returns the time without an answer after which the direct path counts as silent, in
+// addition to the time for which the service was asked to hold a call.
+func (s *Way) Patience() time.Duration {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.silenceTimeout()
 }
 
-func (w *Way) patience() time.Duration { return max(silentFor, silentRatio*w.mean) }
+// silenceTimeout implements Patience. The caller holds s.mutex.
+func (s *Way) silenceTimeout() time.Duration {
+	return max(minSilenceTimeout, silenceLatencyFactor*s.meanLatency)
+}
 
-// MayAsk reports whether a call that failed or got no answer may go through peers: no other
-// call was answered meanwhile, and peers could help of late.
-func (w *Way) MayAsk(now time.Time) bool {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return now.Sub(w.answeredAt) >= w.patience() && !now.Before(w.restUntil)
+// MayAsk reports whether a call that failed or got no answer may go through peers: the direct
+// path is silent for all calls, and no backoff is in force.
+func (s *Way) MayAsk(now time.Time) bool {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return now.Sub(s.answeredAt) >= s.silenceTimeout() && !now.Before(s.backoffUntil)
 }
 
-// Offers reports whether this node has a way of its own that it may offer to others.
-func (w *Way) Offers(now time.Time) bool {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return !w.around && now.Sub(w.answeredAt) < silentPeer
+// Offers reports whether this node may relay calls of its peers: its own calls go directly to
+// the service, which answered one recently.
+func (s *Way) Offers(now time.Time) bool {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return !s.relaying && now.Sub(s.answeredAt) < maxAnswerAge
 }
 
-// silentPeer is how long a node may have had no answer and still make calls for others: it
-// makes a call every second at least.
-const silentPeer = 1500 * time.Millisecond
+// maxAnswerAge is the maximum time since the last direct answer for a node that relays calls
+// of its peers. Every node makes a call at least once a second.
+const maxAnswerAge = 1500 * time.Millisecond
 
-// Answered records an answer on the direct way. took is 0 for a call that the service was
-// asked to hold.
-func (w *Way) Answered(took time.Duration, now time.Time) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.answeredAt, w.around, w.rest = now, false, 0
+// Answered records an answer on the direct path, upon which calls go directly again. took is the
+// latency of the call, 0 for one that the service was asked to hold.
+func (s *Way) Answered(took time.Duration, now time.Time) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.answeredAt, s.relaying, s.backoff = now, false, 0
 	if took > 0 {
-		w.mean += time.Duration(timeWeight * float64(took-w.mean))
+		s.meanLatency += time.Duration(latencyWeight * float64(took-s.meanLatency))
 	}
 }
 
-// Helped records that a peer brought an answer of the service while the direct way had
-// none. It reports whether the node begins to go through peers.
-func (w *Way) Helped(now time.Time) (began bool) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.rest = 0
-	if w.around || now.Sub(w.answeredAt) < w.patience() {
+// Helped records that a peer relayed a call successfully. It reports whether calls begin to go
+// through peers, which they do if the direct path is silent.
+func (s *Way) Helped(now time.Time) (started bool) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.backoff = 0
+	if s.relaying || now.Sub(s.answeredAt) < s.silenceTimeout() {
 		return false
 	}
-	w.around, w.probeAt = true, now.Add(probeEvery)
-	close(w.turned)
-	w.turned = make(chan struct{})
+	s.relaying, s.nextProbe = true, now.Add(probeInterval)
+	close(s.switched)
+	s.switched = make(chan struct{})
 	return true
 }
 
-// Unhelpful records that a peer brought no answer. serviceDown is set if it reached the
-// service, which refused it too: then no other peer is asked for a while.
-func (w *Way) Unhelpful(peer string, serviceDown bool, now time.Time) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
+// Unhelpful records that a peer failed to relay a call. serviceDown is set if the peer reached
+// the service, which refused it as well; the peer is not at fault then, and calls go directly
+// until a backoff has passed.
+func (s *Way) Unhelpful(peer string, serviceDown bool, now time.Time) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	if !serviceDown {
-		w.avoid[peer] = now.Add(avoidFor)
+		s.avoidUntil[peer] = now.Add(avoidPeriod)
 	}
-	if serviceDown || !w.around {
-		w.rest = min(max(2*w.rest, firstRest), longestRest)
-		w.restUntil = now.Add(w.rest)
+	if serviceDown || !s.relaying {
+		s.backoff = min(max(2*s.backoff, minBackoff), maxBackoff)
+		s.backoffUntil = now.Add(s.backoff)
 	}
 	if serviceDown {
-		w.around = false
+		s.relaying = false
 	}
 }
 
-// Choose returns up to most peers in the order in which this node asks them: those of its
-// zone first, each node in an order of its own.
-func (w *Way) Choose(peers []Peer, most int, now time.Time) []Peer {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	var able []Peer
+// Choose returns up to limit peers in the order in which this node tries them: those of its own
+// zone first, then by a hash that gives each node a different order, which spreads the load.
+func (s *Way) Choose(peers []Peer, limit int, now time.Time) []Peer {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	var eligible []Peer
 	for _, peer := range peers {
-		if peer.Name != w.self.Name && peer.Address != "" && !now.Before(w.avoid[peer.Name]) {
-			able = append(able, peer)
+		if peer.Name != s.self.Name && peer.Address != "" && !now.Before(s.avoidUntil[peer.Name]) {
+			eligible = append(eligible, peer)
 		}
 	}
-	slices.SortFunc(able, func(a, b Peer) int {
+	slices.SortFunc(eligible, func(a, b Peer) int {
 		return cmp.Or(
-			cmp.Compare(w.far(a), w.far(b)),
-			cmp.Compare(w.rank(a.Name), w.rank(b.Name)),
+			cmp.Compare(s.zoneDistance(a), s.zoneDistance(b)),
+			cmp.Compare(s.hash(a.Name), s.hash(b.Name)),
 			cmp.Compare(a.Name, b.Name),
 		)
 	})
-	return able[:min(len(able), most)]
+	return eligible[:min(len(eligible), limit)]
 }
 
-func (w *Way) far(peer Peer) int {
-	if peer.Zone == w.self.Zone {
+func (s *Way) zoneDistance(peer Peer) int {
+	if peer.Zone == s.self.Zone {
 		return 0
 	}
 	return 1
 }
 
-func (w *Way) rank(name string) uint64 {
+// hash orders the peers within a zone.
+func (s *Way) hash(name string) uint64 {
 	digest := fnv.New64a()
-	// A hash takes every write.
-	_, _ = digest.Write([]byte(w.self.Name + "\x00" + name))
+	// Write of a hash.Hash returns no error.
+	_, _ = digest.Write([]byte(s.self.Name + "\x00" + name))
 	return digest.Sum64()
 }
--- a/internal/relay/way_test.go
+++ b/internal/relay/way_test.go
@@ -7,88 +7,89 @@
 	"github.com/stretchr/testify/require"
 )
 
-var began = time.Unix(1_000_000, 0)
+var start = time.Unix(1_000_000, 0)
 
-func after(passed time.Duration) time.Time { return began.Add(passed) }
+func after(elapsed time.Duration) time.Time { return start.Add(elapsed) }
 
-func newWay() *Way { return NewWay(Peer{Name: "n", Zone: "z"}) }
+func newTestSelector() *Way { return NewWay(Peer{Name: "n", Zone: "z"}) }
 
-func isAround(w *Way, now time.Time) bool {
-	around, _, _ := w.Around(false, now)
-	return around
+func isRelaying(s *Way, now time.Time) bool {
+	relaying, _, _ := s.Around(false, now)
+	return relaying
 }
 
-func TestPeersAreAskedOnlyWhileTheDirectWayIsSilent(t *testing.T) {
-	w := newWay()
-	w.Answered(5*time.Millisecond, began)
-	require.False(t, w.MayAsk(after(silentFor-time.Millisecond)), "another call was answered just now")
-	require.True(t, w.MayAsk(after(silentFor)))
-	require.False(t, w.Helped(after(silentFor-time.Millisecond)))
-	require.True(t, w.Helped(after(silentFor)))
-	require.True(t, isAround(w, after(silentFor)))
-	require.False(t, w.Offers(after(silentFor)), "no call takes two hops")
+func TestCallsAreRelayedOnlyWhileTheDirectPathIsSilent(t *testing.T) {
+	s := newTestSelector()
+	s.Answered(5*time.Millisecond, start)
+	require.False(t, s.MayAsk(after(minSilenceTimeout-time.Millisecond)), "another call was answered recently")
+	require.True(t, s.MayAsk(after(minSilenceTimeout)))
+	require.False(t, s.Helped(after(minSilenceTimeout-time.Millisecond)))
+	require.True(t, s.Helped(after(minSilenceTimeout)))
+	require.True(t, isRelaying(s, after(minSilenceTimeout)))
+	require.False(t, s.Offers(after(minSilenceTimeout)), "no call takes two hops")
 }
 
 func TestSlowServiceIsNotSilent(t *testing.T) {
-	w := newWay()
-	now := began
+	s := newTestSelector()
+	now := start
 	for range 100 {
 		now = now.Add(200 * time.Millisecond)
-		w.Answered(200*time.Millisecond, now)
+		s.Answered(200*time.Millisecond, now)
 	}
-	require.False(t, w.MayAsk(now.Add(900*time.Millisecond)))
-	require.True(t, w.MayAsk(now.Add(1100*time.Millisecond)))
+	require.False(t, s.MayAsk(now.Add(900*time.Millisecond)))
+	require.True(t, s.MayAsk(now.Add(1100*time.Millisecond)))
 }
 
-func TestDirectWayIsTakenAgainAtItsFirstAnswer(t *testing.T) {
-	w := newWay()
-	require.True(t, w.Helped(began))
-	_, probe, _ := w.Around(true, after(probeEvery-time.Millisecond))
+func TestDirectPathIsUsedAgainAfterItsFirstAnswer(t *testing.T) {
+	s := newTestSelector()
+	require.True(t, s.Helped(start))
+	_, probe, _ := s.Around(true, after(probeInterval-time.Millisecond))
 	require.False(t, probe)
-	_, probe, _ = w.Around(false, after(probeEvery))
-	require.False(t, probe, "a call that is held tells nothing soon")
-	_, probe, _ = w.Around(true, after(probeEvery))
+	_, probe, _ = s.Around(false, after(probeInterval))
+	require.False(t, probe, "a call that the service holds is no probe")
+	_, probe, _ = s.Around(true, after(probeInterval))
 	require.True(t, probe)
-	_, probe, _ = w.Around(true, after(probeEvery+time.Millisecond))
-	require.False(t, probe, "one call at a time tries")
-	w.Answered(time.Millisecond, after(time.Second))
-	require.False(t, isAround(w, after(time.Second)))
-	require.True(t, w.Offers(after(time.Second)))
+	_, probe, _ = s.Around(true, after(probeInterval+time.Millisecond))
+	require.False(t, probe, "only one call per interval is a probe")
+	s.Answered(time.Millisecond, after(time.Second))
+	require.False(t, isRelaying(s, after(time.Second)))
+	require.True(t, s.Offers(after(time.Second)))
 }
 
-// While the service is down for all, each call of each node would be made twice.
-func TestPeersRestLongerAndLongerWhileTheServiceIsDownForAll(t *testing.T) {
-	w := newWay()
-	now := began
-	for _, rest := range []time.Duration{firstRest, 2 * firstRest, 4 * firstRest, longestRest, longestRest} {
-		require.True(t, w.MayAsk(now))
-		w.Unhelpful("p", true, now)
-		require.False(t, w.MayAsk(now.Add(rest-time.Millisecond)))
-		now = now.Add(rest)
+// Without a backoff, each call of each node would be made twice while the service is down for
+// all nodes.
+func TestBackoffGrowsWhileTheServiceIsDownForAllNodes(t *testing.T) {
+	s := newTestSelector()
+	now := start
+	for _, backoff := range []time.Duration{minBackoff, 2 * minBackoff, 4 * minBackoff, maxBackoff, maxBackoff} {
+		require.True(t, s.MayAsk(now))
+		s.Unhelpful("p", true, now)
+		require.False(t, s.MayAsk(now.Add(backoff-time.Millisecond)))
+		now = now.Add(backoff)
 	}
-	w.Answered(time.Millisecond, now)
+	s.Answered(time.Millisecond, now)
 	now = now.Add(time.Second)
-	w.Unhelpful("p", true, now)
-	require.True(t, w.MayAsk(now.Add(firstRest)))
+	s.Unhelpful("p", true, now)
+	require.True(t, s.MayAsk(now.Add(minBackoff)))
 }
 
-func TestCallsThatWaitLearnThatPeersHelp(t *testing.T) {
-	w := newWay()
-	_, _, turned := w.Around(true, began)
-	w.Helped(began)
+func TestWaitingCallsAreNotifiedOfTheSwitchToPeers(t *testing.T) {
+	s := newTestSelector()
+	_, _, switched := s.Around(true, start)
+	s.Helped(start)
 	select {
-	case <-turned:
+	case <-switched:
 	default:
-		t.Fatal("the calls that wait on the direct way were not told")
+		t.Fatal("calls that wait on the direct path were not notified")
 	}
 }
 
-func TestPeersOfTheOwnZoneFirstAndThoseThatFailedLater(t *testing.T) {
-	w := newWay()
+func TestPeersOfTheOwnZoneAreTriedFirstAndFailedOnesAvoided(t *testing.T) {
+	s := newTestSelector()
 	peers := []Peer{{Name: "n", Zone: "z", Address: "a"}, {Name: "far", Zone: "y", Address: "a"}, {Name: "near", Zone: "z", Address: "a"}, {Name: "old", Zone: "z"}}
-	chosen := w.Choose(peers, 2, began)
-	require.Equal(t, []string{"near", "far"}, []string{chosen[0].Name, chosen[1].Name}, "not itself, nor one that makes no calls")
-	w.Unhelpful("near", false, began)
-	require.Equal(t, "far", w.Choose(peers, 1, began)[0].Name)
-	require.Equal(t, "near", w.Choose(peers, 1, after(avoidFor))[0].Name)
+	chosen := s.Choose(peers, 2, start)
+	require.Equal(t, []string{"near", "far"}, []string{chosen[0].Name, chosen[1].Name}, "neither the node itself nor a peer without an address is selected")
+	s.Unhelpful("near", false, start)
+	require.Equal(t, "far", s.Choose(peers, 1, start)[0].Name)
+	require.Equal(t, "near", s.Choose(peers, 1, after(avoidPeriod))[0].Name)
 }
