--- a/internal/content/store.go
+++ b/internal/content/store.go
@@ -1,6 +1,6 @@
-// Package content keeps contents of any size in partitions of a log that nobody
-// follows: the items of jobs, and the texts of results. An entry of the ledger names
-// a content, and who knows the name reads it on demand.
+// Package content stores payloads of any size as blobs in a topic of the log that no node
+// consumes continuously: the items of jobs, and the texts of results. Ledger entries refer to
+// blobs, which are read on demand.
 package content
 
 import (
@@ -20,291 +20,301 @@
 )
 
 const (
-	// topic holds what is too large for every node to read.
+	// topic holds the data that is too large for every node to read.
 	topic = "pathbend-blobs"
-	// putTimeout bounds one append of blobs, getTimeout one read, at a log next door.
-	putTimeout = 600 * time.Millisecond
-	getTimeout = 800 * time.Millisecond
-	// putHedge is when the same append goes to the next partition too, at the latest, at a
-	// log next door; mostPuts bounds the appends of one attempt.
-	putHedge = 300 * time.Millisecond
-	mostPuts = 3
-	// retryPause is the pause between attempts.
-	retryPause = 40 * time.Millisecond
-	// retryHint is when to come back after a read that failed (chosen).
-	retryHint = 200 * time.Millisecond
-	// readBytes bounds one read of several blobs: what a new connection carries in its first
-	// round trip (ten segments, RFC 6928). A larger read takes several: 100 KB over 244 ms
-	// each were not there after 750 ms, and no page made any progress.
-	readBytes = 14 << 10
-	// readsTogether is how many reads of one Get are under way at once. The texts of a job
-	// lie among those of others, in some 20 to 40 places: one after the other, each costs
-	// the way to the log and back (chosen: as many as connections to it are kept).
-	readsTogether = 8
+	// appendTimeout bounds one append of blobs and readTimeout one read, for a nearby log. A
+	// distant log is given more time.
+	appendTimeout = 600 * time.Millisecond
+	readTimeout   = 800 * time.Millisecond
+	// maxHedgeDelay bounds the time after which an append without an answer is also sent to
+	// the next partition, for a nearby log.
+	maxHedgeDelay = 300 * time.Millisecond
+	// maxAppends bounds the appends of one attempt.
+	maxAppends = 3
+	// retryInterval is the pause between attempts.
+	retryInterval = 40 * time.Millisecond
+	// retryAfter is the retry hint of errors about a failed read.
+	retryAfter = 200 * time.Millisecond
+	// maxReadBytes bounds one read of several blobs to what a new connection carries in its
+	// first round trip (ten segments, RFC 6928). A larger read takes several round trips: at
+	// 244 ms each, 100 KB had not arrived after 750 ms, and no page made any progress.
+	maxReadBytes = 14 << 10
+	// maxConcurrentReads bounds the concurrent reads of one Get, and equals the number of
+	// connections to the log that are kept open. The texts of a job lie among those of other
+	// jobs, in 20 to 40 places; sequential reads would cost a round trip to the log for each.
+	maxConcurrentReads = 8
 )
 
-// Kind is what a blob holds. Each kind begins in a partition of its own, so
-// that what is read together lies together.
+// Kind is what a blob holds. Each kind starts at a different partition, so that blobs that are
+// read together lie next to each other.
 type Kind int
 
-// Kinds of blobs: the items of jobs, whole texts, and parts of texts under way.
+// Kinds of blobs: the items of jobs, complete texts, and parts of texts that are still being
+// generated.
 const (
 	Items Kind = iota
 	Texts
 	Parts
 )
 
-// Store keeps contents of any size in partitions of the log that nobody
-// follows. Who knows a blob's name reads it on demand.
+// Store stores payloads as blobs in the log and reads them by their references. It is safe for
+// concurrent use.
 type Store struct {
-	log        Log
-	limits     Limits
-	observe    func(err error, took time.Duration)
-	preference atomic.Uint32
+	log     Log
+	limits  Limits
+	observe func(err error, took time.Duration)
+	// partitionShift is added to the first partition of each kind. It grows with every failed
+	// append, so that the next one avoids the partitions that failed.
+	partitionShift atomic.Uint32
 }
 
-// Log is what a store needs of the log: its calls and how far away it is.
+// Log is the log that a store uses, with estimates of its latency.
 type Log interface {
 	sharedlog.Log
-	// Beyond is how much longer an answer takes than that of a log next door.
+	// Beyond returns how much longer an answer takes than that of a nearby log.
 	Beyond() time.Duration
-	// OverdueAppend returns after how long an append counts as lost, at most a time
-	// chosen for a log next door, and whether the log answered of late.
-	OverdueAppend(most time.Duration) (after time.Duration, answers bool)
+	// OverdueAppend returns the time after which an append counts as lost, which is bounded
+	// by limit for a nearby log, and whether the log answered recently.
+	OverdueAppend(limit time.Duration) (after time.Duration, answers bool)
 }
 
-// Limits are what the log allows.
+// Limits are the limits of the log.
 type Limits struct {
-	// MaxRecordBytes bounds a record, MaxCallBytes one append.
+	// MaxRecordBytes is the maximum size of a record, including its framing.
 	MaxRecordBytes int
-	MaxCallBytes   int
+	// MaxCallBytes is the maximum size of all records of one append, including their framing.
+	MaxCallBytes int
 	// Partitions is the number of partitions of the topic.
 	Partitions int
 }
 
-// New returns a store. observe is told how each append ended.
+// New returns a store. It calls observe with the error and duration of each append.
 func New(log Log, limits Limits, observe func(err error, took time.Duration)) *Store {
 	return &Store{log: log, limits: limits, observe: observe}
 }
 
-// Put keeps contents, each as one blob, and returns the names of those that were
-// kept, the first ones. A content must fit one append. After a failure it goes on
-// in another partition: parts of the log may be down. A content that was appended
-// twice does no harm.
-func (s *Store) Put(ctx context.Context, kind Kind, patience time.Duration, contents [][]byte) ([]*pathbendv1.Blob, error) {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+// Put stores each payload as one blob. It returns the blobs in the order of the payloads; with an
+// error, those of the first payloads, which were stored. A payload must fit one append, or the
+// error is result.BodyTooLarge. After a failed append it continues in another partition, since
+// part of the log may be down, until timeout has passed. Storing a payload twice is harmless.
+func (s *Store) Put(ctx context.Context, kind Kind, timeout time.Duration, payloads [][]byte) ([]*pathbendv1.Blob, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	named := make([]*pathbendv1.Blob, 0, len(contents))
-	for len(named) < len(contents) {
-		call, err := s.fill(contents[len(named):])
+	stored := make([]*pathbendv1.Blob, 0, len(payloads))
+	for len(stored) < len(payloads) {
+		batch, err := s.nextBatch(payloads[len(stored):])
 		if err != nil {
-			return named, err
+			return stored, err
 		}
-		kept, err := s.append(ctx, kind, call.records)
+		position, err := s.append(ctx, kind, batch.records)
 		if err != nil {
-			s.preference.Add(1)
-			if !wait.For(ctx, retryPause) {
-				return named, err
+			s.partitionShift.Add(1)
+			if !wait.For(ctx, retryInterval) {
+				return stored, err
 			}
 			continue
 		}
-		for _, blob := range call.blobs {
-			blob.Partition = uint32(kept.partition)
-			blob.Offset += kept.offset
-			named = append(named, blob)
+		for _, blob := range batch.blobs {
+			blob.Partition = uint32(position.partition)
+			blob.Offset += position.offset
+			stored = append(stored, blob)
 		}
 	}
-	return named, nil
+	return stored, nil
 }
 
-// Fits reports whether a content can be kept as one blob.
-func (s *Store) Fits(content []byte) bool {
-	_, err := s.fill([][]byte{content})
+// Fits reports whether a payload can be stored as one blob.
+func (s *Store) Fits(payload []byte) bool {
+	_, err := s.nextBatch([][]byte{payload})
 	return err == nil
 }
 
-// appendCall is one append: records, and the blobs that they make up, whose
-// offsets count from the first record.
-type appendCall struct {
+// appendBatch holds the records of one append and the blobs that they form, whose offsets are
+// relative to the first record.
+type appendBatch struct {
 	records [][]byte
 	blobs   []*pathbendv1.Blob
 }
 
-// fill takes as many contents as fit one append.
-func (s *Store) fill(contents [][]byte) (appendCall, error) {
-	var call appendCall
+// nextBatch returns a batch of the first payloads, as many as fit one append. It returns
+// result.BodyTooLarge if the first one alone does not fit.
+func (s *Store) nextBatch(payloads [][]byte) (appendBatch, error) {
+	var batch appendBatch
 	size := 0
-	for _, content := range contents {
-		records := cut(content, s.limits.MaxRecordBytes)
-		added := len(content) + len(records)*sharedlog.RecordFraming
+	for _, payload := range payloads {
+		records := split(payload, s.limits.MaxRecordBytes)
+		added := len(payload) + len(records)*sharedlog.RecordFraming
 		if size+added > s.limits.MaxCallBytes {
 			break
 		}
 		size += added
-		call.blobs = append(call.blobs, &pathbendv1.Blob{
-			Offset: uint64(len(call.records)), Records: uint32(len(records)), Bytes: uint64(len(content)),
+		batch.blobs = append(batch.blobs, &pathbendv1.Blob{
+			Offset: uint64(len(batch.records)), Records: uint32(len(records)), Bytes: uint64(len(payload)),
 		})
-		call.records = append(call.records, records...)
+		batch.records = append(batch.records, records...)
 	}
-	if len(call.blobs) == 0 {
-		return call, result.New(result.BodyTooLarge, "a content of %d bytes does not fit one append", len(contents[0]))
+	if len(batch.blobs) == 0 {
+		return batch, result.New(result.BodyTooLarge, "a payload of %d bytes does not fit one append", len(payloads[0]))
 	}
-	return call, nil
+	return batch, nil
 }
 
-// cut divides a content into records. An empty content is one empty record.
-func cut(content []byte, maxRecordBytes int) [][]byte {
+// split divides a payload into records. An empty payload is one empty record.
+func split(payload []byte, maxRecordBytes int) [][]byte {
 	size := maxRecordBytes - sharedlog.RecordFraming
-	records := [][]byte{content[:min(size, len(content))]}
-	for from := size; from < len(content); from += size {
-		records = append(records, content[from:min(from+size, len(content))])
+	records := [][]byte{payload[:min(size, len(payload))]}
+	for from := size; from < len(payload); from += size {
+		records = append(records, payload[from:min(from+size, len(payload))])
 	}
 	return records
 }
 
-// appended is where an append was kept.
-type appended struct {
+// appendPosition is where the first record of an append was stored.
+type appendPosition struct {
 	partition int
 	offset    uint64
 }
 
-// append appends records to the preferred partition, and to the next ones too while
-// there is no answer: its answer may be lost. It returns the first that was kept.
-func (s *Store) append(ctx context.Context, kind Kind, records [][]byte) (appended, error) {
-	ctx, cancel := context.WithTimeout(ctx, putTimeout+s.log.Beyond())
+// append appends records to the first partition of a kind and, while there is no answer, which
+// may have been lost, to the next ones too. It returns the position of the first append that
+// succeeded.
+func (s *Store) append(ctx context.Context, kind Kind, records [][]byte) (appendPosition, error) {
+	ctx, cancel := context.WithTimeout(ctx, appendTimeout+s.log.Beyond())
 	defer cancel()
-	first := int(kind) + int(s.preference.Load())
-	return hedge.First(ctx, hedge.Call{Most: mostPuts, After: s.hedgeAfter}, func(number int) (appended, error) {
-		return s.appendTo(ctx, (first+number)%s.limits.Partitions, records)
+	first := int(kind) + int(s.partitionShift.Load())
+	return hedge.First(ctx, hedge.Call{Most: maxAppends, After: s.hedgeDelay}, func(attempt int) (appendPosition, error) {
+		return s.appendTo(ctx, (first+attempt)%s.limits.Partitions, records)
 	})
 }
 
-func (s *Store) hedgeAfter() time.Duration {
-	after, _ := s.log.OverdueAppend(putHedge)
+func (s *Store) hedgeDelay() time.Duration {
+	after, _ := s.log.OverdueAppend(maxHedgeDelay)
 	return after
 }
 
-func (s *Store) appendTo(ctx context.Context, partition int, records [][]byte) (appended, error) {
+func (s *Store) appendTo(ctx context.Context, partition int, records [][]byte) (appendPosition, error) {
 	began := time.Now()
 	offset, err := s.log.Append(ctx, sharedlog.Partition{Topic: topic, Number: partition}, records)
 	s.observe(err, time.Since(began))
-	return appended{partition: partition, offset: offset}, err
+	return appendPosition{partition: partition, offset: offset}, err
 }
 
-// Get returns the contents of blobs, in order. Blobs that lie near each other
-// are read in one call, others at the same time.
-func (s *Store) Get(ctx context.Context, wanted []*pathbendv1.Blob) ([][]byte, error) {
-	contents, err := s.GetFirst(ctx, wanted)
+// Get returns the payloads of blobs, in their order. Adjacent blobs are read in one call, others
+// concurrently.
+func (s *Store) Get(ctx context.Context, blobs []*pathbendv1.Blob) ([][]byte, error) {
+	payloads, err := s.GetFirst(ctx, blobs)
 	if err != nil {
 		return nil, err
 	}
-	return contents, nil
+	return payloads, nil
 }
 
-// GetFirst is Get that also returns, with an error, the contents that lie before the
-// first that could not be read.
-func (s *Store) GetFirst(ctx context.Context, wanted []*pathbendv1.Blob) ([][]byte, error) {
-	runs := runsOf(wanted)
-	reads := make([]runRead, len(runs))
-	// Runs after the first that failed are of no use, those before it are.
+// GetFirst is like Get, but with an error it also returns the payloads before the first one that
+// could not be read.
+func (s *Store) GetFirst(ctx context.Context, blobs []*pathbendv1.Blob) ([][]byte, error) {
+	runs := splitRuns(blobs)
+	reads := make([]runResult, len(runs))
+	// failedAt is the index of the first run that failed. Later runs are skipped, since their
+	// payloads are not returned; earlier ones are still read.
 	var failedAt atomic.Int64
 	failedAt.Store(int64(len(runs)))
-	readers := pool.New().WithMaxGoroutines(readsTogether)
+	readers := pool.New().WithMaxGoroutines(maxConcurrentReads)
 	for i, run := range runs {
 		readers.Go(func() {
 			if failedAt.Load() < int64(i) {
-				reads[i].err = result.New(result.LogUnavailable, "not read after a failure").WithRetryAfter(retryHint)
+				reads[i].err = result.New(result.LogUnavailable, "skipped after an earlier read failed").WithRetryAfter(retryAfter)
 				return
 			}
 			reads[i] = s.readRun(ctx, run)
 			if reads[i].err != nil {
-				lower(&failedAt, int64(i))
+				atomicMin(&failedAt, int64(i))
 			}
 		})
 	}
 	readers.Wait()
-	contents := make([][]byte, 0, len(wanted))
+	payloads := make([][]byte, 0, len(blobs))
 	for _, read := range reads {
 		if read.err != nil {
-			return contents, read.err
+			return payloads, read.err
 		}
-		contents = append(contents, read.contents...)
+		payloads = append(payloads, read.payloads...)
 	}
-	return contents, nil
+	return payloads, nil
 }
 
-// lower sets a value to a smaller one.
-func lower(value *atomic.Int64, to int64) {
-	for at := value.Load(); at > to && !value.CompareAndSwap(at, to); at = value.Load() {
+// atomicMin sets value to limit if it is greater.
+func atomicMin(value *atomic.Int64, limit int64) {
+	for current := value.Load(); current > limit && !value.CompareAndSwap(current, limit); current = value.Load() {
 	}
 }
 
-// runRead is what was read of one run.
-type runRead struct {
-	contents [][]byte
+// runResult holds the payloads of one run, or the error of its read.
+type runResult struct {
+	payloads [][]byte
 	err      error
 }
 
-func (s *Store) readRun(ctx context.Context, run adjacentRun) runRead {
+func (s *Store) readRun(ctx context.Context, run adjacentRun) runResult {
 	records, err := s.read(ctx, run.blobs[0], run.records, run.bytes)
 	if err != nil {
-		return runRead{err: err}
+		return runResult{err: err}
 	}
-	contents := make([][]byte, 0, len(run.blobs))
+	payloads := make([][]byte, 0, len(run.blobs))
 	first := run.blobs[0].Offset
 	for _, blob := range run.blobs {
-		contents = append(contents, join(records[blob.Offset-first:][:blob.Records]))
+		payloads = append(payloads, join(records[blob.Offset-first:][:blob.Records]))
 	}
-	return runRead{contents: contents}
+	return runResult{payloads: payloads}
 }
 
-// adjacentRun is a number of blobs that one read returns.
+// adjacentRun is a sequence of adjacent blobs that one read returns.
 type adjacentRun struct {
 	blobs   []*pathbendv1.Blob
 	records int
-	bytes   int
+	// bytes is the size of the records, including their framing.
+	bytes int
 }
 
-// runsOf divides blobs into runs.
-func runsOf(wanted []*pathbendv1.Blob) []adjacentRun {
+// splitRuns divides blobs into runs.
+func splitRuns(remaining []*pathbendv1.Blob) []adjacentRun {
 	var runs []adjacentRun
-	for len(wanted) > 0 {
-		run := adjacent(wanted)
+	for len(remaining) > 0 {
+		run := firstRun(remaining)
 		runs = append(runs, run)
-		wanted = wanted[len(run.blobs):]
+		remaining = remaining[len(run.blobs):]
 	}
 	return runs
 }
 
-// adjacent returns the run that the blobs begin with: those that follow each
-// other in one partition.
-func adjacent(wanted []*pathbendv1.Blob) adjacentRun {
-	first := wanted[0]
+// firstRun returns the first run of blobs: those that are adjacent in one partition, up to
+// maxReadBytes, but at least one.
+func firstRun(remaining []*pathbendv1.Blob) adjacentRun {
+	first := remaining[0]
 	run := adjacentRun{}
-	for i, blob := range wanted {
+	for i, blob := range remaining {
 		next := first.Offset + uint64(run.records)
 		bytes := run.bytes + int(blob.Bytes) + int(blob.Records)*sharedlog.RecordFraming
-		if blob.Partition != first.Partition || blob.Offset != next || len(run.blobs) > 0 && bytes > readBytes {
+		if blob.Partition != first.Partition || blob.Offset != next || len(run.blobs) > 0 && bytes > maxReadBytes {
 			break
 		}
-		run = adjacentRun{blobs: wanted[:i+1], records: run.records + int(blob.Records), bytes: bytes}
+		run = adjacentRun{blobs: remaining[:i+1], records: run.records + int(blob.Records), bytes: bytes}
 	}
 	return run
 }
 
-// read returns a number of records from a blob's first on.
+// read returns count records, starting with the first one of a blob.
 func (s *Store) read(ctx context.Context, blob *pathbendv1.Blob, count, bytes int) ([][]byte, error) {
 	partition := sharedlog.Partition{Topic: topic, Number: int(blob.Partition)}
 	var records [][]byte
 	for len(records) < count {
-		callCtx, cancel := context.WithTimeout(ctx, getTimeout+s.log.Beyond())
+		callCtx, cancel := context.WithTimeout(ctx, readTimeout+s.log.Beyond())
 		batch, err := s.log.ReadPart(callCtx, partition, blob.Offset+uint64(len(records)), bytes)
 		cancel()
 		if err != nil {
-			return nil, result.Wrap(result.LogUnavailable, err, "read a blob").WithRetryAfter(retryHint)
+			return nil, result.Wrap(result.LogUnavailable, err, "read a blob").WithRetryAfter(retryAfter)
 		}
 		if len(batch.Records) == 0 {
-			return nil, result.New(result.LogUnavailable, "the blob at offset %d is not there", blob.Offset).WithRetryAfter(retryHint)
+			return nil, result.New(result.LogUnavailable, "no blob at offset %d", blob.Offset).WithRetryAfter(retryAfter)
 		}
 		records = append(records, batch.Records...)
 	}
@@ -315,31 +325,31 @@
 	if len(records) == 1 {
 		return records[0]
 	}
-	var content []byte
+	var payload []byte
 	for _, record := range records {
-		content = append(content, record...)
+		payload = append(payload, record...)
 	}
-	return content
+	return payload
 }
 
-// PutItems keeps the items of a job, each blob a part of them that fits one
-// append.
-func (s *Store) PutItems(ctx context.Context, patience time.Duration, items []*pathbendv1.BatchItem) ([]*pathbendv1.Blob, error) {
-	var contents [][]byte
+// PutItems stores the items of a job in as many blobs as are needed, each of which fits one
+// append. It waits for up to timeout.
+func (s *Store) PutItems(ctx context.Context, timeout time.Duration, items []*pathbendv1.BatchItem) ([]*pathbendv1.Blob, error) {
+	var payloads [][]byte
 	for len(items) > 0 {
-		count := fitting(items, s.limits.MaxCallBytes/2)
-		content, err := proto.Marshal(&pathbendv1.BatchItems{Items: items[:count]})
+		count := fittingItems(items, s.limits.MaxCallBytes/2)
+		payload, err := proto.Marshal(&pathbendv1.BatchItems{Items: items[:count]})
 		if err != nil {
 			return nil, errors.Wrap(err, "encode items")
 		}
-		contents = append(contents, content)
+		payloads = append(payloads, payload)
 		items = items[count:]
 	}
-	return s.Put(ctx, Items, patience, contents)
+	return s.Put(ctx, Items, timeout, payloads)
 }
 
-// fitting returns how many items fit a number of bytes, at least one.
-func fitting(items []*pathbendv1.BatchItem, bytes int) int {
+// fittingItems returns how many of the first items fit a number of bytes, but at least one.
+func fittingItems(items []*pathbendv1.BatchItem, bytes int) int {
 	for i, item := range items {
 		if bytes -= proto.Size(item); bytes < 0 && i > 0 {
 			return i
@@ -348,16 +358,16 @@
 	return len(items)
 }
 
-// GetItems returns the items of a job.
+// GetItems returns the items of a job, in their order.
 func (s *Store) GetItems(ctx context.Context, spec *pathbendv1.BatchJob) ([]*pathbendv1.BatchItem, error) {
-	contents, err := s.Get(ctx, spec.Items)
+	payloads, err := s.Get(ctx, spec.Items)
 	if err != nil {
 		return nil, err
 	}
 	items := make([]*pathbendv1.BatchItem, 0, len(spec.ItemIds))
-	for _, content := range contents {
+	for _, payload := range payloads {
 		var part pathbendv1.BatchItems
-		if err := proto.Unmarshal(content, &part); err != nil {
+		if err := proto.Unmarshal(payload, &part); err != nil {
 			return nil, result.Wrap(result.RecordMalformed, err, "decode items")
 		}
 		items = append(items, part.Items...)
--- a/internal/content/store_test.go
+++ b/internal/content/store_test.go
@@ -16,16 +16,16 @@
 	"github.com/pathbend/pathbend/internal/sharedlog"
 )
 
-// blobLog keeps records by partition. Partitions may be down.
+// blobLog is a log in memory whose partitions may be down.
 type blobLog struct {
 	sharedlog.Log
 
 	mutex      sync.Mutex
 	partitions map[int][][]byte
 	down       map[int]bool
-	// lost loses the answers of so many appends that are done.
-	lost  int
-	reads int
+	// lostAnswers is the number of appends that succeed, but whose answers are lost.
+	lostAnswers int
+	reads       int
 }
 
 func newBlobLog() *blobLog {
@@ -40,9 +40,9 @@
 	}
 	offset := len(l.partitions[partition.Number])
 	l.partitions[partition.Number] = append(l.partitions[partition.Number], records...)
-	if l.lost > 0 {
-		l.lost--
-		return 0, result.New(result.LogUnknown, "lost")
+	if l.lostAnswers > 0 {
+		l.lostAnswers--
+		return 0, result.New(result.LogUnknown, "answer lost")
 	}
 	return uint64(offset), nil
 }
@@ -51,13 +51,13 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.reads++
-	kept := l.partitions[partition.Number]
+	records := l.partitions[partition.Number]
 	if l.down[partition.Number] {
 		return sharedlog.Batch{}, result.New(result.LogUnavailable, "down")
 	}
-	batch := sharedlog.Batch{End: uint64(len(kept))}
+	batch := sharedlog.Batch{End: uint64(len(records))}
 	size := 0
-	for _, record := range kept[min(int(from), len(kept)):] {
+	for _, record := range records[min(int(from), len(records)):] {
 		if size += len(record); size > maxBytes && len(batch.Records) > 0 {
 			break
 		}
@@ -73,107 +73,107 @@
 	return New(sharedlog.Measure(log, nil), limits, func(error, time.Duration) {})
 }
 
-func contentsOf(sizes ...int) [][]byte {
-	contents := make([][]byte, len(sizes))
+func payloadsOf(sizes ...int) [][]byte {
+	payloads := make([][]byte, len(sizes))
 	for i, size := range sizes {
-		contents[i] = bytes.Repeat([]byte{byte('a' + i%26)}, size)
+		payloads[i] = bytes.Repeat([]byte{byte('a' + i%26)}, size)
 	}
-	return contents
+	return payloads
 }
 
-func TestBlobsComeBackAsTheyWere(t *testing.T) {
+func TestBlobsAreReadAsStored(t *testing.T) {
 	log := newBlobLog()
-	b := newTestStore(log)
-	contents := contentsOf(10, 0, 112, 113, 500, 800, 1)
-	named, err := b.Put(t.Context(), Texts, time.Second, contents)
+	store := newTestStore(log)
+	expected := payloadsOf(10, 0, 112, 113, 500, 800, 1)
+	stored, err := store.Put(t.Context(), Texts, time.Second, expected)
 	require.NoError(t, err)
-	require.Len(t, named, len(contents))
-	got, err := b.Get(t.Context(), named)
+	require.Len(t, stored, len(expected))
+	payloads, err := store.Get(t.Context(), stored)
 	require.NoError(t, err)
-	for i := range contents {
-		require.Equal(t, string(contents[i]), string(got[i]), i)
+	for i := range expected {
+		require.Equal(t, string(expected[i]), string(payloads[i]), i)
 	}
-	reversed := []*pathbendv1.Blob{named[6], named[3], named[0]}
-	got, err = b.Get(t.Context(), reversed)
+	reversed := []*pathbendv1.Blob{stored[6], stored[3], stored[0]}
+	payloads, err = store.Get(t.Context(), reversed)
 	require.NoError(t, err)
-	require.Equal(t, string(contents[3]), string(got[1]))
+	require.Equal(t, string(expected[3]), string(payloads[1]))
 }
 
-func TestNeighbouringBlobsAreReadTogether(t *testing.T) {
+func TestAdjacentBlobsAreReadInOneCall(t *testing.T) {
 	log := newBlobLog()
-	b := newTestStore(log)
-	named, err := b.Put(t.Context(), Texts, time.Second, contentsOf(10, 20, 30))
+	store := newTestStore(log)
+	stored, err := store.Put(t.Context(), Texts, time.Second, payloadsOf(10, 20, 30))
 	require.NoError(t, err)
-	_, err = b.Get(t.Context(), named)
+	_, err = store.Get(t.Context(), stored)
 	require.NoError(t, err)
 	require.Equal(t, 1, log.reads)
 }
 
-func TestBlobsGoElsewhereWhileAPartitionIsDown(t *testing.T) {
+func TestAppendsAvoidAPartitionThatIsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := newBlobLog()
-		b := newTestStore(log)
-		first, err := b.Put(t.Context(), Texts, time.Second, contentsOf(10))
+		store := newTestStore(log)
+		first, err := store.Put(t.Context(), Texts, time.Second, payloadsOf(10))
 		require.NoError(t, err)
 		log.down[int(first[0].Partition)] = true
-		second, err := b.Put(t.Context(), Texts, time.Second, contentsOf(10))
+		second, err := store.Put(t.Context(), Texts, time.Second, payloadsOf(10))
 		require.NoError(t, err)
 		require.NotEqual(t, first[0].Partition, second[0].Partition)
-		_, err = b.Get(t.Context(), first)
-		require.True(t, result.Is(err, result.LogUnavailable), "not sure, not denied")
+		_, err = store.Get(t.Context(), first)
+		require.True(t, result.Is(err, result.LogUnavailable), "the blob may exist, so that the error is not permanent")
 		require.Positive(t, result.From(err).RetryAfter)
 		for partition := range testPartitions {
 			log.down[partition] = true
 		}
-		_, err = b.Put(t.Context(), Texts, time.Second, contentsOf(10))
+		_, err = store.Put(t.Context(), Texts, time.Second, payloadsOf(10))
 		require.Error(t, err)
 	})
 }
 
-func TestLostAnswerIsRepeatedAndTheBlobNamedOnce(t *testing.T) {
+func TestAppendWithLostAnswerIsRetriedAndReturnedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := newBlobLog()
-		log.lost = 1
-		b := newTestStore(log)
-		named, err := b.Put(t.Context(), Texts, time.Second, contentsOf(10))
+		log.lostAnswers = 1
+		store := newTestStore(log)
+		stored, err := store.Put(t.Context(), Texts, time.Second, payloadsOf(10))
 		require.NoError(t, err)
-		got, err := b.Get(t.Context(), named)
+		payloads, err := store.Get(t.Context(), stored)
 		require.NoError(t, err)
-		require.Equal(t, contentsOf(10), got)
+		require.Equal(t, payloadsOf(10), payloads)
 	})
 }
 
-func TestContentLargerThanAnAppendIsRefused(t *testing.T) {
-	b := newTestStore(newBlobLog())
-	require.True(t, b.Fits(make([]byte, 800)))
-	require.False(t, b.Fits(make([]byte, 1024)))
-	_, err := b.Put(t.Context(), Texts, time.Second, contentsOf(1024))
+func TestPayloadLargerThanAnAppendIsRejected(t *testing.T) {
+	store := newTestStore(newBlobLog())
+	require.True(t, store.Fits(make([]byte, 800)))
+	require.False(t, store.Fits(make([]byte, 1024)))
+	_, err := store.Put(t.Context(), Texts, time.Second, payloadsOf(1024))
 	require.True(t, result.Is(err, result.BodyTooLarge))
 }
 
-func TestBlobThatIsNotThereIsNotDenied(t *testing.T) {
-	b := newTestStore(newBlobLog())
-	_, err := b.Get(t.Context(), []*pathbendv1.Blob{{Records: 1, Bytes: 3}})
+func TestMissingBlobIsReportedAsUnavailable(t *testing.T) {
+	store := newTestStore(newBlobLog())
+	_, err := store.Get(t.Context(), []*pathbendv1.Blob{{Records: 1, Bytes: 3}})
 	require.True(t, result.Is(err, result.LogUnavailable))
 }
 
-func TestItemsOfAJobTravelInParts(t *testing.T) {
-	b := newTestStore(newBlobLog())
+func TestItemsOfAJobAreSplitAcrossBlobs(t *testing.T) {
+	store := newTestStore(newBlobLog())
 	spec := &pathbendv1.BatchJob{}
 	var items []*pathbendv1.BatchItem
 	for i := range 20 {
 		items = append(items, &pathbendv1.BatchItem{Id: fmt.Sprint(i), Body: make([]byte, 100)})
 	}
-	named, err := b.PutItems(t.Context(), time.Second, items)
+	stored, err := store.PutItems(t.Context(), time.Second, items)
 	require.NoError(t, err)
-	require.Greater(t, len(named), 1)
-	spec.Items, spec.ItemIds = named, idsOf(items)
-	got, err := b.GetItems(t.Context(), spec)
+	require.Greater(t, len(stored), 1)
+	spec.Items, spec.ItemIds = stored, itemIDs(items)
+	retrieved, err := store.GetItems(t.Context(), spec)
 	require.NoError(t, err)
-	require.Equal(t, spec.ItemIds, idsOf(got))
+	require.Equal(t, spec.ItemIds, itemIDs(retrieved))
 }
 
-func idsOf(items []*pathbendv1.BatchItem) []string {
+func itemIDs(items []*pathbendv1.BatchItem) []string {
 	ids := make([]string, 0, len(items))
 	for _, item := range items {
 		ids = append(ids, item.Id)
@@ -181,116 +181,117 @@
 	return ids
 }
 
-// farLog is a log so far away that each read takes a while.
-type farLog struct {
+// distantLog is a log whose reads take a round trip.
+type distantLog struct {
 	*blobLog
 
 	roundTrip time.Duration
 }
 
-func (l *farLog) ReadPart(ctx context.Context, partition sharedlog.Partition, from uint64, maxBytes int) (sharedlog.Batch, error) {
+func (l *distantLog) ReadPart(ctx context.Context, partition sharedlog.Partition, from uint64, maxBytes int) (sharedlog.Batch, error) {
 	select {
 	case <-time.After(l.roundTrip):
 		return l.blobLog.ReadPart(ctx, partition, from, maxBytes)
 	case <-ctx.Done():
-		return sharedlog.Batch{}, result.New(result.LogUnavailable, "given up")
+		return sharedlog.Batch{}, result.New(result.LogUnavailable, "timed out")
 	}
 }
 
-// scattered returns blobs of which no two lie near each other.
+// scattered stores blobs and returns some of them, no two of which are adjacent.
 func scattered(t *testing.T, store *Store, count int) []*pathbendv1.Blob {
 	t.Helper()
-	named, err := store.Put(t.Context(), Texts, time.Second, contentsOf(make([]int, 2*count)...))
+	stored, err := store.Put(t.Context(), Texts, time.Second, payloadsOf(make([]int, 2*count)...))
 	require.NoError(t, err)
-	var apart []*pathbendv1.Blob
+	var blobs []*pathbendv1.Blob
 	for i := range count {
-		apart = append(apart, named[2*i])
+		blobs = append(blobs, stored[2*i])
 	}
-	return apart
+	return blobs
 }
 
-// Regions lay 45 ms apart. The texts of a finished job were read one after the other, and
-// whoever listed it from another region than the store's left before the last (quiet-1,
-// 290 reads, LOST 16).
-func TestScatteredBlobsOfAFarLogAreReadTogether(t *testing.T) {
+// Reads of scattered blobs must run concurrently. With regions 45 ms apart, sequential reads of
+// the texts of a finished job (290 reads in one case) took longer than callers in another region
+// than that of the log waited, which counted as 16 lost results.
+func TestScatteredBlobsOfADistantLogAreReadConcurrently(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := newTestStore(&farLog{blobLog: newBlobLog(), roundTrip: 94 * time.Millisecond})
-		apart := scattered(t, store, 32)
+		store := newTestStore(&distantLog{blobLog: newBlobLog(), roundTrip: 94 * time.Millisecond})
+		blobs := scattered(t, store, 32)
 		began := time.Now()
-		got, err := store.Get(t.Context(), apart)
+		payloads, err := store.Get(t.Context(), blobs)
 		require.NoError(t, err)
-		require.Len(t, got, 32)
+		require.Len(t, payloads, 32)
 		require.LessOrEqual(t, time.Since(began), 4*94*time.Millisecond)
 	})
 }
 
-// What was read before the time was over is of use.
-func TestFirstBlobsAreReturnedWhenTheTimeIsOver(t *testing.T) {
+// The blobs that were read before the deadline are returned with the error.
+func TestFirstBlobsAreReturnedAtTheDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := newTestStore(&farLog{blobLog: newBlobLog(), roundTrip: 244 * time.Millisecond})
-		apart := scattered(t, store, 64)
+		store := newTestStore(&distantLog{blobLog: newBlobLog(), roundTrip: 244 * time.Millisecond})
+		blobs := scattered(t, store, 64)
 		ctx, cancel := context.WithTimeout(t.Context(), 800*time.Millisecond)
 		defer cancel()
-		got, err := store.GetFirst(ctx, apart)
+		payloads, err := store.GetFirst(ctx, blobs)
 		require.Error(t, err)
-		require.Len(t, got, 3*readsTogether)
+		require.Len(t, payloads, 3*maxConcurrentReads)
 		synctest.Wait()
 	})
 }
 
-func TestBlobsAfterOneThatIsMissingAreNotReturned(t *testing.T) {
+func TestBlobsAfterAMissingOneAreNotReturned(t *testing.T) {
 	store := newTestStore(newBlobLog())
-	apart := scattered(t, store, 8)
-	apart[3] = &pathbendv1.Blob{Partition: 3, Records: 1, Bytes: 1}
-	got, err := store.GetFirst(t.Context(), apart)
+	blobs := scattered(t, store, 8)
+	blobs[3] = &pathbendv1.Blob{Partition: 3, Records: 1, Bytes: 1}
+	payloads, err := store.GetFirst(t.Context(), blobs)
 	require.True(t, result.Is(err, result.LogUnavailable))
-	require.Len(t, got, 3)
-	_, err = store.Get(t.Context(), apart)
+	require.Len(t, payloads, 3)
+	_, err = store.Get(t.Context(), blobs)
 	require.True(t, result.Is(err, result.LogUnavailable))
 }
 
-// askedLog notes the largest read asked for.
-type askedLog struct {
+// readSizeLog records the largest maxBytes of a read.
+type readSizeLog struct {
 	*blobLog
 
-	noted sync.Mutex
-	most  int
+	sizeMutex sync.Mutex
+	maxBytes  int
 }
 
-func (l *askedLog) ReadPart(ctx context.Context, partition sharedlog.Partition, from uint64, maxBytes int) (sharedlog.Batch, error) {
-	l.noted.Lock()
-	l.most = max(l.most, maxBytes)
-	l.noted.Unlock()
+func (l *readSizeLog) ReadPart(ctx context.Context, partition sharedlog.Partition, from uint64, maxBytes int) (sharedlog.Batch, error) {
+	l.sizeMutex.Lock()
+	l.maxBytes = max(l.maxBytes, maxBytes)
+	l.sizeMutex.Unlock()
 	return l.blobLog.ReadPart(ctx, partition, from, maxBytes)
 }
 
-// Reads of some 50 KB from 120 ms away took several round trips on a new connection and
-// more than a page's time: no page of the far region made any progress (LOST 7).
-func TestNeighboursAreReadInPiecesThatAConnectionCarriesAtOnce(t *testing.T) {
-	log := &askedLog{blobLog: newBlobLog()}
+// A read must fit the first round trip of a new connection. Reads of about 50 KB from a log
+// 120 ms away took several round trips, which exceeded the timeout of a page, so that no page
+// made progress in the distant region, which counted as 7 lost results.
+func TestAdjacentBlobsAreReadWithinOneRoundTripEach(t *testing.T) {
+	log := &readSizeLog{blobLog: newBlobLog()}
 	store := newTestStore(log)
 	sizes := make([]int, 60)
 	for i := range sizes {
 		sizes[i] = 800
 	}
-	named, err := store.Put(t.Context(), Texts, time.Second, contentsOf(sizes...))
+	stored, err := store.Put(t.Context(), Texts, time.Second, payloadsOf(sizes...))
 	require.NoError(t, err)
-	got, err := store.Get(t.Context(), named)
+	payloads, err := store.Get(t.Context(), stored)
 	require.NoError(t, err)
-	require.Equal(t, contentsOf(sizes...), got)
-	require.LessOrEqual(t, log.most, 14<<10)
-	require.LessOrEqual(t, log.reads, 6, "and no smaller ones")
+	require.Equal(t, payloadsOf(sizes...), payloads)
+	require.LessOrEqual(t, log.maxBytes, 14<<10)
+	require.LessOrEqual(t, log.reads, 6, "reads must not be smaller than needed")
 }
 
-// A read that failed kept reads before it, which had not begun, from being made: 6 of 900
-// runs returned less than what lies before the first that is missing.
-func TestEarlierBlobsAreReadThoughALaterOneFailsFirst(t *testing.T) {
+// A failed read must not prevent reads of earlier blobs that have not started. When it did, 6 of
+// 900 runs returned fewer blobs than those before the first missing one.
+func TestEarlierBlobsAreReadWhenALaterReadFailsFirst(t *testing.T) {
 	for range 3000 {
 		store := newTestStore(newBlobLog())
-		apart := scattered(t, store, 8)
-		apart[3] = &pathbendv1.Blob{Partition: 3, Records: 1, Bytes: 1}
-		got, err := store.GetFirst(t.Context(), apart)
+		blobs := scattered(t, store, 8)
+		blobs[3] = &pathbendv1.Blob{Partition: 3, Records: 1, Bytes: 1}
+		payloads, err := store.GetFirst(t.Context(), blobs)
 		require.True(t, result.Is(err, result.LogUnavailable))
-		require.Len(t, got, 3)
+		require.Len(t, payloads, 3)
 	}
 }
