--- a/internal/logstore/doc.go
+++ b/internal/logstore/doc.go
@@ -1,10 +1,11 @@
-// Package logstore reads and appends the streams of the platform's log.
+// Package logstore reads from and appends to the streams of the platform's log.
 //
-// A stream is an append-only list of byte records with consecutive offsets
-// from 0. Reader and Appender are the seams: Client speaks the platform's HTTP
-// protocol (docs/PLATFORM.md); a node that is not a designated reader reads
-// through a peer, which satisfies Reader as well.
+// A stream is an append-only sequence of byte records with consecutive offsets
+// from 0. Client implements the interfaces Reader and Appender over the
+// platform's HTTP protocol (docs/PLATFORM.md). A node that is not a designated
+// reader reads through a peer, which satisfies Reader as well.
 //
-// AppendRecord appends a Record until an answer arrives. Repeating an append
-// whose answer was lost is safe, since readers drop a record id seen before.
+// AppendRecord retries an append until the log confirms it. Repeating an append
+// whose answer was lost is safe, since readers skip a record whose id they have
+// already applied.
 package logstore
