--- a/internal/state/machine.go
+++ b/internal/state/machine.go
@@ -15,16 +15,19 @@
 )
 
 const (
-	// keptRevisions is the length of the history in memory and snapshots.
-	keptRevisions = 20
-	// keptRecordIDs bounds the record ids remembered against repeated appends.
-	// Preconditions make later repeats harmless as well.
-	keptRecordIDs = 4096
+	// maxRevisions bounds the configuration history in memory and in snapshots.
+	maxRevisions = 20
+	// maxAppliedIDs bounds the record ids that are kept to detect repeated appends.
+	// Records that are repeated later than that fail their preconditions, which makes
+	// them harmless as well.
+	maxAppliedIDs = 4096
 )
 
 // Revision is one accepted configuration.
 type Revision struct {
-	Number    uint64
+	// Number counts from 1.
+	Number uint64
+	// Document is nil for an earlier revision that was restored from a snapshot.
 	Document  *config.Document
 	Raw       []byte
 	Author    string
@@ -32,20 +35,20 @@
 	Published time.Time
 }
 
-// RosterMember is one node that the log admitted.
+// RosterMember is a node that has joined the roster.
 type RosterMember struct {
 	ID      string
 	Address string
 	Zone    string
 }
 
-// Outcome tells what a record did.
+// Outcome is the effect of applying a record.
 type Outcome struct {
-	// Changed names the part of the state that the record replaced.
+	// Changed is the part of the state that the record changed, PartNone if none.
 	Changed Part
 	// Err is set if the record was rejected; the state is unchanged.
 	Err error
-	// Duplicate is set if the record id was applied before.
+	// Duplicate is set if the record was applied before, or repeats what the state holds.
 	Duplicate bool
 }
 
@@ -58,37 +61,39 @@
 	PartConfig
 	PartRoster
 	PartLease
-	// PartSuspects are the requests under which back ends ended.
+	// PartSuspects is the set of requests under which back ends crashed.
 	PartSuspects
 )
 
-// Machine is the fold. It is not safe for concurrent use.
+// Machine is the state machine. It is not safe for concurrent use.
 type Machine struct {
 	next      uint64
 	revisions []Revision
 	roster    map[string]RosterMember
-	epoch     uint64
-	leases    *lease.Table
-	shards    *shard.Table
-	suspects  quarantine.Book
-	seen      map[string]struct{}
-	seenOrder []string
+	// rosterEpoch is the offset after the record that last changed the roster.
+	rosterEpoch uint64
+	leases      *lease.Table
+	shards      *shard.Table
+	suspects    quarantine.Book
+	// appliedIDs holds the latest record ids, and appliedOrder the same, oldest first.
+	appliedIDs   map[string]struct{}
+	appliedOrder []string
 }
 
-// NewMachine returns the state before the first record.
+// NewMachine returns a machine that has applied no record.
 func NewMachine() *Machine {
 	return &Machine{
-		roster: make(map[string]RosterMember),
-		leases: lease.NewTable(),
-		shards: shard.NewTable(),
-		seen:   make(map[string]struct{}),
+		roster:     make(map[string]RosterMember),
+		leases:     lease.NewTable(),
+		shards:     shard.NewTable(),
+		appliedIDs: make(map[string]struct{}),
 	}
 }
 
-// Next is the offset of the first record not applied yet.
+// Next returns the offset of the first record that has not been applied.
 func (m *Machine) Next() uint64 { return m.next }
 
-// Revision returns the configuration in force; Number is 0 if there is none.
+// Revision returns the current configuration. Its Number is 0 if there is none.
 func (m *Machine) Revision() Revision {
 	if len(m.revisions) == 0 {
 		return Revision{}
@@ -96,7 +101,7 @@
 	return m.revisions[len(m.revisions)-1]
 }
 
-// History returns the latest revisions, oldest first.
+// History returns the latest revisions, up to maxRevisions, oldest first.
 func (m *Machine) History() []Revision { return slices.Clone(m.revisions) }
 
 // Roster returns the members ordered by id, and the epoch: the offset after
@@ -106,46 +111,47 @@
 	for _, id := range slices.Sorted(maps.Keys(m.roster)) {
 		members = append(members, m.roster[id])
 	}
-	return members, m.epoch
+	return members, m.rosterEpoch
 }
 
 // Leases returns the lease table. The caller must not modify it.
 func (m *Machine) Leases() *lease.Table { return m.leases }
 
-// Shards returns the replica groups. The caller must not modify it.
+// Shards returns the table of replica groups. The caller must not modify it.
 func (m *Machine) Shards() *shard.Table { return m.shards }
 
-// Suspects returns the requests under which back ends ended. The caller must not modify it.
+// Suspects returns the requests under which back ends crashed. The caller must not modify them.
 func (m *Machine) Suspects() *quarantine.Book { return &m.suspects }
 
-// Apply applies the record at an offset. Entries below Next are skipped, so a
-// reader may hand over an overlapping batch; a gap is a programming error of
-// the reader and rejected.
+// Apply applies one record. It skips entries below Next, so that callers may
+// pass overlapping batches, and rejects an entry beyond Next, since a gap is a
+// programming error of the caller.
 func (m *Machine) Apply(entry logstore.Entry) Outcome {
 	if entry.Offset < m.next {
 		return Outcome{Duplicate: true}
 	}
 	if entry.Offset > m.next {
-		return Outcome{Err: result.New(result.Internal, "gap in stream: offset %d where %d was due", entry.Offset, m.next)}
+		return Outcome{Err: result.New(result.Internal, "gap in stream: got offset %d, want %d", entry.Offset, m.next)}
 	}
 	m.next = entry.Offset + 1
 	record, err := logstore.DecodeRecord(entry.Data)
 	if err != nil {
 		return Outcome{Err: err}
 	}
-	if _, ok := m.seen[record.Id]; ok {
+	if _, ok := m.appliedIDs[record.Id]; ok {
 		return Outcome{Duplicate: true}
 	}
-	m.remember(record.Id)
+	m.markApplied(record.Id)
 	return m.applyRecord(entry.Offset, record)
 }
 
-func (m *Machine) remember(id string) {
-	m.seen[id] = struct{}{}
-	m.seenOrder = append(m.seenOrder, id)
-	if len(m.seenOrder) > keptRecordIDs {
-		delete(m.seen, m.seenOrder[0])
-		m.seenOrder = m.seenOrder[1:]
+// markApplied adds a record id to the applied ones, and drops the oldest beyond maxAppliedIDs.
+func (m *Machine) markApplied(id string) {
+	m.appliedIDs[id] = struct{}{}
+	m.appliedOrder = append(m.appliedOrder, id)
+	if len(m.appliedOrder) > maxAppliedIDs {
+		delete(m.appliedIDs, m.appliedOrder[0])
+		m.appliedOrder = m.appliedOrder[1:]
 	}
 }
 
@@ -164,7 +170,7 @@
 	case *pathbendv1.Record_Suspect:
 		return m.applySuspect(body.Suspect)
 	default:
-		return Outcome{} // a snapshot repeats state that a full reader has
+		return Outcome{} // a snapshot only repeats state that was already applied
 	}
 }
 
@@ -175,9 +181,10 @@
 	return Outcome{Changed: PartLease}
 }
 
-// applySuspect takes its time from the record, so that every reader holds the same.
-func (m *Machine) applySuspect(told *pathbendv1.SuspectRequest) Outcome {
-	record, err := quarantine.Decode(told)
+// applySuspect uses the time in the record instead of the local clock, so that every node reaches
+// the same state.
+func (m *Machine) applySuspect(suspect *pathbendv1.SuspectRequest) Outcome {
+	record, err := quarantine.Decode(suspect)
 	if err != nil {
 		return Outcome{Err: err}
 	}
@@ -192,7 +199,7 @@
 	current := m.Revision()
 	if publish.BaseRevision != current.Number {
 		return Outcome{Err: result.New(result.ConfigConflict,
-			"revision %d by %s (%q) came before this publish, which was made from revision %d",
+			"revision %d by %s (%q) was published before this one, which is based on revision %d",
 			current.Number, current.Author, current.Message, publish.BaseRevision)}
 	}
 	document, err := config.Decode(publish.Document)
@@ -207,7 +214,7 @@
 		Message:   publish.Message,
 		Published: time.UnixMilli(publish.PublishedUnixMs),
 	})
-	if len(m.revisions) > keptRevisions {
+	if len(m.revisions) > maxRevisions {
 		m.revisions = slices.Clone(m.revisions[1:])
 	}
 	return Outcome{Changed: PartConfig}
@@ -215,8 +222,8 @@
 
 func (m *Machine) applyJoin(offset uint64, joined *pathbendv1.NodeJoined) Outcome {
 	m.roster[joined.NodeId] = RosterMember{ID: joined.NodeId, Address: joined.Address, Zone: joined.Zone}
-	m.epoch = offset + 1
-	m.shards.Join(shard.Member{ID: joined.NodeId, Zone: joined.Zone}, m.epoch)
+	m.rosterEpoch = offset + 1
+	m.shards.Join(shard.Member{ID: joined.NodeId, Zone: joined.Zone}, m.rosterEpoch)
 	return Outcome{Changed: PartRoster}
 }
 
@@ -225,7 +232,7 @@
 		return Outcome{Duplicate: true}
 	}
 	delete(m.roster, left.NodeId)
-	m.epoch = offset + 1
-	m.shards.Leave(left.NodeId, m.epoch)
+	m.rosterEpoch = offset + 1
+	m.shards.Leave(left.NodeId, m.rosterEpoch)
 	return Outcome{Changed: PartRoster}
 }
--- a/internal/state/machine_test.go
+++ b/internal/state/machine_test.go
@@ -41,7 +41,7 @@
 	return &pathbendv1.Record{Body: &pathbendv1.Record_NodeLeft{NodeLeft: &pathbendv1.NodeLeft{NodeId: id}}}
 }
 
-// suspect says that a back end ended under a request.
+// suspect returns a record that a back end crashed under a request.
 func suspect(backEnd string, epoch uint64, second int64) *pathbendv1.Record {
 	digest := quarantine.Content{Path: "/crash"}.Digest()
 	return &pathbendv1.Record{Body: &pathbendv1.Record_Suspect{Suspect: &pathbendv1.SuspectRequest{
@@ -49,12 +49,12 @@
 	}}}
 }
 
-func TestSuspectRequestsAreFoldedAndMalformedOnesAreNot(t *testing.T) {
+func TestSuspectRequestsAreMergedAndMalformedOnesRejected(t *testing.T) {
 	machine := NewMachine()
 	for offset, backEnd := range []string{"a", "b", "a"} {
 		outcome := machine.Apply(logstore.Entry{Offset: uint64(offset), Data: encode(t, fmt.Sprint(offset), suspect(backEnd, 0, 1))})
 		require.NoError(t, outcome.Err)
-		require.Equal(t, offset < 2, outcome.Changed == PartSuspects, "a repetition changes nothing")
+		require.Equal(t, offset < 2, outcome.Changed == PartSuspects, "a repeated record changes nothing")
 	}
 	require.Equal(t, []string{"a", "b"}, machine.Suspects().All()[0].Ended)
 	malformed := suspect("c", 0, 1)
@@ -63,7 +63,7 @@
 	require.Len(t, machine.Suspects().All()[0].Ended, 2)
 }
 
-func TestLoserOfARaceIsToldWhoWon(t *testing.T) {
+func TestConflictingPublishNamesTheWinner(t *testing.T) {
 	machine := NewMachine()
 	require.NoError(t, machine.Apply(logstore.Entry{Offset: 0, Data: encode(t, "a", publish(0, "awa"))}).Err)
 	outcome := machine.Apply(logstore.Entry{Offset: 1, Data: encode(t, "b", publish(0, "ben"))})
@@ -74,7 +74,7 @@
 	require.True(t, repeated.Duplicate)
 }
 
-func TestInvalidDocumentKeepsTheFormerRevision(t *testing.T) {
+func TestInvalidDocumentKeepsThePreviousRevision(t *testing.T) {
 	machine := NewMachine()
 	record := publish(0, "awa")
 	record.GetConfigPublish().Document = []byte("tenants: [{name: A B}]")
@@ -83,33 +83,33 @@
 	require.Zero(t, machine.Revision().Number)
 }
 
-func TestLeaseTokensOnlyGrow(t *testing.T) {
+func TestFencingTokensOnlyIncrease(t *testing.T) {
 	machine := NewMachine()
 	apply := func(offset uint64, record *pathbendv1.Record) Outcome {
 		return machine.Apply(logstore.Entry{Offset: offset, Data: encode(t, fmt.Sprint(offset), record)})
 	}
 	require.NoError(t, apply(0, claim(0, "n1")).Err)
-	require.Error(t, apply(1, claim(0, "n2")).Err, "the second claim of a race loses")
+	require.Error(t, apply(1, claim(0, "n2")).Err, "the second of two conflicting claims is rejected")
 	require.NoError(t, apply(2, claim(1, "n2")).Err)
 	require.Equal(t, uint64(3), machine.Leases().Get("weights/m").Token)
 }
 
-func TestGapIsRefusedAndOverlapSkipped(t *testing.T) {
+func TestGapIsRejectedAndOverlapSkipped(t *testing.T) {
 	machine := NewMachine()
 	require.Error(t, machine.Apply(logstore.Entry{Offset: 1, Data: encode(t, "x", joined("a"))}).Err)
 	require.NoError(t, machine.Apply(logstore.Entry{Offset: 0, Data: encode(t, "x", joined("a"))}).Err)
 	require.True(t, machine.Apply(logstore.Entry{Offset: 0, Data: encode(t, "y", left("a"))}).Duplicate)
 }
 
-// TestSnapshotEqualsReplay draws records, restores a second machine from a
-// snapshot at any point, and applies the rest to both.
+// TestSnapshotEqualsReplay applies random records, restores a second machine from
+// a snapshot at a random point, and applies the remaining records to both.
 func TestSnapshotEqualsReplay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 40).Draw(t, "records")
-		cut := rapid.IntRange(0, count).Draw(t, "cut")
+		snapshotAt := rapid.IntRange(0, count).Draw(t, "snapshot at")
 		full, restored := NewMachine(), NewMachine()
 		for offset := range count {
-			if offset == cut {
+			if offset == snapshotAt {
 				encoded, err := proto.Marshal(full.Snapshot())
 				require.NoError(t, err)
 				snapshot := &pathbendv1.Snapshot{}
@@ -120,11 +120,11 @@
 			before := full.Revision().Number
 			outcome := full.Apply(entry)
 			require.GreaterOrEqual(t, full.Revision().Number, before)
-			if offset >= cut {
+			if offset >= snapshotAt {
 				require.Equal(t, outcome.Changed, restored.Apply(entry).Changed)
 			}
 		}
-		if cut < count {
+		if snapshotAt < count {
 			want, got := full.Snapshot(), restored.Snapshot()
 			require.True(t, proto.Equal(want, got), "want %v, got %v", want, got)
 		}
--- a/internal/state/snapshot.go
+++ b/internal/state/snapshot.go
@@ -12,12 +12,12 @@
 	"github.com/pathbend/pathbend/internal/shard"
 )
 
-// Snapshot encodes the state before Next.
+// Snapshot encodes the state after all records before Next.
 func (m *Machine) Snapshot() *pathbendv1.Snapshot {
 	snapshot := &pathbendv1.Snapshot{
 		Covers:      m.next,
-		RosterEpoch: m.epoch,
-		RecentIds:   slices.Clone(m.seenOrder),
+		RosterEpoch: m.rosterEpoch,
+		RecentIds:   slices.Clone(m.appliedOrder),
 		Leases:      m.leases.Export(),
 		Shards:      m.shards.Export(),
 	}
@@ -33,7 +33,7 @@
 			PublishedUnixMs: revision.Published.UnixMilli(),
 		}
 		if i == len(m.revisions)-1 {
-			encoded.Document = revision.Raw // older documents stay in the log
+			encoded.Document = revision.Raw // earlier documents are only in the log
 		}
 		snapshot.Revisions = append(snapshot.Revisions, encoded)
 	}
@@ -43,8 +43,8 @@
 	return snapshot
 }
 
-// Restore replaces the state by a snapshot if that is ahead of it. It never
-// moves backwards.
+// Restore replaces the state by a snapshot. It ignores a snapshot that is not ahead of the state, so
+// that the state never moves backwards. On an error the state is unchanged.
 func (m *Machine) Restore(snapshot *pathbendv1.Snapshot) error {
 	if snapshot.Covers <= m.next {
 		return nil
@@ -60,27 +60,27 @@
 	m.suspects = suspects
 	m.next = snapshot.Covers
 	m.revisions = revisions
-	m.epoch = snapshot.RosterEpoch
+	m.rosterEpoch = snapshot.RosterEpoch
 	m.leases = lease.Import(snapshot.Leases)
 	clear(m.roster)
-	var holders []shard.Member
+	var members []shard.Member
 	for _, member := range snapshot.Members {
-		holders = append(holders, shard.Member{ID: member.NodeId, Zone: member.Zone})
+		members = append(members, shard.Member{ID: member.NodeId, Zone: member.Zone})
 		m.roster[member.NodeId] = RosterMember{ID: member.NodeId, Address: member.Address, Zone: member.Zone}
 	}
-	m.shards = shard.Import(snapshot.Shards, holders)
-	clear(m.seen)
-	m.seenOrder = nil
+	m.shards = shard.Import(snapshot.Shards, members)
+	clear(m.appliedIDs)
+	m.appliedOrder = nil
 	for _, id := range snapshot.RecentIds {
-		m.remember(id)
+		m.markApplied(id)
 	}
 	return nil
 }
 
 func decodeSuspects(encoded []*pathbendv1.SuspectRequest) (quarantine.Book, error) {
 	var suspects quarantine.Book
-	for _, told := range encoded {
-		record, err := quarantine.Decode(told)
+	for _, suspect := range encoded {
+		record, err := quarantine.Decode(suspect)
 		if err != nil {
 			return suspects, err
 		}
@@ -91,13 +91,13 @@
 
 func decodeRevisions(encoded []*pathbendv1.RevisionState) ([]Revision, error) {
 	var revisions []Revision
-	for i, state := range encoded {
+	for i, item := range encoded {
 		revision := Revision{
-			Number: state.Revision, Raw: state.Document, Author: state.Author, Message: state.Message,
-			Published: time.UnixMilli(state.PublishedUnixMs),
+			Number: item.Revision, Raw: item.Document, Author: item.Author, Message: item.Message,
+			Published: time.UnixMilli(item.PublishedUnixMs),
 		}
 		if i == len(encoded)-1 {
-			document, err := config.Decode(state.Document)
+			document, err := config.Decode(item.Document)
 			if err != nil {
 				return nil, result.Wrap(result.RecordMalformed, err, "decode snapshot")
 			}
