--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -19,7 +19,7 @@
 	"github.com/pathbend/pathbend/internal/state"
 )
 
-// memoryLog is a log in memory that can be down.
+// memoryLog is a log in memory. Its reads fail while down is set.
 type memoryLog struct {
 	mutex   sync.Mutex
 	records [][]byte
@@ -87,7 +87,7 @@
 	return number
 }
 
-func TestFollowerCatchesUpAndGoesOnAfterAnOutage(t *testing.T) {
+func TestFollowerCatchesUpAndContinuesAfterAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := &memoryLog{down: true}
 		log.append(t, publish(0))
@@ -95,7 +95,7 @@
 		time.Sleep(10 * time.Second)
 		require.False(t, follower.CaughtUp())
 		log.mutex.Lock()
-		require.Less(t, log.reads, 20, "an outage must not be met with a storm of reads")
+		require.Less(t, log.reads, 20, "failed reads must be retried with backoff")
 		log.down = false
 		log.mutex.Unlock()
 		time.Sleep(2 * time.Second)
@@ -106,7 +106,7 @@
 	})
 }
 
-// peerSource reads through another follower, as a node does.
+// peerSource reads through another follower, as a node that is no designated reader does.
 type peerSource struct{ follower *Follower }
 
 func (p peerSource) Fetch(ctx context.Context, from uint64, limit int, wait time.Duration) (Update, error) {
@@ -121,10 +121,10 @@
 	return DecodeUpdate(encoded)
 }
 
-func TestReaderBehindThePeersMemoryGetsASnapshot(t *testing.T) {
+func TestReaderBehindThePeersCacheGetsASnapshot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := &memoryLog{}
-		const records = cacheRecords + 500
+		const records = maxCachedRecords + 500
 		for base := range uint64(records) {
 			log.append(t, publish(base))
 		}
@@ -146,7 +146,7 @@
 	require.True(t, result.Is(err, result.NotReady))
 }
 
-func TestColdReaderStartsAtTheLastSnapshot(t *testing.T) {
+func TestNewReaderStartsAtTheLastSnapshot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := &memoryLog{}
 		full := follow(t, LogSource{Reader: log})
@@ -163,15 +163,15 @@
 		log.mutex.Lock()
 		log.reads = 0
 		log.mutex.Unlock()
-		cold := follow(t, LogSource{Reader: log})
+		second := follow(t, LogSource{Reader: log})
 		time.Sleep(time.Second)
-		require.Equal(t, uint64(records), revisionOf(cold))
+		require.Equal(t, uint64(records), revisionOf(second))
 		var want, got *pathbendv1.Snapshot
 		full.View(func(machine *state.Machine) { want = machine.Snapshot() })
-		cold.View(func(machine *state.Machine) { got = machine.Snapshot() })
+		second.View(func(machine *state.Machine) { got = machine.Snapshot() })
 		require.True(t, proto.Equal(want, got))
-		fresh := follow(t, LogSource{Reader: log})
+		third := follow(t, LogSource{Reader: log})
 		time.Sleep(time.Second)
-		require.True(t, fresh.CaughtUp())
+		require.True(t, third.CaughtUp())
 	})
 }
--- a/internal/control/follower.go
+++ b/internal/control/follower.go
@@ -17,55 +17,59 @@
 )
 
 const (
-	// readLimit is the number of records asked for at once.
+	// readLimit is the maximum number of records per read.
 	readLimit = 1000
-	// readWait is how long a read waits for a new record.
-	readWait = 5 * time.Second
-	// cacheRecords is how many records a node keeps to serve to peers.
-	cacheRecords = 2048
-	// SnapshotInterval is how many records may follow a snapshot in the stream
-	// before the next is appended.
+	// maxReadWait is how long a read waits for a new record.
+	maxReadWait = 5 * time.Second
+	// maxCachedRecords is the number of records that a node keeps to serve to peers.
+	maxCachedRecords = 2048
+	// SnapshotInterval is the number of records after a snapshot in the stream at
+	// which the next snapshot is due.
 	SnapshotInterval = 1000
-	retryInitial     = 50 * time.Millisecond
-	retryMax         = time.Second
+	minRetryInterval = 50 * time.Millisecond
+	maxRetryInterval = time.Second
 )
 
-// Update is an answer of a source: records from an offset on, or a snapshot and
-// the records after it.
+// Update is the answer of a source: the records from an offset, or a snapshot and the records
+// after it.
 type Update struct {
 	Batch    logstore.Batch
 	Snapshot *pathbendv1.Snapshot
 }
 
-// Source delivers the stream, from the platform's log or through a peer.
+// Source reads the stream, from the platform's log or through a peer. If there is no record at
+// offset from yet, Fetch waits for one for up to wait.
 type Source interface {
 	Fetch(ctx context.Context, from uint64, limit int, wait time.Duration) (Update, error)
 }
 
-// Listener is told of changes in order. It is called with the follower's lock
-// held and must neither block nor call back.
+// Listener is called for each change of the state, in order. The follower's mutex is held during the
+// call, so it must neither block nor call the follower.
 type Listener func(part state.Part, machine *state.Machine)
 
-// Follower holds the fold of one node. It is safe for concurrent use.
+// Follower keeps the state machine of one node up to date. It is safe for concurrent use.
 type Follower struct {
 	source   Source
 	logger   *event.Logger
 	listener Listener
 
-	mutex    sync.Mutex
-	machine  *state.Machine
+	mutex   sync.Mutex
+	machine *state.Machine
+	// cache holds the latest applied records; the last one precedes machine.Next.
 	cache    []logstore.Entry
 	caughtUp bool
-	// end is the highest end of the stream that was seen.
+	// end is the highest end of the stream that a source reported.
 	end uint64
-	// lastSnapshot is the offset after the last snapshot record seen.
+	// lastSnapshot is the offset after the last snapshot record, or the offset that a
+	// restored snapshot covers.
 	lastSnapshot uint64
-	changed      chan struct{}
-	lastRead     time.Time
-	failing      bool
+	// changed is closed and replaced after each update.
+	changed     chan struct{}
+	lastRead    time.Time
+	readFailing bool
 }
 
-// NewFollower returns a follower before the first record.
+// NewFollower returns a follower that has applied no record. Run starts it.
 func NewFollower(source Source, listener Listener, logger *event.Logger) *Follower {
 	return &Follower{
 		source: source, listener: listener, logger: logger,
@@ -73,48 +77,48 @@
 	}
 }
 
-// View calls read with the present state, which it must not keep or modify.
+// View calls read with the current state, which read must neither retain nor modify.
 func (f *Follower) View(read func(machine *state.Machine)) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	read(f.machine)
 }
 
-// CaughtUp reports whether the node has seen the end of the stream once.
+// CaughtUp reports whether the node has ever reached the end of the stream.
 func (f *Follower) CaughtUp() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.caughtUp
 }
 
-// Lag tells how many records are known but not applied, and when the source
-// last answered.
+// Lag returns the number of records that are known to exist but are not applied, and the time of the
+// last successful read.
 func (f *Follower) Lag() (records uint64, lastRead time.Time) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.end - min(f.end, f.machine.Next()), f.lastRead
 }
 
-// SnapshotDue reports whether so many records follow the last snapshot that
-// the next one should be appended.
+// SnapshotDue reports whether the node is caught up and at least SnapshotInterval records follow the
+// last snapshot, so that the next one should be appended.
 func (f *Follower) SnapshotDue() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.caughtUp && f.machine.Next()-f.lastSnapshot >= SnapshotInterval
 }
 
-// Run follows the stream until ctx ends.
+// Run reads and applies the stream until ctx ends. It retries failed reads with backoff.
 func (f *Follower) Run(ctx context.Context) {
 	policy := backoff.NewExponentialBackOff()
-	policy.InitialInterval = retryInitial
-	policy.MaxInterval = retryMax
+	policy.InitialInterval = minRetryInterval
+	policy.MaxInterval = maxRetryInterval
 	policy.RandomizationFactor = 0
 	for ctx.Err() == nil {
-		err := f.step(ctx)
+		err := f.fetch(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		f.noteRead(err)
+		f.recordRead(err)
 		if err == nil {
 			policy.Reset()
 			continue
@@ -123,38 +127,41 @@
 	}
 }
 
-func (f *Follower) step(ctx context.Context) error {
+// fetch reads from the source once and applies the update. Until the node is caught up, the read does
+// not wait for new records.
+func (f *Follower) fetch(ctx context.Context) error {
 	f.mutex.Lock()
-	from, patience := f.machine.Next(), readWait
+	from, maxWait := f.machine.Next(), maxReadWait
 	if !f.caughtUp {
-		patience = 0
+		maxWait = 0
 	}
 	f.mutex.Unlock()
-	update, err := f.source.Fetch(ctx, from, readLimit, patience)
+	update, err := f.source.Fetch(ctx, from, readLimit, maxWait)
 	if err != nil {
 		return err
 	}
-	return f.take(update)
+	return f.applyUpdate(update)
 }
 
-func (f *Follower) noteRead(err error) {
+// recordRead records the result of a read, and logs the first failure and the recovery.
+func (f *Follower) recordRead(err error) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if err == nil {
 		f.lastRead = time.Now()
-		if f.failing {
+		if f.readFailing {
 			f.logger.Log(event.LogReadRecovered)
 		}
-		f.failing = false
+		f.readFailing = false
 		return
 	}
-	if !f.failing {
+	if !f.readFailing {
 		f.logger.Log(event.LogReadFailed, "error", err.Error())
 	}
-	f.failing = true
+	f.readFailing = true
 }
 
-func (f *Follower) take(update Update) error {
+func (f *Follower) applyUpdate(update Update) error {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if err := f.restore(update.Snapshot); err != nil {
@@ -174,6 +181,7 @@
 	return nil
 }
 
+// restore replaces the state by a snapshot that is ahead of it. The caller holds f.mutex.
 func (f *Follower) restore(snapshot *pathbendv1.Snapshot) error {
 	if snapshot == nil || snapshot.Covers <= f.machine.Next() {
 		return nil
@@ -189,31 +197,32 @@
 	return nil
 }
 
+// apply applies and caches one record. The caller holds f.mutex.
 func (f *Follower) apply(entry logstore.Entry) {
 	if entry.Offset != f.machine.Next() {
-		return // overlaps what is applied; a gap cannot pass the source's check
+		return // already applied; sources reject batches with gaps
 	}
 	outcome := f.machine.Apply(entry)
 	f.cache = append(f.cache, entry)
-	if len(f.cache) > cacheRecords {
-		f.cache = f.cache[len(f.cache)-cacheRecords:]
+	if len(f.cache) > maxCachedRecords {
+		f.cache = f.cache[len(f.cache)-maxCachedRecords:]
 	}
-	f.noteSnapshot(entry)
+	f.recordSnapshot(entry)
 	f.logOutcome(entry, outcome)
 	if outcome.Changed != state.PartNone {
 		f.listener(outcome.Changed, f.machine)
 	}
 }
 
-func (f *Follower) noteSnapshot(entry logstore.Entry) {
-	if SnapshotIn(entry.Data) != nil {
+func (f *Follower) recordSnapshot(entry logstore.Entry) {
+	if DecodeSnapshot(entry.Data) != nil {
 		f.lastSnapshot = entry.Offset + 1
 	}
 }
 
-// SnapshotIn returns the snapshot in an encoded record, nil if it is another
-// record.
-func SnapshotIn(data []byte) *pathbendv1.Snapshot {
+// DecodeSnapshot returns the snapshot in an encoded record, or nil if the record holds something else
+// or is malformed.
+func DecodeSnapshot(data []byte) *pathbendv1.Snapshot {
 	record, err := logstore.DecodeRecord(data)
 	if err != nil {
 		return nil
@@ -234,15 +243,15 @@
 	}
 }
 
-// Serve answers a peer's read from memory, waiting for a new record if there is
-// none. A node that is not caught up serves nothing: it might show a peer less
-// than that peer's former source did.
-func (f *Follower) Serve(ctx context.Context, from uint64, limit int, patience time.Duration) (Update, error) {
-	timer := time.NewTimer(patience)
+// Serve answers a peer's read from the cached records. If there is no record at offset from yet, it
+// waits for one for up to maxWait. It returns result.NotReady if the node is not caught up or is
+// behind the peer, since the peer's state must not move backwards when it changes its source.
+func (f *Follower) Serve(ctx context.Context, from uint64, limit int, maxWait time.Duration) (Update, error) {
+	timer := time.NewTimer(maxWait)
 	defer timer.Stop()
 	for {
-		update, changed, err := f.serveNow(from, limit)
-		if err != nil || len(update.Batch.Entries) > 0 || update.Snapshot != nil || patience == 0 {
+		update, changed, err := f.cachedUpdate(from, limit)
+		if err != nil || len(update.Batch.Entries) > 0 || update.Snapshot != nil || maxWait == 0 {
 			return update, err
 		}
 		select {
@@ -255,12 +264,14 @@
 	}
 }
 
-func (f *Follower) serveNow(from uint64, limit int) (Update, <-chan struct{}, error) {
+// cachedUpdate returns the records from an offset, or a snapshot if they are no longer cached, and the
+// channel that is closed at the next update.
+func (f *Follower) cachedUpdate(from uint64, limit int) (Update, <-chan struct{}, error) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	next := f.machine.Next()
 	if !f.caughtUp || from > next {
-		return Update{}, nil, result.New(result.NotReady, "this node is at offset %d, behind the reader at %d", next, from)
+		return Update{}, nil, result.New(result.NotReady, "this node is at offset %d and cannot serve offset %d", next, from)
 	}
 	update := Update{Batch: logstore.Batch{End: next}}
 	first := next - uint64(len(f.cache))
@@ -273,14 +284,14 @@
 	return update, f.changed, nil
 }
 
-// EncodeSnapshot returns the present state as a snapshot record.
+// EncodeSnapshot returns the current state as a snapshot record.
 func (f *Follower) EncodeSnapshot(recordID string) *pathbendv1.Record {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return &pathbendv1.Record{Id: recordID, Body: &pathbendv1.Record_Snapshot{Snapshot: f.machine.Snapshot()}}
 }
 
-// EncodeUpdate converts an update to its peer message.
+// EncodeUpdate converts an update to the message that is sent to a peer.
 func EncodeUpdate(update Update) (*pathbendv1.RecordBatch, error) {
 	batch := &pathbendv1.RecordBatch{End: update.Batch.End}
 	for _, entry := range update.Batch.Entries {
@@ -296,7 +307,8 @@
 	return batch, nil
 }
 
-// DecodeUpdate converts a peer message to an update.
+// DecodeUpdate converts the message of a peer to an update. It returns result.RecordMalformed if the
+// snapshot cannot be decoded.
 func DecodeUpdate(batch *pathbendv1.RecordBatch) (Update, error) {
 	update := Update{Batch: logstore.Batch{End: batch.End}}
 	for _, record := range batch.Records {
@@ -305,7 +317,7 @@
 	if len(batch.Snapshot) > 0 {
 		update.Snapshot = &pathbendv1.Snapshot{}
 		if err := proto.Unmarshal(batch.Snapshot, update.Snapshot); err != nil {
-			return Update{}, result.Wrap(result.RecordMalformed, err, "decode snapshot of a peer")
+			return Update{}, result.Wrap(result.RecordMalformed, err, "decode a peer's snapshot")
 		}
 	}
 	return update, nil
--- a/internal/control/logsource.go
+++ b/internal/control/logsource.go
@@ -7,8 +7,8 @@
 	"github.com/pathbend/pathbend/internal/logstore"
 )
 
-// LogSource reads the control stream from the platform's log. A reader that
-// starts far behind the end begins at the last snapshot.
+// LogSource reads the control stream from the platform's log. A read from offset 0 starts at the last
+// snapshot if there is one.
 type LogSource struct {
 	Reader logstore.Reader
 }
@@ -22,8 +22,8 @@
 	return Update{Batch: batch}, err
 }
 
-// fetchFirst looks for the last snapshot in a window at the end of the stream
-// and doubles the window until it holds one or the whole stream.
+// fetchFirst searches a window at the end of the stream for the last snapshot. It doubles the window
+// until it contains a snapshot, and reads from offset 0 once the window would cover the stream.
 func (s LogSource) fetchFirst(ctx context.Context, limit int) (Update, error) {
 	probe, err := s.Reader.Read(ctx, logstore.ControlStream, 0, 1, 0)
 	if err != nil {
@@ -42,6 +42,7 @@
 	return Update{Batch: batch}, err
 }
 
+// readAll reads the records from an offset up to end.
 func (s LogSource) readAll(ctx context.Context, from, end uint64) ([]logstore.Entry, error) {
 	var entries []logstore.Entry
 	for from < end {
@@ -58,20 +59,20 @@
 	return entries, nil
 }
 
-// fromLastSnapshot finds the last snapshot whose following records are all in
-// the window.
+// fromLastSnapshot returns the last snapshot in entries for which they hold all records after the
+// offset that it covers, and these records. It reports false if there is none.
 func fromLastSnapshot(entries []logstore.Entry, end uint64) (Update, bool) {
 	if len(entries) == 0 {
 		return Update{}, false
 	}
 	first := entries[0].Offset
 	for i := len(entries) - 1; i >= 0; i-- {
-		snapshot := SnapshotIn(entries[i].Data)
+		snapshot := DecodeSnapshot(entries[i].Data)
 		if snapshot == nil || snapshot.Covers < first || snapshot.Covers > entries[i].Offset {
 			continue
 		}
-		rest := entries[snapshot.Covers-first:]
-		return Update{Snapshot: snapshot, Batch: logstore.Batch{Entries: rest, End: end}}, true
+		remaining := entries[snapshot.Covers-first:]
+		return Update{Snapshot: snapshot, Batch: logstore.Batch{Entries: remaining, End: end}}, true
 	}
 	return Update{}, false
 }
