--- a/internal/control/follower.go
+++ b/internal/control/follower.go
@@ -19,7 +19,7 @@
 const (
 	// readLimit is the maximum number of records per read.
 	readLimit = 1000
-	// maxReadWait is how long a read waits for a new record.
+	// maxReadWait is the maximum time that a read waits for a new record.
 	maxReadWait = 5 * time.Second
 	// maxCachedRecords is the number of records that a node keeps to serve to peers.
 	maxCachedRecords = 2048
@@ -43,8 +43,8 @@
 	Fetch(ctx context.Context, from uint64, limit int, wait time.Duration) (Update, error)
 }
 
-// Listener is called for each change of the state, in order. The follower's mutex is held during the
-// call, so it must neither block nor call the follower.
+// Listener is called for each change of the state, in order. The follower's mutex is held during
+// the call, so it must neither block nor call the follower.
 type Listener func(part state.Part, machine *state.Machine)
 
 // Follower keeps the state machine of one node up to date. It is safe for concurrent use.
@@ -63,7 +63,7 @@
 	// lastSnapshot is the offset after the last snapshot record, or the offset that a
 	// restored snapshot covers.
 	lastSnapshot uint64
-	// changed is closed and replaced after each update.
+	// changed is closed and replaced after each update that is not empty.
 	changed     chan struct{}
 	lastRead    time.Time
 	readFailing bool
@@ -91,16 +91,16 @@
 	return f.caughtUp
 }
 
-// Lag returns the number of records that are known to exist but are not applied, and the time of the
-// last successful read.
+// Lag returns the number of records that are known to exist but are not applied, and the time of
+// the last successful read.
 func (f *Follower) Lag() (records uint64, lastRead time.Time) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.end - min(f.end, f.machine.Next()), f.lastRead
 }
 
-// SnapshotDue reports whether the node is caught up and at least SnapshotInterval records follow the
-// last snapshot, so that the next one should be appended.
+// SnapshotDue reports whether the node is caught up and at least SnapshotInterval records follow
+// the last snapshot, so that the next one should be appended.
 func (f *Follower) SnapshotDue() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -127,8 +127,8 @@
 	}
 }
 
-// fetch reads from the source once and applies the update. Until the node is caught up, the read does
-// not wait for new records.
+// fetch reads from the source once and applies the update. Until the node is caught up, the read
+// does not wait for new records.
 func (f *Follower) fetch(ctx context.Context) error {
 	f.mutex.Lock()
 	from, maxWait := f.machine.Next(), maxReadWait
@@ -220,8 +220,8 @@
 	}
 }
 
-// DecodeSnapshot returns the snapshot in an encoded record, or nil if the record holds something else
-// or is malformed.
+// DecodeSnapshot returns the snapshot in an encoded record, or nil if the record holds something
+// else or is malformed.
 func DecodeSnapshot(data []byte) *pathbendv1.Snapshot {
 	record, err := logstore.DecodeRecord(data)
 	if err != nil {
@@ -264,8 +264,8 @@
 	}
 }
 
-// cachedUpdate returns the records from an offset, or a snapshot if they are no longer cached, and the
-// channel that is closed at the next update.
+// cachedUpdate returns the records from an offset, or a snapshot if they are no longer cached,
+// and the channel that is closed at the next update.
 func (f *Follower) cachedUpdate(from uint64, limit int) (Update, <-chan struct{}, error) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -307,8 +307,8 @@
 	return batch, nil
 }
 
-// DecodeUpdate converts the message of a peer to an update. It returns result.RecordMalformed if the
-// snapshot cannot be decoded.
+// DecodeUpdate converts the message of a peer to an update. It returns result.RecordMalformed if
+// the snapshot cannot be decoded.
 func DecodeUpdate(batch *pathbendv1.RecordBatch) (Update, error) {
 	update := Update{Batch: logstore.Batch{End: batch.End}}
 	for _, record := range batch.Records {
--- a/internal/control/logsource.go
+++ b/internal/control/logsource.go
@@ -7,8 +7,8 @@
 	"github.com/pathbend/pathbend/internal/logstore"
 )
 
-// LogSource reads the control stream from the platform's log. A read from offset 0 starts at the last
-// snapshot if there is one.
+// LogSource reads the control stream from the platform's log. A read from offset 0 starts at the
+// last snapshot if there is one.
 type LogSource struct {
 	Reader logstore.Reader
 }
@@ -22,8 +22,9 @@
 	return Update{Batch: batch}, err
 }
 
-// fetchFirst searches a window at the end of the stream for the last snapshot. It doubles the window
-// until it contains a snapshot, and reads from offset 0 once the window would cover the stream.
+// fetchFirst searches a window at the end of the stream for the last snapshot. It doubles the
+// window until it contains a snapshot, and reads from offset 0 once the window would cover the
+// stream.
 func (s LogSource) fetchFirst(ctx context.Context, limit int) (Update, error) {
 	probe, err := s.Reader.Read(ctx, logstore.ControlStream, 0, 1, 0)
 	if err != nil {
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -22,7 +22,7 @@
 // Counter counts a feed's reads and responses.
 type Counter interface {
 	// EntriesRead counts a read, by its source and whether it succeeded.
-	EntriesRead(source Source, answered bool)
+	EntriesRead(source Source, succeeded bool)
 	// EntriesServed counts a response to another node, by its compressed size in bytes.
 	EntriesServed(bytes int)
 }
@@ -63,7 +63,7 @@
 	// logLimiter limits the rate of log entries about failed readers.
 	logLimiter event.Limiter
 
-	// age returns the age of the follower's data. It is nil until Watch.
+	// age returns the age of the follower's data. It is nil until it is set.
 	age atomic.Pointer[func() time.Duration]
 
 	mutex sync.Mutex
@@ -86,7 +86,8 @@
 // nodes are refused before it is set.
 func (f *Feed) Watch(age func() time.Duration) { f.age.Store(&age) }
 
-// requiredGroups returns the groups that this node needs under a plan: all of them if it reads the log.
+// requiredGroups returns the groups that this node needs under a plan: all of them if it reads
+// the log.
 func (f *Feed) requiredGroups(plan fanout.Plan) fanout.Groups {
 	if plan.Reads {
 		return fanout.All()
@@ -196,7 +197,8 @@
 }
 
 // Reset replaces the cache that serves other nodes by the newest entries, as the follower
-// read them; next is the offset of the record after them.
+// read them; next is the offset of the record after them. If this node does not serve other
+// nodes, it clears the cache.
 func (f *Feed) Reset(records []sharedlog.KeyedRecord, next uint64) {
 	if f.serves() {
 		f.cache.Reset(records, next)
@@ -205,8 +207,9 @@
 	f.cache.Clear()
 }
 
-// Apply adds records that the follower read after the newest entries. Until Reset has filled
-// the cache, nothing is added: a node that becomes a reader reads the newest entries first.
+// Apply adds records that the follower read after the newest entries to the cache. It has no
+// effect until Reset has filled the cache: a node that becomes a reader reads the newest entries
+// first. If this node does not serve other nodes, it clears the cache.
 func (f *Feed) Apply(records []sharedlog.KeyedRecord, next uint64) {
 	if f.serves() && f.cache.Ready() {
 		f.cache.Apply(records, next)
--- a/internal/logstore/client.go
+++ b/internal/logstore/client.go
@@ -181,8 +181,8 @@
 	return offset, err
 }
 
-// DecodeRecord decodes one record. It returns result.RecordMalformed for one that cannot be decoded,
-// or lacks an id or a body.
+// DecodeRecord decodes one record. It returns result.RecordMalformed for one that cannot be
+// decoded, or lacks an id or a body.
 func DecodeRecord(data []byte) (*pathbendv1.Record, error) {
 	record := &pathbendv1.Record{}
 	if err := proto.Unmarshal(data, record); err != nil {
--- a/internal/relay/way.go
+++ b/internal/relay/way.go
@@ -95,7 +95,7 @@
 	return s.silenceTimeout()
 }
 
-// silenceTimeout implements Patience. The caller holds s.mutex.
+// silenceTimeout returns the silence timeout of the direct path. The caller holds s.mutex.
 func (s *Way) silenceTimeout() time.Duration {
 	return max(minSilenceTimeout, silenceLatencyFactor*s.meanLatency)
 }
--- a/internal/state/snapshot.go
+++ b/internal/state/snapshot.go
@@ -43,8 +43,8 @@
 	return snapshot
 }
 
-// Restore replaces the state by a snapshot. It ignores a snapshot that is not ahead of the state, so
-// that the state never moves backwards. On an error the state is unchanged.
+// Restore replaces the state by a snapshot. It ignores a snapshot that is not ahead of the state,
+// so that the state never moves backwards. On an error the state is unchanged.
 func (m *Machine) Restore(snapshot *pathbendv1.Snapshot) error {
 	if snapshot.Covers <= m.next {
 		return nil
