--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -13,50 +13,53 @@
 )
 
 var (
-	start  = time.Unix(1000, 0)
-	limits = Limits{RequestsPerSecond: 1000, Burst: 1000, Concurrent: 2, QueueLength: 2}
+	start      = time.Unix(1000, 0)
+	testLimits = Limits{RequestsPerSecond: 1000, Burst: 1000, Concurrent: 2, QueueLength: 2}
 )
 
-func TestRateLimitHintsWhenTheNextTokenComes(t *testing.T) {
+func TestRateLimitSuggestsRetryWhenNextTokenIsAvailable(t *testing.T) {
 	controller := NewController(Limits{RequestsPerSecond: 2, Burst: 1, Concurrent: 10})
 	deadline := start.Add(time.Minute)
-	verdict, _ := controller.Arrive(start, &Ticket{Deadline: deadline})
-	require.Equal(t, Admitted, verdict)
-	verdict, err := controller.Arrive(start, &Ticket{Deadline: deadline})
-	require.Equal(t, Refused, verdict)
+	decision, _ := controller.Submit(start, &Request{Deadline: deadline})
+	require.Equal(t, Admitted, decision)
+	decision, err := controller.Submit(start, &Request{Deadline: deadline})
+	require.Equal(t, Refused, decision)
 	require.Equal(t, result.RateLimited, err.Code)
 	require.Equal(t, 500*time.Millisecond, err.RetryAfter)
-	verdict, _ = controller.Arrive(start.Add(err.RetryAfter), &Ticket{Deadline: deadline})
-	require.Equal(t, Admitted, verdict)
+	decision, _ = controller.Submit(start.Add(err.RetryAfter), &Request{Deadline: deadline})
+	require.Equal(t, Admitted, decision)
 }
 
-func TestImportantRequestDisplacesTheLeastImportant(t *testing.T) {
-	controller := NewController(limits)
+func TestHigherPriorityDisplacesLowestPriorityInFullQueue(t *testing.T) {
+	controller := NewController(testLimits)
 	deadline := start.Add(time.Minute)
 	var refused []Priority
-	arrive := func(priority Priority) Verdict {
-		ticket := &Ticket{Priority: priority, Deadline: deadline}
-		ticket.Decide = func(verdict Verdict, err *result.Error) {
-			if verdict == Refused {
+	submit := func(priority Priority) Decision {
+		request := &Request{Priority: priority, Deadline: deadline}
+		request.Notify = func(decision Decision, err *result.Error) {
+			if decision == Refused {
 				require.Equal(t, result.QueueFull, err.Code)
 				refused = append(refused, priority)
 			}
 		}
-		verdict, _ := controller.Arrive(start, ticket)
-		return verdict
+		decision, _ := controller.Submit(start, request)
+		return decision
 	}
-	require.Equal(t, Admitted, arrive(Normal))
-	require.Equal(t, Admitted, arrive(Normal))
-	require.Equal(t, Queued, arrive(Low))
-	require.Equal(t, Queued, arrive(Normal))
-	require.Equal(t, Queued, arrive(Critical))
+	require.Equal(t, Admitted, submit(Normal))
+	require.Equal(t, Admitted, submit(Normal))
+	require.Equal(t, Queued, submit(Low))
+	require.Equal(t, Queued, submit(Normal))
+	require.Equal(t, Queued, submit(Critical))
 	require.Equal(t, []Priority{Low}, refused)
-	require.Equal(t, Refused, arrive(Low))
+	require.Equal(t, Refused, submit(Low))
 }
 
-func TestNothingStartsAfterItsDeadlineAndAllAreDecidedOnce(t *testing.T) {
+// Requests of random priorities and deadlines arrive and finish: none is admitted
+// at or after its deadline, the concurrency limit holds, and each request is
+// decided exactly once or still waits.
+func TestNoRequestStartsAfterItsDeadlineAndEachIsDecidedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		controller := NewController(limits)
+		controller := NewController(testLimits)
 		now := start
 		running, arrived, decided := 0, 0, 0
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -66,19 +69,19 @@
 				controller.Finish(now)
 				continue
 			}
-			ticket := &Ticket{
+			request := &Request{
 				Priority: Priority(rapid.IntRange(0, 3).Draw(t, "priority")),
 				Deadline: now.Add(time.Duration(rapid.IntRange(1, 80).Draw(t, "deadline")) * time.Millisecond),
 			}
-			ticket.Decide = func(verdict Verdict, _ *result.Error) {
+			request.Notify = func(decision Decision, _ *result.Error) {
 				decided++
-				if verdict == Admitted {
-					require.True(t, now.Before(ticket.Deadline))
+				if decision == Admitted {
+					require.True(t, now.Before(request.Deadline))
 					running++
 				}
 			}
 			arrived++
-			switch verdict, _ := controller.Arrive(now, ticket); verdict {
+			switch decision, _ := controller.Submit(now, request); decision {
 			case Admitted:
 				decided++
 				running++
@@ -86,13 +89,13 @@
 				decided++
 			}
 			require.Equal(t, running, controller.Running())
-			require.LessOrEqual(t, running, limits.Concurrent)
+			require.LessOrEqual(t, running, testLimits.Concurrent)
 			require.Equal(t, arrived, decided+controller.Waiting())
 		}
 	})
 }
 
-func TestGateRefusesAtTheDeadlineNotLater(t *testing.T) {
+func TestGateRefusesQueuedRequestAtItsDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		gate := NewGate()
 		gate.SetLimits(time.Now(), map[string]Limits{"shop": {RequestsPerSecond: 100, Burst: 100, Concurrent: 1, QueueLength: 5}})
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -8,31 +8,34 @@
 	"github.com/pathbend/pathbend/internal/result"
 )
 
-// Gate lets goroutines wait for the verdicts of one controller per tenant.
+// Gate admits the requests of all tenants on one node: it has a Controller for
+// each tenant and blocks callers until their requests may start. It is safe for
+// concurrent use.
 type Gate struct {
 	mutex       sync.Mutex
 	controllers map[string]*Controller
-	closedWith  *result.Error
-	arrivals    map[string]int
+	closeErr    *result.Error  // set once the gate is closed
+	arrivals    map[string]int // requests by tenant since the last TakeArrivals
 }
 
-// NewGate returns a gate without tenants.
+// NewGate returns a gate without tenants; it refuses every request until
+// SetLimits is called.
 func NewGate() *Gate {
 	return &Gate{controllers: make(map[string]*Controller), arrivals: make(map[string]int)}
 }
 
-// SetLimits puts the limits of all tenants in force. Tenants that are gone are
-// forgotten; their running requests finish.
+// SetLimits replaces the limits of all tenants. Tenants that are not in limits
+// are removed: their waiting requests are refused, their running requests finish.
 func (g *Gate) SetLimits(now time.Time, limits map[string]Limits) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	for tenant, wanted := range limits {
+	for tenant, tenantLimits := range limits {
 		controller, ok := g.controllers[tenant]
 		if !ok {
-			g.controllers[tenant] = NewController(wanted)
+			g.controllers[tenant] = NewController(tenantLimits)
 			continue
 		}
-		controller.SetLimits(now, wanted)
+		controller.SetLimits(now, tenantLimits)
 	}
 	for tenant, controller := range g.controllers {
 		if _, ok := limits[tenant]; !ok {
@@ -42,21 +45,21 @@
 	}
 }
 
-// TakeArrivals returns the requests that arrived since the last call, admitted
-// or not, by tenant.
+// TakeArrivals returns the number of requests by tenant that arrived since the
+// last call, whether admitted or not, and resets the counts.
 func (g *Gate) TakeArrivals() map[string]int {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	taken := g.arrivals
-	g.arrivals = make(map[string]int, len(taken))
-	return taken
+	arrivals := g.arrivals
+	g.arrivals = make(map[string]int, len(arrivals))
+	return arrivals
 }
 
-// Close refuses every waiting and later request with an error.
+// Close refuses all waiting requests and every later one with err.
 func (g *Gate) Close(err *result.Error) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.closedWith = err
+	g.closeErr = err
 	for _, controller := range g.controllers {
 		controller.RefuseAll(err)
 	}
@@ -68,7 +71,7 @@
 	Waiting int `json:"waiting"`
 }
 
-// Occupancy returns the counts by tenant.
+// Occupancy returns the numbers of running and waiting requests by tenant.
 func (g *Gate) Occupancy() map[string]Occupancy {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -79,78 +82,83 @@
 	return counts
 }
 
-type verdict struct {
-	kind Verdict
-	err  *result.Error
+// outcome is the final decision on a queued request.
+type outcome struct {
+	decision Decision
+	err      *result.Error
 }
 
-// Enter waits until the request may start. The returned function must be called
-// when it ended. A refusal, a passed deadline and a cancelled ctx all mean that
-// the request did not start.
+// Enter blocks until the request may start and returns a function that the
+// caller must call when the request has ended. An error means that the request
+// did not start: it was refused, its deadline passed or ctx was cancelled.
 func (g *Gate) Enter(ctx context.Context, tenant string, priority Priority, deadline time.Time) (func(), error) {
-	ticket := &Ticket{Priority: priority, Deadline: deadline}
-	controller, decided, err := g.arrive(tenant, ticket)
+	request := &Request{Priority: priority, Deadline: deadline}
+	controller, decided, err := g.submit(tenant, request)
 	if err != nil {
 		return nil, err
 	}
 	if decided == nil {
 		return func() { g.finish(controller) }, nil
 	}
-	return g.await(ctx, controller, ticket, decided)
+	return g.awaitDecision(ctx, controller, request, decided)
 }
 
-// arrive returns a channel for the verdict if the ticket has to wait.
-func (g *Gate) arrive(tenant string, ticket *Ticket) (*Controller, chan verdict, error) {
+// submit passes a request to its tenant's controller. The returned channel
+// receives the final decision; it is nil if the request is admitted at once.
+func (g *Gate) submit(tenant string, request *Request) (*Controller, chan outcome, error) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if g.closedWith != nil {
-		return nil, nil, g.closedWith
+	if g.closeErr != nil {
+		return nil, nil, g.closeErr
 	}
 	controller, ok := g.controllers[tenant]
 	if !ok {
 		return nil, nil, result.New(result.UnknownTenant, "no tenant %q", tenant)
 	}
 	g.arrivals[tenant]++
-	kind, refusal := controller.Arrive(time.Now(), ticket)
-	switch kind {
+	decision, refusal := controller.Submit(time.Now(), request)
+	switch decision {
 	case Refused:
 		return nil, nil, refusal
 	case Admitted:
 		return controller, nil, nil
 	}
-	// Nothing decides on the ticket before the lock is released.
-	decided := make(chan verdict, 1)
-	ticket.Decide = func(kind Verdict, err *result.Error) { decided <- verdict{kind, err} }
+	// Notify can be set after Submit: it is called only under the lock held here.
+	decided := make(chan outcome, 1)
+	request.Notify = func(decision Decision, err *result.Error) { decided <- outcome{decision, err} }
 	return controller, decided, nil
 }
 
-func (g *Gate) await(ctx context.Context, controller *Controller, ticket *Ticket, decided chan verdict) (func(), error) {
-	timer := time.NewTimer(time.Until(ticket.Deadline))
+// awaitDecision waits for the decision on a queued request, and withdraws it
+// when its deadline passes or ctx ends.
+func (g *Gate) awaitDecision(ctx context.Context, controller *Controller, request *Request, decided chan outcome) (func(), error) {
+	timer := time.NewTimer(time.Until(request.Deadline))
 	defer timer.Stop()
 	select {
-	case outcome := <-decided:
-		return g.conclude(controller, outcome)
+	case final := <-decided:
+		return g.resolve(controller, final)
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 	g.mutex.Lock()
-	withdrawn := controller.Withdraw(ticket)
+	withdrawn := controller.Withdraw(request)
 	g.mutex.Unlock()
 	if !withdrawn {
-		// A verdict came at the same moment and stands.
-		return g.conclude(controller, <-decided)
+		// The controller decided at the same moment; its decision stands.
+		return g.resolve(controller, <-decided)
 	}
 	if ctx.Err() != nil {
-		return nil, result.New(result.DeadlineInQueue, "the caller went away while the request waited")
+		return nil, result.New(result.DeadlineInQueue, "the caller disconnected while the request was queued")
 	}
-	return nil, result.New(result.DeadlineInQueue, "the deadline passed in the queue").WithRetryAfter(queueRetryAfter)
+	return nil, result.New(result.DeadlineInQueue, "the deadline passed while the request was queued").WithRetryAfter(queueRetryAfter)
 }
 
-func (g *Gate) conclude(controller *Controller, outcome verdict) (func(), error) {
-	if outcome.kind == Admitted {
+// resolve turns the final decision on a queued request into the results of Enter.
+func (g *Gate) resolve(controller *Controller, final outcome) (func(), error) {
+	if final.decision == Admitted {
 		return func() { g.finish(controller) }, nil
 	}
-	return nil, outcome.err
+	return nil, final.err
 }
 
 func (g *Gate) finish(controller *Controller) {
