--- a/internal/hedge/hedge.go
+++ b/internal/hedge/hedge.go
@@ -1,5 +1,5 @@
-// Package hedge makes a call again while its answer is outstanding. It serves calls that
-// may be made more than once and whose answers are lost now and then.
+// Package hedge implements hedged calls: a call is repeated while its answer is
+// outstanding. It is meant for idempotent calls whose answers may be lost.
 package hedge
 
 import (
@@ -7,44 +7,45 @@
 	"time"
 )
 
-// Call bounds the calls of one attempt.
+// Call is the policy of one hedged operation: how many calls it makes and when.
 type Call struct {
-	// Most is the number of calls that may be under way.
+	// Most is the maximum number of calls.
 	Most int
-	// After returns how long the newest call is waited for before the next goes out.
+	// After returns how long to wait after the newest call before the next one is sent.
 	After func() time.Duration
 }
 
-// ended is how one call ended.
-type ended[Answer any] struct {
+// outcome is the result of one call.
+type outcome[Answer any] struct {
 	answer Answer
 	err    error
 }
 
-// First makes a call, numbered from 0, and further ones beside it while none has ended
-// well. It returns the first answer without an error, or the error of the last call once
-// all have failed. Calls that are under way then must end with ctx.
-func First[Answer any](ctx context.Context, bounds Call, call func(number int) (Answer, error)) (Answer, error) {
-	ends := make(chan ended[Answer], bounds.Most)
+// First makes a call, and further ones concurrently while none has succeeded; the
+// argument of call numbers them from 0. It returns the first successful answer, or the
+// error of the last call to fail once all calls sent so far have failed. Calls still
+// running when it returns are not stopped: they must end with ctx.
+func First[Answer any](ctx context.Context, policy Call, call func(number int) (Answer, error)) (Answer, error) {
+	outcomes := make(chan outcome[Answer], policy.Most)
 	send := func(number int) {
 		answer, err := call(number)
-		ends <- ended[Answer]{answer: answer, err: err}
+		outcomes <- outcome[Answer]{answer: answer, err: err}
 	}
 	go send(0)
 	sent, failed := 1, 0
-	timer := time.NewTimer(bounds.After())
+	timer := time.NewTimer(policy.After())
 	defer timer.Stop()
 	for {
 		select {
-		case end := <-ends:
-			if failed++; end.err == nil || failed == sent {
-				return end.answer, end.err
+		case ended := <-outcomes:
+			if failed++; ended.err == nil || failed == sent {
+				return ended.answer, ended.err
 			}
 		case <-timer.C:
-			if sent < bounds.Most && ctx.Err() == nil {
+			if sent < policy.Most && ctx.Err() == nil {
 				go send(sent)
 				sent++
-				timer.Reset(bounds.After())
+				timer.Reset(policy.After())
 			}
 		}
 	}
--- a/internal/hedge/hedge_test.go
+++ b/internal/hedge/hedge_test.go
@@ -13,57 +13,60 @@
 
 var errLost = errors.New("lost")
 
-func bounds(most int) Call {
-	return Call{Most: most, After: func() time.Duration { return 100 * time.Millisecond }}
+// testPolicy returns a policy with a delay of 100 ms between calls.
+func testPolicy(maxCalls int) Call {
+	return Call{Most: maxCalls, After: func() time.Duration { return 100 * time.Millisecond }}
 }
 
-func TestFirstAnswerCounts(t *testing.T) {
-	for _, one := range []struct {
-		name     string
-		answered int
-		takes    time.Duration
-		calls    int32
-	}{{"at once", 0, time.Millisecond, 1}, {"the third", 2, 201 * time.Millisecond, 3}} {
+func TestFirstAnswerIsReturned(t *testing.T) {
+	for _, test := range []struct {
+		name         string
+		answeredCall int
+		elapsed      time.Duration
+		calls        int32
+	}{{"first call answers", 0, time.Millisecond, 1}, {"third call answers", 2, 201 * time.Millisecond, 3}} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 			defer cancel()
 			var calls atomic.Int32
 			began := time.Now()
-			number, err := First(ctx, bounds(4), func(number int) (int, error) {
+			number, err := First(ctx, testPolicy(4), func(number int) (int, error) {
 				calls.Add(1)
-				if number < one.answered {
+				if number < test.answeredCall {
 					<-ctx.Done()
 					return number, errLost
 				}
 				time.Sleep(time.Millisecond)
 				return number, nil
 			})
-			require.NoError(t, err, one.name)
-			require.Equal(t, one.answered, number, one.name)
-			require.Equal(t, one.takes, time.Since(began), one.name)
-			require.Equal(t, one.calls, calls.Load(), one.name)
+			require.NoError(t, err, test.name)
+			require.Equal(t, test.answeredCall, number, test.name)
+			require.Equal(t, test.elapsed, time.Since(began), test.name)
+			require.Equal(t, test.calls, calls.Load(), test.name)
 			cancel()
 			synctest.Wait()
 		})
 	}
 }
 
-func TestAllCallsFail(t *testing.T) {
+func TestLastErrorIsReturnedWhenAllCallsFail(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		var calls atomic.Int32
-		_, err := First(ctx, bounds(2), func(int) (int, error) {
+		_, err := First(ctx, testPolicy(2), func(int) (int, error) {
 			calls.Add(1)
 			<-ctx.Done()
 			return 0, errLost
 		})
 		require.ErrorIs(t, err, errLost)
-		require.EqualValues(t, 2, calls.Load(), "no more than the bound")
+		require.EqualValues(t, 2, calls.Load(), "calls are limited to the maximum")
 	})
 }
 
+// A call that fails before the delay has passed ends the operation: only a missing
+// answer is hedged, not an error.
 func TestFailedCallIsNotRepeated(t *testing.T) {
-	_, err := First(t.Context(), bounds(3), func(int) (int, error) { return 0, errLost })
+	_, err := First(t.Context(), testPolicy(3), func(int) (int, error) { return 0, errLost })
 	require.ErrorIs(t, err, errLost)
 }
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -1,31 +1,33 @@
-// Package quota divides a tenant's rate over the nodes by demand, without a
-// central counter.
+// Package quota divides a tenant's request rate among the nodes by demand, without
+// a central counter.
 //
-// Each tenant has an owner, the node that ranks first for it. Nodes that see
-// requests of the tenant report their demand to the owner every Interval and get
-// a share; nodes without demand ask for nothing. Ledger is the owner's pure
-// state. What a node may use while it has no share is its even part of the rate.
+// Each tenant has an owner, the node that ranks first for it. Nodes that receive
+// requests of the tenant report their demand to the owner at every Interval and
+// get a share of the rate in return; nodes without demand send no report. Ledger
+// is the owner's state; it does no I/O and reads no clock. A node without a
+// current share uses an equal part of the rate.
 //
-// Invariant: the shares handed out to nodes whose reports are fresh add up to
-// the rate at most, whenever each of them has reported once more.
+// Invariant: once every node with a current report has reported again, the
+// shares granted to these nodes add up to at most the rate.
 package quota
 
 import "time"
 
 const (
-	// Interval is how often a node with demand reports.
+	// Interval is the time between two reports of a node with demand.
 	Interval = 500 * time.Millisecond
-	// Lifetime is how long a report and a share count.
+	// Lifetime is how long a report and the share granted for it are valid.
 	Lifetime = 3 * Interval
 )
 
+// report is the newest demand of a node, in requests per second.
 type report struct {
-	demand float64
-	at     time.Time
+	demand     float64
+	receivedAt time.Time
 }
 
-// Ledger holds the fresh demands on one tenant's rate, in requests a second. It
-// is not safe for concurrent use.
+// Ledger holds the current reports for one tenant, by node, and divides the
+// tenant's rate among them. It is not safe for concurrent use.
 type Ledger struct {
 	reports map[string]report
 }
@@ -33,18 +35,19 @@
 // NewLedger returns a ledger without reports.
 func NewLedger() *Ledger { return &Ledger{reports: make(map[string]report)} }
 
-// Report records a node's demand and returns its share of the rate. Under
-// overload the rate is divided in proportion to demand; otherwise every node
-// gets its demand and an equal part of what is left, so that demand can grow.
+// Report records a node's demand and returns its share of rate; all three are in
+// requests per second. If the total demand reaches the rate, the rate is divided
+// in proportion to demand. Otherwise every node gets its demand and an equal part
+// of the remaining rate, so that its demand can grow.
 func (l *Ledger) Report(now time.Time, node string, demand, rate float64) float64 {
-	l.reports[node] = report{demand: demand, at: now}
+	l.reports[node] = report{demand: demand, receivedAt: now}
 	total := 0.0
-	for id, known := range l.reports {
-		if now.Sub(known.at) >= Lifetime {
+	for id, latest := range l.reports {
+		if now.Sub(latest.receivedAt) >= Lifetime {
 			delete(l.reports, id)
 			continue
 		}
-		total += known.demand
+		total += latest.demand
 	}
 	if total >= rate {
 		return rate * demand / total
@@ -52,27 +55,30 @@
 	return demand + (rate-total)/float64(len(l.reports))
 }
 
-// Active counts the nodes with fresh reports.
-func (l *Ledger) Active() int { return len(l.reports) }
+// ActiveNodes returns the number of nodes whose reports had not expired at the
+// last call of Report.
+func (l *Ledger) ActiveNodes() int { return len(l.reports) }
 
-// Meter turns counts of arrivals into a smoothed demand.
+// Meter estimates a node's demand from its arrivals by exponential smoothing. The
+// zero value has no demand.
 type Meter struct {
 	demand float64
 }
 
-// smoothing is the weight of the latest interval.
-const smoothing = 0.5
+// smoothingWeight is the weight of the latest interval in the smoothed demand.
+const smoothingWeight = 0.5
 
-// Observe records the arrivals of an interval and returns the demand in
-// requests a second.
+// Observe records the number of arrivals in an interval and returns the smoothed
+// demand in requests per second.
 func (m *Meter) Observe(arrivals int, interval time.Duration) float64 {
-	latest := float64(arrivals) / interval.Seconds()
-	m.demand += smoothing * (latest - m.demand)
-	if m.demand < idleDemand {
+	current := float64(arrivals) / interval.Seconds()
+	m.demand += smoothingWeight * (current - m.demand)
+	if m.demand < minDemand {
 		m.demand = 0
 	}
 	return m.demand
 }
 
-// idleDemand is the demand below which a node counts as having none.
-const idleDemand = 0.05
+// minDemand is the demand, in requests per second, below which a node counts as
+// having none.
+const minDemand = 0.05
--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -11,8 +11,9 @@
 
 var start = time.Unix(1000, 0)
 
-// TestSharesAddUpToTheRate lets any nodes report any demands twice: the second
-// round of shares adds up to the rate, and none is below what is fair.
+// Nodes with random demands report twice. The shares of the second round add up
+// to the rate, and no share is below the node's demand or, under overload, below
+// its proportional part of the rate.
 func TestSharesAddUpToTheRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(1, 1000).Draw(t, "rate")
@@ -42,16 +43,16 @@
 	return sum
 }
 
-func TestLoneNodeGetsTheWholeRateAndGivesItBackAtOnce(t *testing.T) {
+func TestSoleNodeGetsTheWholeRateUntilAnotherReports(t *testing.T) {
 	ledger := NewLedger()
 	require.InDelta(t, 100, ledger.Report(start, "a", 10, 100), 1e-9)
 	require.InDelta(t, 90, ledger.Report(start, "b", 90, 100), 1e-9)
 	require.InDelta(t, 10, ledger.Report(start, "a", 10, 100), 1e-9)
-	require.InDelta(t, 100, ledger.Report(start.Add(Lifetime), "a", 10, 100), 1e-9, "the report of b is stale")
-	require.Equal(t, 1, ledger.Active())
+	require.InDelta(t, 100, ledger.Report(start.Add(Lifetime), "a", 10, 100), 1e-9, "the report of b has expired")
+	require.Equal(t, 1, ledger.ActiveNodes())
 }
 
-func TestMeterFollowsDemandAndFallsSilent(t *testing.T) {
+func TestMeterFollowsDemandAndDropsToZeroWhenIdle(t *testing.T) {
 	var meter Meter
 	for range 10 {
 		meter.Observe(50, Interval)
