--- a/internal/locality/locality.go
+++ b/internal/locality/locality.go
@@ -1,5 +1,5 @@
-// Package locality tells in which region a zone lies and in which regions work may be
-// served. The package is pure.
+// Package locality maps zones to regions and represents the set of regions in which work
+// may be served. It does no I/O.
 package locality
 
 import (
@@ -8,74 +8,76 @@
 	"strings"
 )
 
-// Topology maps zones to regions. The zero value knows no zone.
+// Topology maps the zones of a deployment to regions. The zero value has no zones.
 type Topology struct {
 	regionOf map[string]string
 }
 
-// NewTopology returns the topology of a deployment: the region of each zone.
+// NewTopology returns the topology with the given region of each zone. It copies the map.
 func NewTopology(regionOf map[string]string) Topology {
 	return Topology{regionOf: maps.Clone(regionOf)}
 }
 
-// Region returns the region of a zone, empty if the zone is not known.
+// Region returns the region of a zone, or "" if the zone is unknown.
 func (t Topology) Region(zone string) string { return t.regionOf[zone] }
 
-// Regions returns all regions, ordered.
+// Regions returns the names of all regions, sorted and without duplicates.
 func (t Topology) Regions() []string {
 	return slices.Compact(slices.Sorted(maps.Values(t.regionOf)))
 }
 
-// Zones returns all zones, ordered.
+// Zones returns the names of all zones, sorted.
 func (t Topology) Zones() []string { return slices.Sorted(maps.Keys(t.regionOf)) }
 
-// Regions are the regions in which work may be served. The zero value allows all.
+// Regions is the set of regions in which work may be served. The zero value allows all
+// regions. A value never changes.
 type Regions struct {
-	bound bool
-	names []string
+	restricted bool
+	names      []string // sorted, without duplicates; empty unless restricted
 }
 
-// Only returns the regions named. No name at all allows every region: an operator who
-// names none sets no bound.
+// Only returns the set of the named regions. Without names it allows every region: an
+// operator who names none sets no restriction.
 func Only(names ...string) Regions {
 	if len(names) == 0 {
 		return Regions{}
 	}
-	return Regions{bound: true, names: slices.Compact(slices.Sorted(slices.Values(names)))}
+	return Regions{restricted: true, names: slices.Compact(slices.Sorted(slices.Values(names)))}
 }
 
-// Bound reports whether any region is ruled out.
-func (r Regions) Bound() bool { return r.bound }
+// Bound reports whether the set is restricted to the regions of Names.
+func (r Regions) Bound() bool { return r.restricted }
 
-// Allow reports whether work may be served in a region. A region that is not known, by
-// its empty name, is allowed only where none is ruled out.
+// Allow reports whether work may be served in a region. The empty name, which stands for
+// an unknown region, is allowed only if the set is not restricted.
 func (r Regions) Allow(region string) bool {
-	return !r.bound || region != "" && slices.Contains(r.names, region)
+	return !r.restricted || region != "" && slices.Contains(r.names, region)
 }
 
-// And returns the regions that both sets allow, which may be none.
+// And returns the intersection of two sets. It may allow no region at all.
 func (r Regions) And(other Regions) Regions {
 	switch {
-	case !r.bound:
+	case !r.restricted:
 		return other
-	case !other.bound:
+	case !other.restricted:
 		return r
 	}
-	both := Regions{bound: true}
+	intersection := Regions{restricted: true}
 	for _, name := range r.names {
 		if other.Allow(name) {
-			both.names = append(both.names, name)
+			intersection.names = append(intersection.names, name)
 		}
 	}
-	return both
+	return intersection
 }
 
-// Names returns the regions allowed, ordered; none where all are.
+// Names returns the allowed regions, sorted. It is empty if the set is not restricted.
 func (r Regions) Names() []string { return slices.Clone(r.names) }
 
-// String implements fmt.Stringer.
+// String returns the allowed regions for logs and reports, for example "[north south]", or
+// "any region".
 func (r Regions) String() string {
-	if !r.bound {
+	if !r.restricted {
 		return "any region"
 	}
 	return "[" + strings.Join(r.names, " ") + "]"
--- a/internal/locality/locality_test.go
+++ b/internal/locality/locality_test.go
@@ -7,10 +7,10 @@
 	"pgregory.net/rapid"
 )
 
-func TestBothSetsBind(t *testing.T) {
-	require.True(t, Only().Allow("north"), "nothing named, nothing ruled out")
+func TestIntersectionKeepsRestrictions(t *testing.T) {
+	require.True(t, Only().Allow("north"), "no names mean no restriction")
 	require.True(t, Regions{}.Allow(""))
-	require.False(t, Only("north").Allow(""), "a zone that nobody knows lies in no region")
+	require.False(t, Only("north").Allow(""), "the region of an unknown zone is not allowed")
 	require.Equal(t, Only("north"), Only("south", "north").And(Only("north", "west")))
 	none := Only("north").And(Only("south"))
 	require.True(t, none.Bound())
@@ -19,7 +19,7 @@
 	require.Equal(t, "any region", Regions{}.String())
 }
 
-func TestAndAllowsWhatBothAllow(t *testing.T) {
+func TestIntersectionAllowsWhatBothSetsAllow(t *testing.T) {
 	names := rapid.SliceOf(rapid.SampledFrom([]string{"a", "b", "c", "d"}))
 	rapid.Check(t, func(t *rapid.T) {
 		first, second := Only(names.Draw(t, "first")...), Only(names.Draw(t, "second")...)
@@ -30,7 +30,7 @@
 	})
 }
 
-func TestTopologyKnowsZonesAndRegions(t *testing.T) {
+func TestTopologyListsZonesAndRegions(t *testing.T) {
 	topology := NewTopology(map[string]string{"n1": "north", "n2": "north", "s1": "south"})
 	require.Equal(t, "north", topology.Region("n2"))
 	require.Empty(t, topology.Region("elsewhere"))
--- a/internal/platformsim/mutants_test.go
+++ b/internal/platformsim/mutants_test.go
@@ -107,8 +107,8 @@
 	{Promise: "FAILBACK: nodes share what a cold back end bears", Test: "TestNodesShareWhatAColdEndpointBears", Package: "./internal/routing", Edits: []mutation.Edit{
 		mutation.Replace("internal/routing/cold_share.go", "owners := min(len(nodes), requests)", "owners := min(1, requests)\n\tbefore = 0"),
 	}},
-	{Promise: "FAILBACK: a former executor's requests count", Test: "TestNoSecondIsOverTheBoundUnderATakeover", Package: "./internal/warmup", Edits: []mutation.Edit{
-		mutation.Replace("internal/warmup/budget.go", "senders = 2", "senders = 1"),
+	{Promise: "FAILBACK: a former executor's requests count", Test: "TestTwoSendersStayWithinTheLimitDuringATakeover", Package: "./internal/warmup", Edits: []mutation.Edit{
+		mutation.Replace("internal/warmup/budget.go", "maxSenders = 2", "maxSenders = 1"),
 	}},
 	{Promise: "BUDGET: a request that is held goes nowhere", Test: "TestRequestThatCrashesItsSamplersIsHeldBack", Edits: []mutation.Edit{
 		mutation.Replace("internal/quarantine/guard.go", "\tcase Held:\n\t\treturn nil, g.refuse(digest, time.Until(until))\n", "\tcase Held:\n\t\t_ = until\n"),
--- a/internal/warmup/budget.go
+++ b/internal/warmup/budget.go
@@ -6,108 +6,115 @@
 )
 
 const (
-	// window is the second of the bound.
+	// window is the length of the sliding window in which requests are counted.
 	window = time.Second
-	// senders is the number of nodes that may send without knowing of each other: two, an
-	// executor and the one that took over from it.
-	senders = 2
+	// maxSenders is the number of nodes that may send to a sampler without knowing of each
+	// other: a former executor and the one that took over from it.
+	maxSenders = 2
 )
 
-// Unlimited is the room of a sampler without a bound.
+// Unlimited is the number of requests that a sampler without limits may be sent.
 const Unlimited = math.MaxInt
 
-// Limits are what the samplers of one service bear. The zero value means that they are
-// never cold.
+// Limits are the limits of one sender for the samplers of one service. The zero value
+// means that the samplers are never cold and have no limits.
 type Limits struct {
-	// ColdFor is how long a sampler is cold from its start on.
+	// ColdFor is how long a sampler is cold after its start.
 	ColdFor time.Duration
-	// Cold is the number of requests that one sender gives a cold sampler in any second,
-	// Warm the number that it gives any other, which may have become cold unnoticed. Either
-	// may be 0.
+	// Cold is the maximum number of requests in any second to a cold sampler. It may be 0.
 	Cold int
+	// Warm is the maximum number of requests in any second to any other sampler, which may
+	// have restarted without this node having noticed. It may be 0.
 	Warm int
 }
 
-// NewLimits returns the limits of a service whose cold samplers bear so many requests a
-// second for so long, of which all senders together may exceed over times as many and
-// slack more.
-func NewLimits(coldFor time.Duration, perSecond, over, slack float64) Limits {
-	if coldFor <= 0 || perSecond <= 0 || over <= 0 {
+// NewLimits returns the limits of a service whose samplers are cold for coldFor after a
+// start and can then handle perSecond requests per second. All senders together may send a
+// cold sampler perSecond*overFactor+slack requests in any second. Each sender gets an equal
+// share, and no more than perSecond for a sampler known to be cold. The limits are at least one request per second. A coldFor, perSecond or
+// overFactor of 0 or less gives the zero Limits.
+func NewLimits(coldFor time.Duration, perSecond, overFactor, slack float64) Limits {
+	if coldFor <= 0 || perSecond <= 0 || overFactor <= 0 {
 		return Limits{}
 	}
-	share := (perSecond*over + slack) / senders
+	share := (perSecond*overFactor + slack) / maxSenders
 	return Limits{ColdFor: coldFor, Cold: atLeastOne(min(perSecond, share)), Warm: atLeastOne(share)}
 }
 
 func atLeastOne(requests float64) int { return max(int(requests), 1) }
 
-// bounded reports whether there is anything to bound.
-func (l Limits) bounded() bool { return l.ColdFor > 0 }
+// limited reports whether samplers are ever cold, so that the limits apply.
+func (l Limits) limited() bool { return l.ColdFor > 0 }
 
-// Budget counts what one sender sends to one sampler. The zero value is that of a
-// sampler that is not cold. It is not safe for concurrent use.
+// Budget counts the requests that this node sends to one sampler against the limits of its
+// service. The zero value is the budget of a warm sampler without limits. It is not safe
+// for concurrent use.
 type Budget struct {
 	limits Limits
-	// coldUntil is when the sampler is warm.
+	// coldUntil is when the sampler becomes warm.
 	coldUntil time.Time
-	// told is what the sampler's entry said last.
-	told time.Duration
-	// sent holds when the requests of the last window were sent, in order.
+	// listedCold is the remaining cold time in the sampler's newest list entry.
+	listedCold time.Duration
+	// sent holds the times at which the requests in the window were sent, in order.
 	sent []time.Time
 }
 
-// SetLimits applies the service's limits.
+// SetLimits replaces the limits. Requests already counted stay counted.
 func (b *Budget) SetLimits(limits Limits) { b.limits = limits }
 
-// Told records how much longer the sampler says that it is cold. An entry that says the
-// same as before is taken for the one that is known already: the list is applied again
-// and again, and that must not keep the sampler cold.
-func (b *Budget) Told(coldFor time.Duration, now time.Time) {
-	if coldFor == b.told {
+// Told records the remaining cold time in the sampler's list entry; it never shortens the
+// cold time known so far. A value equal to the previous one is ignored: it belongs to the
+// same entry, which is applied repeatedly with the list, and must not keep the sampler cold.
+func (b *Budget) Told(remaining time.Duration, now time.Time) {
+	if remaining == b.listedCold {
 		return
 	}
-	b.told = coldFor
-	b.coldAtLeast(coldFor, now)
+	b.listedCold = remaining
+	b.extendCold(remaining, now)
 }
 
-// Doubt records that the sampler may have started anew: it is new to this node while
-// there is traffic, or it did not answer. It counts as cold for as long as after a start.
-func (b *Budget) Doubt(now time.Time) { b.coldAtLeast(b.limits.ColdFor, now) }
+// Doubt records that the sampler may have restarted, because it is new to this node while
+// there is traffic, or because it did not answer. It counts as cold for the time that
+// follows a start.
+func (b *Budget) Doubt(now time.Time) { b.extendCold(b.limits.ColdFor, now) }
 
-func (b *Budget) coldAtLeast(coldFor time.Duration, now time.Time) {
-	if until := now.Add(coldFor); coldFor > 0 && until.After(b.coldUntil) {
+// extendCold makes the sampler cold for at least a duration from now on.
+func (b *Budget) extendCold(remaining time.Duration, now time.Time) {
+	if until := now.Add(remaining); remaining > 0 && until.After(b.coldUntil) {
 		b.coldUntil = until
 	}
 }
 
-// Cold reports whether the sampler is cold, or may be.
-func (b *Budget) Cold(now time.Time) bool { return b.limits.bounded() && now.Before(b.coldUntil) }
+// Cold reports whether the sampler is cold or may be cold.
+func (b *Budget) Cold(now time.Time) bool { return b.limits.limited() && now.Before(b.coldUntil) }
 
-// Sent records a request. It counts whatever becomes of it.
+// Sent records a request sent to the sampler. It counts regardless of its outcome.
 func (b *Budget) Sent(now time.Time) {
-	if !b.limits.bounded() {
+	if !b.limits.limited() {
 		return
 	}
-	b.forget(now)
+	b.dropExpired(now)
 	b.sent = append(b.sent, now)
 }
 
-// Room is the number of requests that may be sent now.
+// Room returns the number of requests that may be sent now, Unlimited if the limits are
+// zero.
 func (b *Budget) Room(now time.Time) int {
-	if !b.limits.bounded() {
+	if !b.limits.limited() {
 		return Unlimited
 	}
-	b.forget(now)
+	b.dropExpired(now)
 	return max(b.limit(now)-len(b.sent), 0)
 }
 
-// Spent is the number of requests of the last second.
+// Spent returns the number of requests sent in the last second.
 func (b *Budget) Spent(now time.Time) int {
-	b.forget(now)
+	b.dropExpired(now)
 	return len(b.sent)
 }
 
-// Next is when there is room again; now if there is.
+// Next returns the earliest time at which a request may be sent; now if one may be sent
+// at once.
 func (b *Budget) Next(now time.Time) time.Time {
 	if b.Room(now) > 0 {
 		return now
@@ -119,6 +126,7 @@
 	return b.sent[len(b.sent)-limit].Add(window)
 }
 
+// limit returns the number of requests allowed in a window at the time now.
 func (b *Budget) limit(now time.Time) int {
 	if b.Cold(now) {
 		return b.limits.Cold
@@ -126,12 +134,12 @@
 	return b.limits.Warm
 }
 
-// forget drops what was sent longer than a window ago. A clock that steps back keeps
-// requests in the window for longer, never for less.
-func (b *Budget) forget(now time.Time) {
-	old := 0
-	for old < len(b.sent) && now.Sub(b.sent[old]) > window {
-		old++
+// dropExpired removes the requests that have left the window. If the clock steps back,
+// requests stay in the window longer, never shorter.
+func (b *Budget) dropExpired(now time.Time) {
+	expired := 0
+	for expired < len(b.sent) && now.Sub(b.sent[expired]) > window {
+		expired++
 	}
-	b.sent = append(b.sent[:0], b.sent[old:]...)
+	b.sent = append(b.sent[:0], b.sent[expired:]...)
 }
--- a/internal/warmup/budget_test.go
+++ b/internal/warmup/budget_test.go
@@ -8,21 +8,23 @@
 	"pgregory.net/rapid"
 )
 
-var began = time.Unix(1_000_000, 0)
+var start = time.Unix(1_000_000, 0)
 
-// executors may send without knowing of each other.
+// executors is the number of executors that send without knowing of each other. It does not
+// refer to maxSenders, so that a wrong value there fails the test.
 const executors = 2
 
-// arrival is a request at a sampler, by the sampler's own time.
+// arrival is a request that reached a sampler, with the time since the start of the test
+// and whether the sampler was cold then.
 type arrival struct {
 	at   time.Duration
 	cold bool
 }
 
-// mostWhileCold returns the most requests that a second which slides held of those that
-// arrived while the sampler was cold.
-func mostWhileCold(arrivals []arrival) int {
-	most := 0
+// maxPerSecondWhileCold returns the maximum number of requests in any second, counting
+// only those that arrived while the sampler was cold.
+func maxPerSecondWhileCold(arrivals []arrival) int {
+	highest := 0
 	for i, first := range arrivals {
 		count := 0
 		for _, later := range arrivals[i:] {
@@ -30,43 +32,44 @@
 				count++
 			}
 		}
-		most = max(most, count)
+		highest = max(highest, count)
 	}
-	return most
+	return highest
 }
 
-// Two executors send as much as their budgets let them, the second from any moment on;
-// the sampler becomes cold at any moment, told of it late, never or twice, and the clock
-// of the second goes on from another time of day.
-func TestNoSecondIsOverTheBoundUnderATakeover(t *testing.T) {
+// Two executors send as much as their budgets allow, the second one from a random time on
+// and with a clock that differs by up to 1000 h. The sampler becomes cold at random times,
+// which the executors learn late, repeatedly or never. Counted together, the requests of
+// the two in any second must stay within the limit while the sampler is cold.
+func TestTwoSendersStayWithinTheLimitDuringATakeover(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		perSecond := rapid.Float64Range(1, 12).Draw(t, "per second")
-		over := rapid.Float64Range(1, 2).Draw(t, "over")
+		overFactor := rapid.Float64Range(1, 2).Draw(t, "over")
 		slack := rapid.Float64Range(1, 6).Draw(t, "slack")
-		limits := NewLimits(3*time.Second, perSecond, over, slack)
+		limits := NewLimits(3*time.Second, perSecond, overFactor, slack)
 		var budgets [executors]Budget
 		for i := range budgets {
 			budgets[i].SetLimits(limits)
 		}
 		starts := [executors]time.Duration{0, time.Duration(rapid.IntRange(0, 6000).Draw(t, "takeover")) * time.Millisecond}
-		offsets := [executors]time.Duration{0, time.Duration(rapid.IntRange(-1000, 1000).Draw(t, "clock")) * time.Hour}
+		offsets := [executors]time.Duration{0, time.Duration(rapid.IntRange(-1000, 1000).Draw(t, "clock offset")) * time.Hour}
 		var arrivals []arrival
 		var coldUntil time.Duration
 		at := time.Duration(0)
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			at += time.Duration(rapid.IntRange(0, 300).Draw(t, "pause")) * time.Millisecond
-			switch rapid.IntRange(0, 5).Draw(t, "what") {
+			switch rapid.IntRange(0, 5).Draw(t, "action") {
 			case 0:
 				coldUntil = at + limits.ColdFor
 			case 1:
-				told := time.Duration(rapid.IntRange(0, 3000).Draw(t, "told")) * time.Millisecond
-				which := rapid.IntRange(0, executors-1).Draw(t, "told to")
-				budgets[which].Told(told, began.Add(at+offsets[which]))
+				remaining := time.Duration(rapid.IntRange(0, 3000).Draw(t, "remaining")) * time.Millisecond
+				informed := rapid.IntRange(0, executors-1).Draw(t, "informed")
+				budgets[informed].Told(remaining, start.Add(at+offsets[informed]))
 			case 2:
-				budgets[0].Doubt(began.Add(at + offsets[0]))
+				budgets[0].Doubt(start.Add(at + offsets[0]))
 			default:
 				for i := range budgets {
-					now := began.Add(at + offsets[i])
+					now := start.Add(at + offsets[i])
 					for starts[i] <= at && budgets[i].Room(now) > 0 {
 						budgets[i].Sent(now)
 						arrivals = append(arrivals, arrival{at: at, cold: at < coldUntil})
@@ -74,16 +77,17 @@
 				}
 			}
 		}
-		require.LessOrEqual(t, float64(mostWhileCold(arrivals)), perSecond*over+slack)
+		require.LessOrEqual(t, float64(maxPerSecondWhileCold(arrivals)), perSecond*overFactor+slack)
 	})
 }
 
-// One sender whose clock steps back and forth never sends more in a second than it may.
-func TestStepsOfTheClockDoNotAddToTheBudget(t *testing.T) {
+// The clock of one sender steps back at random: it must not send more than its limit in any
+// second of elapsed time.
+func TestClockStepsDoNotIncreaseTheBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var b Budget
-		b.SetLimits(Limits{ColdFor: time.Second, Cold: 3, Warm: 5})
-		now := began
+		var budget Budget
+		budget.SetLimits(Limits{ColdFor: time.Second, Cold: 3, Warm: 5})
+		now := start
 		var arrivals []arrival
 		at := time.Duration(0)
 		for range 60 {
@@ -93,63 +97,65 @@
 			if rapid.IntRange(0, 9).Draw(t, "step back") == 0 {
 				now = now.Add(-time.Duration(rapid.IntRange(0, 5000).Draw(t, "by")) * time.Millisecond)
 			}
-			for b.Room(now) > 0 {
-				b.Sent(now)
+			for budget.Room(now) > 0 {
+				budget.Sent(now)
 				arrivals = append(arrivals, arrival{at: at, cold: true})
 			}
 		}
-		require.LessOrEqual(t, mostWhileCold(arrivals), 5)
+		require.LessOrEqual(t, maxPerSecondWhileCold(arrivals), 5)
 	})
 }
 
-func TestSendersShareTheBound(t *testing.T) {
+func TestSendersShareTheLimit(t *testing.T) {
 	limits := NewLimits(3*time.Second, 7.8, 1.5, 5)
 	require.Equal(t, Limits{ColdFor: 3 * time.Second, Cold: 7, Warm: 8}, limits)
 }
 
-func TestServiceThatIsNeverColdHasNoBound(t *testing.T) {
-	var b Budget
-	b.SetLimits(NewLimits(0, 0, 1.5, 5))
-	b.Doubt(began)
-	b.Sent(began)
-	require.Equal(t, Unlimited, b.Room(began))
-	require.False(t, b.Cold(began))
+func TestServiceThatIsNeverColdHasNoLimit(t *testing.T) {
+	var budget Budget
+	budget.SetLimits(NewLimits(0, 0, 1.5, 5))
+	budget.Doubt(start)
+	budget.Sent(start)
+	require.Equal(t, Unlimited, budget.Room(start))
+	require.False(t, budget.Cold(start))
 }
 
-func TestSameEntryDoesNotProlongTheCold(t *testing.T) {
-	var b Budget
-	b.SetLimits(Limits{ColdFor: 3 * time.Second, Cold: 3, Warm: 5})
-	b.Told(2*time.Second, began)
-	b.Told(2*time.Second, began.Add(time.Second))
-	require.True(t, b.Cold(began.Add(1900*time.Millisecond)))
-	require.False(t, b.Cold(began.Add(2*time.Second)))
+// A list entry that is applied twice with the same remaining time does not restart it.
+func TestRepeatedEntryDoesNotProlongColdTime(t *testing.T) {
+	var budget Budget
+	budget.SetLimits(Limits{ColdFor: 3 * time.Second, Cold: 3, Warm: 5})
+	budget.Told(2*time.Second, start)
+	budget.Told(2*time.Second, start.Add(time.Second))
+	require.True(t, budget.Cold(start.Add(1900*time.Millisecond)))
+	require.False(t, budget.Cold(start.Add(2*time.Second)))
 }
 
-func TestEntryThatIsLateDoesNotEndTheCold(t *testing.T) {
-	var b Budget
-	b.SetLimits(Limits{ColdFor: 3 * time.Second, Cold: 3, Warm: 5})
-	b.Doubt(began)
-	b.Told(time.Second, began)
-	b.Told(0, began)
-	require.True(t, b.Cold(began.Add(2900*time.Millisecond)))
+// A list entry from before a suspected restart does not end the cold time assumed for it.
+func TestStaleEntryDoesNotShortenColdTime(t *testing.T) {
+	var budget Budget
+	budget.SetLimits(Limits{ColdFor: 3 * time.Second, Cold: 3, Warm: 5})
+	budget.Doubt(start)
+	budget.Told(time.Second, start)
+	budget.Told(0, start)
+	require.True(t, budget.Cold(start.Add(2900*time.Millisecond)))
 }
 
 func TestSamplerBecomesColdAgain(t *testing.T) {
-	var b Budget
-	b.SetLimits(Limits{ColdFor: 3 * time.Second, Cold: 3, Warm: 5})
-	b.Told(time.Second, began)
-	b.Told(0, began.Add(2*time.Second))
-	b.Told(time.Second, began.Add(4*time.Second))
-	require.True(t, b.Cold(began.Add(4500*time.Millisecond)))
+	var budget Budget
+	budget.SetLimits(Limits{ColdFor: 3 * time.Second, Cold: 3, Warm: 5})
+	budget.Told(time.Second, start)
+	budget.Told(0, start.Add(2*time.Second))
+	budget.Told(time.Second, start.Add(4*time.Second))
+	require.True(t, budget.Cold(start.Add(4500*time.Millisecond)))
 }
 
-func TestNextIsWhenTheWindowHasRoom(t *testing.T) {
-	var b Budget
-	b.SetLimits(Limits{ColdFor: 3 * time.Second, Cold: 2, Warm: 2})
-	require.Equal(t, began, b.Next(began))
-	b.Sent(began)
-	b.Sent(began.Add(300 * time.Millisecond))
-	later := began.Add(400 * time.Millisecond)
-	require.Zero(t, b.Room(later))
-	require.Equal(t, began.Add(window), b.Next(later))
+func TestNextIsWhenTheWindowAllowsARequest(t *testing.T) {
+	var budget Budget
+	budget.SetLimits(Limits{ColdFor: 3 * time.Second, Cold: 2, Warm: 2})
+	require.Equal(t, start, budget.Next(start))
+	budget.Sent(start)
+	budget.Sent(start.Add(300 * time.Millisecond))
+	later := start.Add(400 * time.Millisecond)
+	require.Zero(t, budget.Room(later))
+	require.Equal(t, start.Add(window), budget.Next(later))
 }
