--- a/internal/evacuation/evacuation.go
+++ b/internal/evacuation/evacuation.go
@@ -1,7 +1,7 @@
-// Package evacuation holds which zones are evacuated. Nothing may be sent to the
-// samplers and back ends of such a zone, from whichever source that was asked; what
-// runs there ends as it would. The package is pure: callers pass the time and hold the
-// newest Zones.
+// Package evacuation keeps the set of evacuated zones. No new work may be sent to the
+// samplers and back ends of an evacuated zone, whichever source requested the evacuation;
+// work that already runs there continues to its end. The package does no I/O and reads no
+// clock: callers pass the time and keep the current Zones.
 package evacuation
 
 import (
@@ -10,77 +10,78 @@
 	"time"
 )
 
-// Source names who asked for an evacuation.
+// Source identifies who requests an evacuation.
 type Source string
 
-// SourceOperator is the operator's record in the platform's store.
+// SourceOperator is the operator, whose request is a record in the platform's store.
 const SourceOperator Source = "operator"
 
-// Zone is a zone that one source wants evacuated.
+// Zone is the request of one source to evacuate a zone.
 type Zone struct {
 	Name   string
 	Source Source
-	// Since is when this process learned of it.
+	// Since is when this process learned of the request.
 	Since time.Time
 }
 
-// Zones are the evacuated zones at a moment, ordered by name and source. The zero
-// value is none. A value never changes, so that it may be shared.
+// Zones is an immutable snapshot of the evacuated zones. The zero value has none. It is
+// safe for concurrent use.
 type Zones struct {
-	zones []Zone
+	requests []Zone // ordered by name, then by source
 }
 
-// Changes tell what a source's word changed.
+// Changes lists the zones whose state differs between two snapshots.
 type Changes struct {
-	// Evacuated are zones that no source wanted evacuated before, TakenBack those that
-	// none does any more.
+	// Evacuated are the requests for zones that no source had requested before, TakenBack
+	// the former requests for zones that no source requests any more.
 	Evacuated, TakenBack []Zone
 }
 
-// Take returns the zones after a source named all those that it wants evacuated. Zones
-// that it named before keep their time.
+// Take returns a snapshot in which the requests of one source are replaced by names, and
+// the changes that this makes. Zones that the source requested before keep their Since.
 func (z Zones) Take(source Source, names []string, now time.Time) (Zones, Changes) {
 	var next Zones
-	for _, known := range z.zones {
-		if known.Source != source || slices.Contains(names, known.Name) {
-			next.zones = append(next.zones, known)
+	for _, request := range z.requests {
+		if request.Source != source || slices.Contains(names, request.Name) {
+			next.requests = append(next.requests, request)
 		}
 	}
 	for _, name := range names {
-		if !next.names(name, source) {
-			next.zones = append(next.zones, Zone{Name: name, Source: source, Since: now})
+		if !next.requestedBy(name, source) {
+			next.requests = append(next.requests, Zone{Name: name, Source: source, Since: now})
 		}
 	}
-	slices.SortFunc(next.zones, func(a, b Zone) int {
+	slices.SortFunc(next.requests, func(a, b Zone) int {
 		return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Source, b.Source))
 	})
-	return next, Changes{Evacuated: next.without(z), TakenBack: z.without(next)}
+	return next, Changes{Evacuated: next.notIn(z), TakenBack: z.notIn(next)}
 }
 
-func (z Zones) names(name string, source Source) bool {
-	return slices.ContainsFunc(z.zones, func(zone Zone) bool { return zone.Name == name && zone.Source == source })
+// requestedBy reports whether a source requests the evacuation of a zone.
+func (z Zones) requestedBy(name string, source Source) bool {
+	return slices.ContainsFunc(z.requests, func(zone Zone) bool { return zone.Name == name && zone.Source == source })
 }
 
-// without returns the zones that are not evacuated in another list.
-func (z Zones) without(other Zones) []Zone {
-	var found []Zone
-	for _, zone := range z.zones {
+// notIn returns the requests for zones that are not evacuated in another snapshot.
+func (z Zones) notIn(other Zones) []Zone {
+	var missing []Zone
+	for _, zone := range z.requests {
 		if !other.Has(zone.Name) {
-			found = append(found, zone)
+			missing = append(missing, zone)
 		}
 	}
-	return found
+	return missing
 }
 
-// Has reports whether a zone is evacuated.
+// Has reports whether any source requests the evacuation of a zone.
 func (z Zones) Has(name string) bool {
-	return slices.ContainsFunc(z.zones, func(zone Zone) bool { return zone.Name == name })
+	return slices.ContainsFunc(z.requests, func(zone Zone) bool { return zone.Name == name })
 }
 
-// Names lists the evacuated zones, ordered.
+// Names returns the names of the evacuated zones, sorted and without duplicates.
 func (z Zones) Names() []string {
-	names := make([]string, 0, len(z.zones))
-	for _, zone := range z.zones {
+	names := make([]string, 0, len(z.requests))
+	for _, zone := range z.requests {
 		names = append(names, zone.Name)
 	}
 	return slices.Compact(names)
--- a/internal/roundtrip/estimator.go
+++ b/internal/roundtrip/estimator.go
@@ -1,6 +1,6 @@
-// Package roundtrip estimates how long a service far or near takes to answer, from the
-// answers themselves, so that time-outs and hedges fit the way to it. It decides
-// nothing and reads no clock.
+// Package roundtrip estimates the round-trip time of calls to a service from its answers,
+// so that time-outs and hedging delays fit the distance to the service. It only estimates:
+// it sets no timers and reads no clock.
 package roundtrip
 
 import (
@@ -9,130 +9,136 @@
 )
 
 const (
-	// meanWeight is the share of a new sample in the smoothed round trip,
-	// deviationWeight that in its deviation (RFC 6298, section 2).
-	meanWeight      = 1.0 / 8
+	// meanWeight is the weight of a new sample in the smoothed round-trip time (alpha in
+	// RFC 6298, section 2).
+	meanWeight = 1.0 / 8
+	// deviationWeight is the weight of a new sample in the mean deviation (beta in RFC
+	// 6298, section 2).
 	deviationWeight = 1.0 / 4
-	// deviations is how many deviations a time-out lies above the smoothed round trip
-	// (RFC 6298).
-	deviations = 4
-	// Granularity is the least distance between the two: the processor may be shared out
-	// in slices of a tenth of a second, of which a process with a share of 0.2 waits 80 ms
-	// (chosen; the RFC's G).
+	// deviationFactor is the number of mean deviations between the smoothed round-trip time
+	// and the time-out (K in RFC 6298, section 2).
+	deviationFactor = 4
+	// Granularity is the minimum difference between the smoothed round-trip time and the
+	// time-out (G in RFC 6298). CPU quotas may be enforced in periods of 100 ms: a process
+	// limited to 0.2 of a CPU is then throttled for 80 ms of each period.
 	Granularity = 80 * time.Millisecond
-	// backoffFactor lengthens the time-out with each lost call (RFC 6298, 5.5).
+	// backoffFactor multiplies the time-out for each lost call (RFC 6298, section 5.5).
 	backoffFactor = 2
 )
 
-// Bounds hold the time-out of an estimator, whatever was measured.
+// Bounds limit the time-out of an estimator, whatever the round-trip times are.
 type Bounds struct {
-	// Floor is the least time-out. It is also that of a service next door, from which
-	// Beyond counts.
+	// Floor is the minimum time-out. It is also the time-out for a nearby service, relative
+	// to which Beyond is counted.
 	Floor time.Duration
-	// Ceiling is the greatest.
+	// Ceiling is the maximum time-out.
 	Ceiling time.Duration
 }
 
-// Estimator estimates the round trips of calls of one kind to one destination, as TCP
-// does for its segments. Each call has an answer of its own, so that the answer to a
-// repeated call is never taken for that to another (Karn's rule); what was given up has
-// no sample. A call that the service holds on purpose must not be observed. It is safe
-// for concurrent use.
+// Estimator estimates the round-trip time of calls of one kind to one destination with the
+// algorithm that TCP uses for its retransmission time-out (RFC 6298). Every call has its own
+// answer, so the answer to one call is never attributed to a repetition of it (Karn's
+// algorithm). Abandoned calls give no sample. Calls that the service holds open on purpose
+// must not be recorded. An Estimator is safe for concurrent use.
 type Estimator struct {
 	bounds Bounds
 
 	mutex     sync.Mutex
-	known     bool
+	hasSample bool
 	smoothed  time.Duration
 	deviation time.Duration
-	// backoff multiplies the time-out; it last grew at backedOffAt.
+	// backoff multiplies the time-out. It is 1 after an answer and last grew at backedOffAt.
 	backoff     time.Duration
 	backedOffAt time.Time
 	answeredAt  time.Time
 }
 
-// Estimate is what an estimator tells.
+// Estimate is the state of an estimator at one time.
 type Estimate struct {
-	// Smoothed is the round trip, 0 before the first answer; Deviation is its mean
-	// deviation.
-	Smoothed  time.Duration
+	// Smoothed is the smoothed round-trip time, 0 before the first answer.
+	Smoothed time.Duration
+	// Deviation is the mean deviation of the round-trip time, 0 before the first answer.
 	Deviation time.Duration
-	// Timeout is after how long an answer counts as lost.
+	// Timeout is the time after which an answer counts as lost.
 	Timeout time.Duration
 }
 
-// New returns an estimator that knows nothing: its time-out is the floor.
+// New returns an estimator without samples. Its time-out is the minimum of the bounds, or
+// Granularity if that is longer.
 func New(bounds Bounds) *Estimator {
 	return &Estimator{bounds: bounds, backoff: 1}
 }
 
-// Answered records an answer that came at a time, so long after its call.
-func (e *Estimator) Answered(took time.Duration, now time.Time) {
+// Answered records an answer that arrived at the time now, with the round-trip time of its
+// call. It resets the back-off.
+func (e *Estimator) Answered(roundTrip time.Duration, now time.Time) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if e.known {
-		e.deviation += time.Duration(deviationWeight * float64((e.smoothed-took).Abs()-e.deviation))
-		e.smoothed += time.Duration(meanWeight * float64(took-e.smoothed))
+	if e.hasSample {
+		e.deviation += time.Duration(deviationWeight * float64((e.smoothed-roundTrip).Abs()-e.deviation))
+		e.smoothed += time.Duration(meanWeight * float64(roundTrip-e.smoothed))
 	} else {
-		e.known, e.smoothed, e.deviation = true, took, took/2
+		e.hasSample, e.smoothed, e.deviation = true, roundTrip, roundTrip/2
 	}
 	e.backoff, e.answeredAt = 1, now
 }
 
-// Reached records that the service answered at a time, by a way whose length tells nothing.
+// Reached records that the service answered at the time now, over a path whose round-trip
+// time does not apply, such as through another node. It counts for AnsweredSince only.
 func (e *Estimator) Reached(now time.Time) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.answeredAt = now
 }
 
-// GivenUp records that a call was given up at a time, so long after it was sent. It was
-// lost if its answer was overdue. Calls that were under way together and are lost
-// together count once.
-func (e *Estimator) GivenUp(after time.Duration, now time.Time) {
+// GivenUp records that a call was abandoned at the time now, waited after it was sent. The
+// call counts as lost, and the time-out is backed off, if it waited for the time-out or
+// longer. Lost calls that were in flight at the same time back off once.
+func (e *Estimator) GivenUp(waited time.Duration, now time.Time) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	together := now.Add(-after).Before(e.backedOffAt)
-	if together || after < e.timeout() || e.timeout() >= e.bounds.Ceiling {
+	alreadyCounted := now.Add(-waited).Before(e.backedOffAt)
+	if alreadyCounted || waited < e.timeout() || e.timeout() >= e.bounds.Ceiling {
 		return
 	}
 	e.backoff *= backoffFactor
 	e.backedOffAt = now
 }
 
-// Read returns the estimate.
+// Read returns the current estimate.
 func (e *Estimator) Read() Estimate {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return Estimate{Smoothed: e.smoothed, Deviation: e.deviation, Timeout: e.timeout()}
 }
 
-// Beyond returns how much longer an answer may take than from a service next door. A
-// time-out that was chosen for such a service is lengthened by it. Losses do not count: a
-// service that is down may come back at any moment, and is no farther away then.
+// Beyond returns how much longer an answer may take than that of a nearby service. Callers
+// add it to a time-out that fits a nearby service. Lost calls do not increase it: a service
+// that is down may come back at any time, and is then no farther away.
 func (e *Estimator) Beyond() time.Duration {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return e.within(e.measured()) - e.bounds.Floor
+	return e.clamp(e.baseTimeout()) - e.bounds.Floor
 }
 
-// AnsweredSince reports whether an answer came since a time.
+// AnsweredSince reports whether the service has answered at or after a time.
 func (e *Estimator) AnsweredSince(since time.Time) bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return !e.answeredAt.IsZero() && !e.answeredAt.Before(since)
 }
 
-// timeout is called under the lock.
+// timeout returns the time-out with back-off. The caller holds the lock.
 func (e *Estimator) timeout() time.Duration {
-	return e.within(e.backoff * e.measured())
+	return e.clamp(e.backoff * e.baseTimeout())
 }
 
-// measured is the time-out by the answers alone. It is called under the lock.
-func (e *Estimator) measured() time.Duration {
-	return e.smoothed + max(Granularity, deviations*e.deviation)
+// baseTimeout returns the time-out without back-off and bounds. The caller holds the lock.
+func (e *Estimator) baseTimeout() time.Duration {
+	return e.smoothed + max(Granularity, deviationFactor*e.deviation)
 }
 
-func (e *Estimator) within(timeout time.Duration) time.Duration {
+// clamp limits a time-out to the bounds.
+func (e *Estimator) clamp(timeout time.Duration) time.Duration {
 	return min(max(timeout, e.bounds.Floor), e.bounds.Ceiling)
 }
--- a/internal/roundtrip/estimator_test.go
+++ b/internal/roundtrip/estimator_test.go
@@ -10,40 +10,42 @@
 
 var testBounds = Bounds{Floor: 100 * time.Millisecond, Ceiling: time.Second}
 
-// milliseconds draws a duration.
-func milliseconds(t *rapid.T, label string, least, most int) time.Duration {
-	return time.Duration(rapid.IntRange(least, most).Draw(t, label)) * time.Millisecond
+// drawMilliseconds draws a duration of minimum to maximum milliseconds.
+func drawMilliseconds(t *rapid.T, label string, minimum, maximum int) time.Duration {
+	return time.Duration(rapid.IntRange(minimum, maximum).Draw(t, label)) * time.Millisecond
 }
 
+// Whatever answers and abandoned calls are recorded, the time-out and the extra time
+// for distance stay within the bounds.
 func TestTimeoutStaysWithinItsBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		estimator := New(testBounds)
 		var now time.Time
 		for range rapid.IntRange(0, 80).Draw(t, "calls") {
 			if rapid.Bool().Draw(t, "answered") {
-				estimator.Answered(milliseconds(t, "took", 0, 100_000), now)
+				estimator.Answered(drawMilliseconds(t, "took", 0, 100_000), now)
 			} else {
 				now = now.Add(time.Minute)
-				estimator.GivenUp(milliseconds(t, "after", 0, 10_000), now)
+				estimator.GivenUp(drawMilliseconds(t, "after", 0, 10_000), now)
 			}
 			timeout := estimator.Read().Timeout
 			if timeout < testBounds.Floor || timeout > testBounds.Ceiling {
-				t.Fatalf("time-out of %v", timeout)
+				t.Fatalf("time-out %v is out of bounds", timeout)
 			}
 			if beyond := estimator.Beyond(); beyond < 0 || beyond > timeout-testBounds.Floor {
-				t.Fatalf("beyond is %v at a time-out of %v", beyond, timeout)
+				t.Fatalf("extra time is %v with a time-out of %v", beyond, timeout)
 			}
 		}
 	})
 }
 
-// A step of the delay, up or down, is followed: the time-out exceeds the new round trip
-// after a few answers, and lies near it after some tens.
-func TestTimeoutFollowsAStep(t *testing.T) {
-	const few, tens = 3, 60
+// The round-trip time changes abruptly, up or down. The time-out exceeds the new round-trip
+// time after 3 answers, and has converged to within 5 ms of its steady value after 60 more.
+func TestTimeoutFollowsAStepInRoundTripTime(t *testing.T) {
+	const few, many = 3, 60
 	rapid.Check(t, func(t *rapid.T) {
 		estimator := New(testBounds)
-		before, after := milliseconds(t, "before", 1, 500), milliseconds(t, "after", 1, 500)
+		before, after := drawMilliseconds(t, "before", 1, 500), drawMilliseconds(t, "after", 1, 500)
 		var now time.Time
 		for range rapid.IntRange(1, 100).Draw(t, "answers before") {
 			estimator.Answered(before, now)
@@ -52,27 +54,28 @@
 			estimator.Answered(after, now)
 		}
 		if timeout := estimator.Read().Timeout; timeout <= after {
-			t.Fatalf("%v after %d answers of %v", timeout, few, after)
+			t.Fatalf("time-out is %v after %d answers that took %v", timeout, few, after)
 		}
-		for range tens {
+		for range many {
 			estimator.Answered(after, now)
 		}
-		usual := max(after+Granularity, testBounds.Floor)
-		const near = 5 * time.Millisecond
-		if timeout := estimator.Read().Timeout; (timeout - usual).Abs() > near {
-			t.Fatalf("%v after %d answers of %v", timeout, few+tens, after)
+		steady := max(after+Granularity, testBounds.Floor)
+		const tolerance = 5 * time.Millisecond
+		if timeout := estimator.Read().Timeout; (timeout - steady).Abs() > tolerance {
+			t.Fatalf("time-out is %v after %d answers that took %v", timeout, few+many, after)
 		}
 	})
 }
 
-// However many calls were lost, the next answer brings the time-out back.
-func TestBurstOfLossesDoesNotFreeze(t *testing.T) {
+// However many calls are lost in a row, the time-out never shrinks meanwhile, the extra time for
+// distance is unchanged, and the next answer resets the back-off.
+func TestAnswerResetsTheBackoffAfterManyLosses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		estimator := New(testBounds)
-		usual := milliseconds(t, "usual", 1, 300)
+		roundTrip := drawMilliseconds(t, "round trip", 1, 300)
 		var now time.Time
 		for range 50 {
-			estimator.Answered(usual, now)
+			estimator.Answered(roundTrip, now)
 		}
 		before := estimator.Read().Timeout
 		beyond := estimator.Beyond()
@@ -81,17 +84,17 @@
 			now = now.Add(time.Minute)
 			estimator.GivenUp(2*time.Second, now)
 			if timeout := estimator.Read().Timeout; timeout < longest {
-				t.Fatalf("%v after %v", timeout, longest)
+				t.Fatalf("time-out shrank to %v from %v", timeout, longest)
 			} else {
 				longest = timeout
 			}
 		}
 		if estimator.Beyond() != beyond {
-			t.Fatalf("losses moved the service from %v to %v", beyond, estimator.Beyond())
+			t.Fatalf("losses changed the extra time from %v to %v", beyond, estimator.Beyond())
 		}
-		estimator.Answered(usual, now)
+		estimator.Answered(roundTrip, now)
 		if after := estimator.Read().Timeout; after > before {
-			t.Fatalf("%v before, %v after", before, after)
+			t.Fatalf("time-out was %v before the losses and is %v after the next answer", before, after)
 		}
 	})
 }
@@ -104,26 +107,27 @@
 	before := estimator.Read().Timeout
 	now := time.Unix(1000, 0)
 	estimator.GivenUp(before-1, now)
-	require.Equal(t, before, estimator.Read().Timeout, "it was not overdue")
+	require.Equal(t, before, estimator.Read().Timeout, "the answer was not overdue")
 	estimator.GivenUp(before, now)
 	require.Equal(t, 2*before, estimator.Read().Timeout)
 	estimator.GivenUp(time.Second, now.Add(time.Millisecond))
-	require.Equal(t, 2*before, estimator.Read().Timeout, "it was sent before the other was lost")
+	require.Equal(t, 2*before, estimator.Read().Timeout, "the call was in flight when the other one was lost")
 }
 
-func TestAnswersOfLateAreTold(t *testing.T) {
+func TestAnsweredSinceReportsRecentAnswers(t *testing.T) {
 	estimator := New(testBounds)
-	began := time.Unix(1000, 0)
-	require.False(t, estimator.AnsweredSince(time.Time{}), "none yet")
-	estimator.Answered(time.Millisecond, began)
-	require.True(t, estimator.AnsweredSince(began))
-	require.False(t, estimator.AnsweredSince(began.Add(1)))
+	start := time.Unix(1000, 0)
+	require.False(t, estimator.AnsweredSince(time.Time{}), "no answer yet")
+	estimator.Answered(time.Millisecond, start)
+	require.True(t, estimator.AnsweredSince(start))
+	require.False(t, estimator.AnsweredSince(start.Add(1)))
 }
 
-// A service next door that answers in 4 ms is what constants were chosen for.
-func TestNothingIsBeyondAServiceNextDoor(t *testing.T) {
+// Time-outs elsewhere are set for a service that answers in 4 ms: for such a service they must
+// not be lengthened.
+func TestBeyondIsZeroForANearbyService(t *testing.T) {
 	estimator := New(testBounds)
-	require.Zero(t, estimator.Beyond(), "nothing is known")
+	require.Zero(t, estimator.Beyond(), "no answer yet")
 	for range 20 {
 		estimator.Answered(4*time.Millisecond, time.Time{})
 		require.Zero(t, estimator.Beyond())
