--- a/internal/fanout/cache.go
+++ b/internal/fanout/cache.go
@@ -8,144 +8,154 @@
 	"github.com/pathbend/pathbend/internal/sharedlog"
 )
 
-// recentRecords is how many of the last records a reader keeps for those who are behind.
-// They come at some 100 a second while weights change, so it holds half a minute, longer
-// than a node that reads on is ever behind; one that is further behind begins anew (chosen).
-const recentRecords = 4096
-
-// Cache is what a reader holds of a keyed topic for others. It is safe for concurrent use.
+// maxRecentRecords is the number of recent records that a reader keeps for nodes that lag.
+// At the rate of about 100 records/s while weights change it covers more than half a minute,
+// longer than a node that reads continuously lags. A node that lags more starts again from
+// the newest records of all keys.
+const maxRecentRecords = 4096
+
+// Cache holds the records of a keyed topic that a reader serves to other nodes. It is safe
+// for concurrent use.
 type Cache struct {
 	groupOf func(sharedlog.KeyedRecord) string
 
 	mutex  sync.Mutex
-	newest map[string]grouped
-	// recent are the last records, in the order of the log; those before the offset since
-	// are gone. next is the offset after the last.
-	recent []grouped
-	since  uint64
-	next   uint64
-	// whole is set once every key was read.
-	whole bool
-	// changed is closed and replaced when there is more.
+	newest map[string]groupedRecord // by key
+	// recent holds the last records in the order of the log, from firstOffset on.
+	recent      []groupedRecord
+	firstOffset uint64
+	// nextOffset is the offset after the last record read.
+	nextOffset uint64
+	// complete is set once every key has been read.
+	complete bool
+	// changed is closed and replaced whenever the contents change.
 	changed chan struct{}
 }
 
-// grouped is a record with the groups of those who want it: its own, and the one that its
-// key had before, who have to learn that it left.
-type grouped struct {
+// groupedRecord is a record with its group and the previous group of its key: nodes that
+// want the previous group must learn that the key has left it.
+type groupedRecord struct {
 	sharedlog.KeyedRecord
-	group, before string
+	group, previousGroup string
 }
 
-func (g grouped) wanted(groups Groups) bool { return groups.Has(g.group) || groups.Has(g.before) }
+// wantedBy reports whether a node that wants the groups must get the record.
+func (g groupedRecord) wantedBy(groups Groups) bool {
+	return groups.Has(g.group) || groups.Has(g.previousGroup)
+}
 
-// NewCache returns an empty cache. groupOf names the group of a record, empty if it has none.
+// NewCache returns an empty cache. groupOf returns the group of a record, "" if it has none.
 func NewCache(groupOf func(sharedlog.KeyedRecord) string) *Cache {
-	return &Cache{groupOf: groupOf, newest: make(map[string]grouped), changed: make(chan struct{})}
+	return &Cache{groupOf: groupOf, newest: make(map[string]groupedRecord), changed: make(chan struct{})}
 }
 
-// Reset takes the newest record of every key, as of an offset.
+// Reset replaces the contents by the newest record of every key. next is the offset after
+// the last record that they reflect.
 func (c *Cache) Reset(records []sharedlog.KeyedRecord, next uint64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	clear(c.newest)
-	c.recent, c.since, c.next, c.whole = nil, next, next, true
+	c.recent, c.firstOffset, c.nextOffset, c.complete = nil, next, next, true
 	for _, record := range records {
-		c.keep(record)
+		c.store(record)
 	}
-	c.announce()
+	c.notify()
 }
 
-// Apply takes later records, up to an offset.
+// Apply adds later records, in the order of the log. next is the offset after the last
+// record read.
 func (c *Cache) Apply(records []sharedlog.KeyedRecord, next uint64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for _, record := range records {
-		c.recent = append(c.recent, c.keep(record))
+		c.recent = append(c.recent, c.store(record))
 	}
-	if surplus := len(c.recent) - recentRecords; surplus > 0 {
-		c.since = c.recent[surplus-1].Offset + 1
+	if surplus := len(c.recent) - maxRecentRecords; surplus > 0 {
+		c.firstOffset = c.recent[surplus-1].Offset + 1
 		c.recent = slices.Clone(c.recent[surplus:])
 	}
-	c.next = max(c.next, next)
-	c.announce()
+	c.nextOffset = max(c.nextOffset, next)
+	c.notify()
 }
 
-// Clear forgets everything: this node reads for nobody any more.
+// Clear removes the contents, once this node no longer reads for others.
 func (c *Cache) Clear() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if !c.whole {
+	if !c.complete {
 		return
 	}
 	clear(c.newest)
-	c.recent, c.whole = nil, false
-	c.announce()
+	c.recent, c.complete = nil, false
+	c.notify()
 }
 
-// keep notes the newest record of a key. It is called under the lock.
-func (c *Cache) keep(record sharedlog.KeyedRecord) grouped {
-	before := c.newest[record.Key].group
-	kept := grouped{KeyedRecord: record, group: c.groupOf(record), before: before}
+// store makes a record the newest of its key. A well-formed record without a value removes
+// its key. The caller holds the lock.
+func (c *Cache) store(record sharedlog.KeyedRecord) groupedRecord {
+	previousGroup := c.newest[record.Key].group
+	stored := groupedRecord{KeyedRecord: record, group: c.groupOf(record), previousGroup: previousGroup}
 	switch {
 	case record.Key == "":
 	case record.Malformed == "" && len(record.Value) == 0:
 		delete(c.newest, record.Key)
 	default:
-		c.newest[record.Key] = kept
+		c.newest[record.Key] = stored
 	}
-	return kept
+	return stored
 }
 
-func (c *Cache) announce() {
+// notify wakes all that wait for a change. The caller holds the lock.
+func (c *Cache) notify() {
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
-// Newest returns the newest records of the groups that are wanted, by key. It reports false
-// if not every key was read yet.
+// Newest returns the newest record of every key in the wanted groups, sorted by key. It
+// reports false if not every key has been read yet.
 func (c *Cache) Newest(groups Groups) (sharedlog.KeyedBatch, bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if !c.whole {
+	if !c.complete {
 		return sharedlog.KeyedBatch{}, false
 	}
-	batch := sharedlog.KeyedBatch{End: c.next, Next: c.next}
+	batch := sharedlog.KeyedBatch{End: c.nextOffset, Next: c.nextOffset}
 	for _, key := range slices.Sorted(maps.Keys(c.newest)) {
-		if record := c.newest[key]; record.wanted(groups) {
+		if record := c.newest[key]; record.wantedBy(groups) {
 			batch.Records = append(batch.Records, record.KeyedRecord)
 		}
 	}
 	return batch, true
 }
 
-// Since returns the records from an offset on that are wanted, and what is closed when there
-// is more. kept is false if records from there on are not held: whoever asks begins anew. A
-// reader that lags behind who asks has nothing for it.
-func (c *Cache) Since(from uint64, groups Groups) (batch sharedlog.KeyedBatch, kept bool, changed <-chan struct{}) {
+// Since returns the records of the wanted groups from an offset on, and a channel that is
+// closed at the next change. available is false if the cache does not hold all records from
+// that offset on; the requesting node must then start again from the newest records. If the
+// requesting node is ahead of this reader, the batch is empty and ends at from.
+func (c *Cache) Since(from uint64, groups Groups) (batch sharedlog.KeyedBatch, available bool, changed <-chan struct{}) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if !c.whole || from < c.since {
+	if !c.complete || from < c.firstOffset {
 		return sharedlog.KeyedBatch{}, false, c.changed
 	}
-	batch = sharedlog.KeyedBatch{End: max(c.next, from), Next: max(c.next, from)}
-	first, _ := slices.BinarySearchFunc(c.recent, from, func(record grouped, offset uint64) int {
+	batch = sharedlog.KeyedBatch{End: max(c.nextOffset, from), Next: max(c.nextOffset, from)}
+	first, _ := slices.BinarySearchFunc(c.recent, from, func(record groupedRecord, offset uint64) int {
 		if record.Offset < offset {
 			return -1
 		}
 		return 1
 	})
 	for _, record := range c.recent[first:] {
-		if record.wanted(groups) {
+		if record.wantedBy(groups) {
 			batch.Records = append(batch.Records, record.KeyedRecord)
 		}
 	}
 	return batch, true, c.changed
 }
 
-// Ready reports whether every key was read.
+// Ready reports whether every key has been read.
 func (c *Cache) Ready() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.whole
+	return c.complete
 }
--- a/internal/fanout/choice.go
+++ b/internal/fanout/choice.go
@@ -6,68 +6,72 @@
 )
 
 const (
-	// avoidFor is how long a reader is left alone that did not help (chosen: a process that
-	// ended is back after some 2 s, and its entry in the directory stays).
-	avoidFor = 3 * time.Second
-	// StalestAge is the age of a reader's knowledge from which on it lags. A reader in touch
-	// hears of the log each 0.6 s and rests for 0.1 s. A sampler that leaves must get nothing
-	// new after 2 s on the users' smallest deployments: this, the 0.6 s for which a question is
-	// held, and a rest of 0.1 s stay within that.
+	// failedReaderBackoff is how long a reader that gave no usable answer is not asked. A
+	// process that stopped is back after about 2 s, and its entry in the directory remains
+	// meanwhile.
+	failedReaderBackoff = 3 * time.Second
+	// StalestAge is the maximum age of a reader's entries; beyond it the reader lags. A reader
+	// that reaches the log gets an answer from it every 0.6 s and pauses for 0.1 s. On the
+	// users' smallest deployments a leaving sampler must get no new work after 2 s: StalestAge,
+	// the 0.6 s for which a request is held and a pause of 0.1 s add up to less.
 	StalestAge = 1200 * time.Millisecond
-	// startPatience is how long a node that knows nothing yet asks readers again, from its
-	// first question on, before it reads all itself, and AskAgain how long it leaves them in
-	// between. Where all started at once, some 35 readers of 20 pages each take 280 MB, 3.5 s
-	// of the log's 80 MB a second (worked out); all 985 would take 7.9 GB.
-	startPatience = 4 * time.Second
-	// AskAgain is that pause.
+	// startTimeout is how long a node without entries retries the readers, from its first
+	// request on, before it reads all entries itself. If all nodes start at once, about 35
+	// readers of 20 pages each read 280 MB, which is 3.5 s of the log's 80 MB/s; all 985 nodes
+	// would read 7.9 GB.
+	startTimeout = 4 * time.Second
+	// AskAgain is the pause between two such retries.
 	AskAgain = 250 * time.Millisecond
 )
 
-// Choice is what a node knows of its readers. It is safe for concurrent use.
+// Choice selects the readers that a node asks, and avoids those that failed recently. It is
+// safe for concurrent use.
 type Choice struct {
 	mutex sync.Mutex
-	// began is when the node asked first.
-	began time.Time
-	avoid map[string]time.Time
+	// firstRequestAt is when the node first selected readers to ask.
+	firstRequestAt time.Time
+	// avoidUntil holds when failed readers may be asked again, by name.
+	avoidUntil map[string]time.Time
 }
 
-// NewChoice returns the choice of a node that knows nothing yet.
-func NewChoice() *Choice { return &Choice{avoid: make(map[string]time.Time)} }
+// NewChoice returns the Choice of a node that has asked no reader yet.
+func NewChoice() *Choice { return &Choice{avoidUntil: make(map[string]time.Time)} }
 
-// Parents returns the readers to ask now, in turn.
+// Parents returns the readers to ask now, in order of preference.
 func (c *Choice) Parents(plan Plan, now time.Time) []Node {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.began.IsZero() {
-		c.began = now
+	if c.firstRequestAt.IsZero() {
+		c.firstRequestAt = now
 	}
-	var able []Node
+	var available []Node
 	for _, parent := range plan.Parents {
-		if now.Before(c.avoid[parent.Name]) {
+		if now.Before(c.avoidUntil[parent.Name]) {
 			continue
 		}
-		if able = append(able, parent); len(able) == parentsTried {
+		if available = append(available, parent); len(available) == maxParentsPerRequest {
 			break
 		}
 	}
-	return able
+	return available
 }
 
-// Unhelpful records that a reader gave no answer, or one that is too old.
+// Unhelpful records that a reader gave no answer or one that is too old.
 func (c *Choice) Unhelpful(name string, now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.avoid[name] = now.Add(avoidFor)
-	for other, until := range c.avoid {
+	c.avoidUntil[name] = now.Add(failedReaderBackoff)
+	for other, until := range c.avoidUntil {
 		if now.After(until) {
-			delete(c.avoid, other)
+			delete(c.avoidUntil, other)
 		}
 	}
 }
 
-// Waits reports whether a node that knows nothing yet leaves the log to the readers.
+// Waits reports whether a node without entries should retry the readers rather than read the
+// log itself.
 func (c *Choice) Waits(now time.Time) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.began.IsZero() || now.Sub(c.began) < startPatience
+	return c.firstRequestAt.IsZero() || now.Sub(c.firstRequestAt) < startTimeout
 }
--- a/internal/fanout/doc.go
+++ b/internal/fanout/doc.go
@@ -1,15 +1,17 @@
-// Package fanout decides how what a keyed topic of the log holds reaches many nodes.
+// Package fanout decides how the entries of a keyed topic of the log reach many nodes.
 //
-// If each node read the topic itself, the log would hand out nodes times entries: 985 nodes
-// and 9,999 samplers of 0.6 kB make 5.9 GB at a start, 74 s of the 80 MB a second that the
-// users' log has for all its readers. So few nodes read it, the readers, and the others ask
-// one of them, of their zone if there is one, for the entries that they may use, from the
-// offset on that they have: nothing moves backwards, and a gap is seen. What all readers
-// take from the log grows with their number times the entries; a node's own part does not
-// grow with the number of nodes.
+// If every node read the topic itself, the log would serve nodes times entries: for 985
+// nodes and 9,999 samplers with entries of 0.6 kB, 5.9 GB at a start, which is 74 s of the
+// 80 MB/s that the users' log serves to all its readers together. Instead a few nodes, the
+// readers, read the topic. The other nodes request the entries that they may use from a
+// reader, one in their own zone if there is one, starting at the offset that they have
+// reached: a node's offset never moves backwards, and gaps are detected. The load on the
+// log grows with the number of readers times the number of entries; the load of a single
+// node does not grow with the number of nodes.
 //
-// A reader's word is never that of the log: it comes with its age, which whoever asks adds
-// to its own, and a node whose readers fail or lag reads the log itself.
+// An answer of a reader is not as current as the log itself. It carries the age of the
+// reader's entries, which the requesting node adds to the age of its own. A node whose
+// readers fail or lag reads the log itself.
 //
-// The package is pure: it makes no calls. Package feed drives it.
+// The package makes no calls; package feed uses it to drive them.
 package fanout
--- a/internal/fanout/fanout_test.go
+++ b/internal/fanout/fanout_test.go
@@ -10,7 +10,8 @@
 	"github.com/pathbend/pathbend/internal/sharedlog"
 )
 
-func nodesOf(zones, perZone, large int) []Node {
+// testNodes returns perZone nodes in each zone, of which the first large ones are large.
+func testNodes(zones, perZone, large int) []Node {
 	var nodes []Node
 	for zone := range zones {
 		for i := range perZone {
@@ -23,39 +24,40 @@
 	return nodes
 }
 
-func TestFewNodesReadForThemselves(t *testing.T) {
-	plan := Make(Sizes{}, "n-0-0", "zone-0", nodesOf(2, directNodes/2, 2))
+func TestFewNodesReadTheLogThemselves(t *testing.T) {
+	plan := Make(Sizes{}, "n-0-0", "zone-0", testNodes(2, defaultDirectNodes/2, 2))
 	require.False(t, plan.Shared)
 	require.True(t, plan.Reads)
 	require.Empty(t, plan.Parents)
 }
 
-// Readers grow with the nodes, and each serves about as many: their load is even.
+// The number of readers grows with the number of nodes, readers are large machines and serve
+// their own zone, and none serves three times the mean.
 func TestReadersServeTheirZonesEvenly(t *testing.T) {
 	for _, perZone := range []int{60, 197} {
-		nodes := nodesOf(5, perZone, perZone/5)
+		nodes := testNodes(5, perZone, perZone/5)
 		served := make(map[string]int)
 		readers := 0
 		for _, node := range nodes {
 			plan := Make(Sizes{}, node.Name, node.Zone, nodes)
 			require.True(t, plan.Shared)
 			if plan.Reads {
-				require.True(t, node.Large, "large machines read")
+				require.True(t, node.Large, "readers are large machines")
 				readers++
 				continue
 			}
 			require.Equal(t, node.Zone, plan.Parents[0].Zone)
 			served[plan.Parents[0].Name]++
 		}
-		require.Equal(t, 5*((perZone+askersPerReader-1)/askersPerReader), readers)
+		require.Equal(t, 5*((perZone+defaultNodesPerReader-1)/defaultNodesPerReader), readers)
 		for name, count := range served {
-			require.Less(t, count, 3*askersPerReader, name)
+			require.Less(t, count, 3*defaultNodesPerReader, name)
 		}
 	}
 }
 
-func TestZoneWithoutReadersIsServedByOthers(t *testing.T) {
-	nodes := nodesOf(3, 100, 20)
+func TestZoneWithoutReadersIsServedByOtherZones(t *testing.T) {
+	nodes := testNodes(3, 100, 20)
 	plan := Make(Sizes{}, "alone", "elsewhere", nodes)
 	require.False(t, plan.Reads)
 	require.Len(t, plan.Parents, plan.Readers)
@@ -63,21 +65,21 @@
 		nodes[i].Address = ""
 	}
 	plan = Make(Sizes{}, nodes[0].Name, nodes[0].Zone, nodes)
-	require.Empty(t, plan.Parents, "nodes that take no questions are not asked")
+	require.Empty(t, plan.Parents, "nodes that serve no requests are not asked")
 	require.True(t, plan.Shared)
 }
 
-func TestReaderThatDidNotHelpIsLeftAloneForAWhile(t *testing.T) {
+func TestFailedReaderIsAvoidedDuringItsBackoff(t *testing.T) {
 	now := time.Unix(100, 0)
 	choice := NewChoice()
-	plan := Make(Sizes{}, "alone", "zone-0", nodesOf(2, 200, 40))
+	plan := Make(Sizes{}, "alone", "zone-0", testNodes(2, 200, 40))
 	first := choice.Parents(plan, now)
-	require.Len(t, first, parentsTried)
+	require.Len(t, first, maxParentsPerRequest)
 	choice.Unhelpful(first[0].Name, now)
 	require.Equal(t, first[1], choice.Parents(plan, now)[0])
-	require.Equal(t, first, choice.Parents(plan, now.Add(avoidFor)))
-	require.True(t, choice.Waits(now.Add(startPatience/2)), "from the first question on")
-	require.False(t, choice.Waits(now.Add(startPatience)))
+	require.Equal(t, first, choice.Parents(plan, now.Add(failedReaderBackoff)))
+	require.True(t, choice.Waits(now.Add(startTimeout/2)), "the timeout runs from the first request on")
+	require.False(t, choice.Waits(now.Add(startTimeout)))
 }
 
 func record(key, group string, offset uint64) sharedlog.KeyedRecord {
@@ -88,16 +90,16 @@
 
 func keysOf(batch sharedlog.KeyedBatch) []string {
 	var keys []string
-	for _, one := range batch.Records {
-		keys = append(keys, one.Key)
+	for _, record := range batch.Records {
+		keys = append(keys, record.Key)
 	}
 	return keys
 }
 
-func TestCacheHandsOutTheGroupsThatAreWanted(t *testing.T) {
+func TestCacheServesTheWantedGroups(t *testing.T) {
 	cache := NewCache(groupByValue)
 	_, ready := cache.Newest(All())
-	require.False(t, ready, "nothing was read")
+	require.False(t, ready, "nothing has been read")
 	cache.Reset([]sharedlog.KeyedRecord{record("b", "llm", 1), record("a", "api", 2), record("c", "api", 3)}, 4)
 	batch, ready := cache.Newest(Only("api"))
 	require.True(t, ready)
@@ -110,49 +112,50 @@
 	require.False(t, ready)
 }
 
-// Each change reaches those who want the key's group, or wanted it: a key that is dropped,
-// turns bad or changes its group tells those who held it.
-func TestChangesReachThoseWhoHeldTheKey(t *testing.T) {
+// A key that is deleted, becomes malformed or changes its group is reported to the nodes that
+// want its previous group too; otherwise they would keep the old record.
+func TestChangesAreServedToThePreviousGroup(t *testing.T) {
 	cache := NewCache(groupByValue)
 	cache.Reset([]sharedlog.KeyedRecord{record("a", "api", 1), record("b", "llm", 2), record("c", "api", 3)}, 4)
 	cache.Apply([]sharedlog.KeyedRecord{
 		{Key: "a", Offset: 4}, record("b", "llm", 5), {Key: "c", Malformed: "bad", Offset: 6}, record("d", "api", 7), {Offset: 8, Malformed: "no key"},
 	}, 9)
-	batch, kept, _ := cache.Since(4, Only("api"))
-	require.True(t, kept)
+	batch, available, _ := cache.Since(4, Only("api"))
+	require.True(t, available)
 	require.Equal(t, []string{"a", "c", "d"}, keysOf(batch))
-	require.EqualValues(t, 9, batch.Next, "what is left out is passed over")
+	require.EqualValues(t, 9, batch.Next, "the batch ends after the records of other groups too")
 	batch, _, _ = cache.Since(7, Only("api"))
 	require.Equal(t, []string{"d"}, keysOf(batch))
 	cache.Apply([]sharedlog.KeyedRecord{record("d", "llm", 9)}, 10)
 	batch, _, _ = cache.Since(9, Only("api"))
-	require.Equal(t, []string{"d"}, keysOf(batch), "it left the group")
+	require.Equal(t, []string{"d"}, keysOf(batch), "the key left the group")
 }
 
-// A reader that is behind who asks has nothing for it, and one that does not hold the
-// records any more says so: nothing moves backwards, and a gap is seen.
-func TestNothingMovesBackwardsAndGapsAreSeen(t *testing.T) {
+// A reader that lags behind the requesting node returns nothing, so that the node's offset does
+// not move backwards. A reader that no longer holds the requested records says so, so that the
+// node does not miss any.
+func TestOffsetsDoNotMoveBackwardsAndGapsAreDetected(t *testing.T) {
 	cache := NewCache(groupByValue)
 	cache.Reset([]sharedlog.KeyedRecord{record("a", "api", 1)}, 10)
-	batch, kept, _ := cache.Since(25, All())
-	require.True(t, kept)
+	batch, available, _ := cache.Since(25, All())
+	require.True(t, available)
 	require.Empty(t, batch.Records)
 	require.EqualValues(t, 25, batch.Next)
-	_, kept, _ = cache.Since(9, All())
-	require.False(t, kept, "what was before the newest is not held")
+	_, available, _ = cache.Since(9, All())
+	require.False(t, available, "records before the reset are not held")
 	var records []sharedlog.KeyedRecord
-	for offset := uint64(10); offset < 10+2*recentRecords; offset++ {
+	for offset := uint64(10); offset < 10+2*maxRecentRecords; offset++ {
 		records = append(records, record(fmt.Sprint(offset), "api", offset))
 	}
-	cache.Apply(records, 10+2*recentRecords)
-	require.Len(t, cache.recent, recentRecords)
-	_, kept, _ = cache.Since(10, All())
-	require.False(t, kept)
-	_, kept, _ = cache.Since(10+recentRecords, All())
-	require.True(t, kept)
+	cache.Apply(records, 10+2*maxRecentRecords)
+	require.Len(t, cache.recent, maxRecentRecords)
+	_, available, _ = cache.Since(10, All())
+	require.False(t, available)
+	_, available, _ = cache.Since(10+maxRecentRecords, All())
+	require.True(t, available)
 }
 
-func TestChangeIsAnnounced(t *testing.T) {
+func TestChangeClosesTheChannel(t *testing.T) {
 	cache := NewCache(groupByValue)
 	cache.Reset(nil, 1)
 	_, _, changed := cache.Since(1, All())
@@ -160,11 +163,11 @@
 	select {
 	case <-changed:
 	default:
-		t.Fatal("not announced")
+		t.Fatal("the channel is not closed after a change")
 	}
 }
 
-func TestGroupsCoverOthers(t *testing.T) {
+func TestGroupsCoverTheirSubsets(t *testing.T) {
 	require.True(t, All().Covers(All()))
 	require.True(t, All().Covers(Only("a")))
 	require.False(t, Only("a").Covers(All()))
--- a/internal/fanout/groups.go
+++ b/internal/fanout/groups.go
@@ -2,26 +2,26 @@
 
 import "slices"
 
-// Groups are the kinds of entries that a node wants. The zero value wants none.
+// Groups is the set of groups whose entries a node wants. The zero value is empty.
 type Groups struct {
 	all   bool
-	names []string
+	names []string // sorted, without duplicates; empty if all is set
 }
 
-// All wants every entry.
+// All returns the set of all groups, which also includes entries without a group.
 func All() Groups { return Groups{all: true} }
 
-// Only wants the entries of some groups.
+// Only returns the set of the named groups. Without names it is empty.
 func Only(names ...string) Groups {
 	sorted := slices.Clone(names)
 	slices.Sort(sorted)
 	return Groups{names: slices.Compact(sorted)}
 }
 
-// Every reports whether all entries are wanted.
+// Every reports whether the set includes all groups.
 func (g Groups) Every() bool { return g.all }
 
-// Has reports whether a group is wanted.
+// Has reports whether the set includes a group.
 func (g Groups) Has(name string) bool {
 	if g.all {
 		return true
@@ -30,7 +30,7 @@
 	return found
 }
 
-// Covers reports whether all is wanted that another wants.
+// Covers reports whether the set includes every group of another set.
 func (g Groups) Covers(other Groups) bool {
 	if g.all || other.all {
 		return g.all
@@ -38,5 +38,5 @@
 	return !slices.ContainsFunc(other.names, func(name string) bool { return !g.Has(name) })
 }
 
-// Names lists the groups, none if all are wanted.
+// Names returns the names of the groups, sorted. It is empty if the set includes all groups.
 func (g Groups) Names() []string { return g.names }
--- a/internal/fanout/plan.go
+++ b/internal/fanout/plan.go
@@ -7,62 +7,64 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Sizes decide from when on nodes share what they read. The zero value stands for those that
-// are told below.
+// Sizes are the numbers of nodes that decide whether nodes share readers, and how many. The
+// zero value stands for the defaults: 128 nodes that read directly and 32 nodes per reader.
 type Sizes struct {
-	// Direct is how many nodes may all read for themselves, PerReader how many nodes one
-	// reader serves in the mean.
+	// Direct is the maximum number of nodes that all read the log themselves, PerReader the
+	// mean number of nodes that one reader serves.
 	Direct, PerReader int
 }
 
-// orDefault replaces sizes that are not given.
+// orDefault replaces the zero value by the defaults.
 func (s Sizes) orDefault() Sizes {
 	if s == (Sizes{}) {
-		return Sizes{Direct: directNodes, PerReader: askersPerReader}
+		return Sizes{Direct: defaultDirectNodes, PerReader: defaultNodesPerReader}
 	}
 	return s
 }
 
 const (
-	// directNodes is how many nodes may all read the log themselves. With as many again, half
-	// of the reads would be spared at most, for a hop more on every entry (chosen; up to 91
-	// nodes the readings took under a tenth of what the users' log hands out).
-	directNodes = 128
-	// askersPerReader is how many nodes one reader serves in the mean. A start of all moves
-	// the entries of the applications to each, some 60 kB packed for 2,222 of them: 2 MB from
-	// a reader, 0.3 s of the smallest link (60 Mbit/s). 985 nodes have some 35 readers, which
-	// take 0.2 GB of the 5.9; twice the nodes and samplers, 0.8 GB or 10 s of the log's rate
-	// (worked out).
-	askersPerReader = 32
-	// parentsTried is how many readers one question goes to before the log itself is read.
-	parentsTried = 2
+	// defaultDirectNodes is the default of Sizes.Direct. Up to 91 nodes, direct reads take less
+	// than a tenth of what the users' log can serve. With twice as many nodes as this, sharing
+	// would save at most half of the reads, at the cost of one more hop for every entry.
+	defaultDirectNodes = 128
+	// defaultNodesPerReader is the default of Sizes.PerReader. When all nodes start at once,
+	// each gets the entries of the applications, about 60 kB compressed for 2,222 of them: a
+	// reader sends 2 MB, which is 0.3 s of the slowest link (60 Mbit/s). 985 nodes have about
+	// 35 readers, which read 0.2 GB instead of 5.9 GB; with twice the nodes and samplers they
+	// read 0.8 GB, which is 10 s of the log's rate.
+	defaultNodesPerReader = 32
+	// maxParentsPerRequest is the number of readers that are tried for one request before the
+	// node reads the log itself.
+	maxParentsPerRequest = 2
 )
 
-// Node is a node as the directory lists it.
+// Node is a node as listed in the directory.
 type Node struct {
 	Name string
 	Zone string
-	// Address is where it takes questions of other nodes.
+	// Address is where the node serves requests of other nodes, "" if it serves none.
 	Address string
-	// Large is set if its machine is about as large as the largest.
+	// Large is set if the node's machine is about as large as the largest one.
 	Large bool
 }
 
-// Plan is what one node does.
+// Plan is the part of one node in reading a topic.
 type Plan struct {
-	// Shared is set where some nodes read for the others; else each reads for itself.
+	// Shared is set if some nodes read for the others; otherwise every node reads for itself.
 	Shared bool
-	// Reads is set if this node reads the log itself, for others too if Shared is.
+	// Reads is set if this node reads the log, for other nodes too if Shared is set.
 	Reads bool
-	// Readers counts the nodes that read the log.
+	// Readers is the number of nodes that read the log.
 	Readers int
-	// Parents are the readers that this node asks, in turn.
+	// Parents are the readers that this node asks, in order of preference. It is empty if
+	// Reads is set.
 	Parents []Node
 }
 
-// Make returns the plan of a node that knows of others. All nodes that know the same make
-// plans that fit each other; where they know different ones, a node that is asked and does
-// not read refuses.
+// Make returns the plan of the node self in a zone, given the nodes that it knows. Nodes that
+// know the same nodes make consistent plans. While their knowledge differs, a node may be
+// asked that does not read; it refuses the request.
 func Make(sizes Sizes, self string, zone string, known []Node) Plan {
 	sizes = sizes.orDefault()
 	if len(known) <= sizes.Direct {
@@ -70,8 +72,8 @@
 	}
 	plan := Plan{Shared: true}
 	var parents []Node
-	for _, nodes := range byZone(known) {
-		readers := readersOf(nodes, sizes.PerReader)
+	for _, nodes := range addressableByZone(known) {
+		readers := selectReaders(nodes, sizes.PerReader)
 		plan.Readers += len(readers)
 		for _, reader := range readers {
 			if reader.Name == self {
@@ -83,11 +85,12 @@
 	if plan.Reads {
 		return plan
 	}
-	plan.Parents = ordered(parents, self, func(node Node) bool { return node.Zone == zone })
+	plan.Parents = rankNodes(parents, self, func(node Node) bool { return node.Zone == zone })
 	return plan
 }
 
-func byZone(known []Node) map[string][]Node {
+// addressableByZone groups the nodes that serve requests by zone.
+func addressableByZone(known []Node) map[string][]Node {
 	zones := make(map[string][]Node)
 	for _, node := range known {
 		if node.Address != "" {
@@ -97,43 +100,45 @@
 	return zones
 }
 
-// readersOf chooses the readers of a zone: large machines first, and always the same ones
-// among the same nodes.
-func readersOf(nodes []Node, perReader int) []Node {
-	ranked := ordered(nodes, "", func(node Node) bool { return node.Large })
+// selectReaders returns the readers of a zone, large machines first. The same nodes always
+// give the same readers.
+func selectReaders(nodes []Node, perReader int) []Node {
+	ranked := rankNodes(nodes, "", func(node Node) bool { return node.Large })
 	return ranked[:(len(ranked)+perReader-1)/perReader]
 }
 
-// ordered returns nodes in an order of from's own, those that are preferred first. Ranks are
-// worked out once each: a plan over 2,000 nodes took 10 ms when each comparison did.
-func ordered(nodes []Node, from string, preferred func(Node) bool) []Node {
-	type place struct {
-		node   Node
-		behind bool
-		rank   uint64
+// rankNodes returns nodes by rendezvous hashing in the order that belongs to a key, preferred
+// nodes first. Each weight is computed once: with a computation in each comparison, a plan
+// over 2,000 nodes took 10 ms.
+func rankNodes(nodes []Node, key string, preferred func(Node) bool) []Node {
+	type rankedNode struct {
+		node     Node
+		fallback bool // not preferred
+		weight   uint64
 	}
-	places := make([]place, 0, len(nodes))
+	ranking := make([]rankedNode, 0, len(nodes))
 	for _, node := range nodes {
-		places = append(places, place{node: node, behind: !preferred(node), rank: rank(from, node.Name)})
+		ranking = append(ranking, rankedNode{node: node, fallback: !preferred(node), weight: rendezvousWeight(key, node.Name)})
 	}
-	slices.SortFunc(places, func(a, b place) int {
-		if a.behind != b.behind {
-			if b.behind {
+	slices.SortFunc(ranking, func(a, b rankedNode) int {
+		if a.fallback != b.fallback {
+			if b.fallback {
 				return -1
 			}
 			return 1
 		}
-		return cmp.Or(cmp.Compare(b.rank, a.rank), cmp.Compare(a.node.Name, b.node.Name))
+		return cmp.Or(cmp.Compare(b.weight, a.weight), cmp.Compare(a.node.Name, b.node.Name))
 	})
-	sorted := make([]Node, 0, len(places))
-	for _, place := range places {
-		sorted = append(sorted, place.node)
+	sorted := make([]Node, 0, len(ranking))
+	for _, ranked := range ranking {
+		sorted = append(sorted, ranked.node)
 	}
 	return sorted
 }
 
-// rank is the weight of a node for another, by which both are always in the same order.
-func rank(from, to string) uint64 {
-	// A byte that no name holds keeps "ab"+"c" apart from "a"+"bc".
-	return xxhash.Sum64String(from + "\x00" + to)
+// rendezvousWeight returns the weight of a node for a key. It depends on nothing else, so
+// every process computes the same order.
+func rendezvousWeight(key, name string) uint64 {
+	// The separator occurs in no name; it keeps "ab"+"c" distinct from "a"+"bc".
+	return xxhash.Sum64String(key + "\x00" + name)
 }
--- a/internal/fanout/size_test.go
+++ b/internal/fanout/size_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// What a plan over 985 nodes costs one of them, which makes one anew when the directory
-// changes: 1.3 ms on a machine that plays hunts beside it.
+// A node makes a new plan whenever the directory changes. Among 985 nodes this takes 1.3 ms on
+// a machine that runs simulations at the same time.
 func BenchmarkMake(b *testing.B) {
-	nodes := nodesOf(5, 197, 40)
+	nodes := testNodes(5, 197, 40)
 	for b.Loop() {
 		Make(Sizes{}, nodes[900].Name, nodes[900].Zone, nodes)
 	}
