--- a/internal/clock/boottime_linux.go
+++ b/internal/clock/boottime_linux.go
@@ -7,12 +7,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// machine is the suspension of this machine, as its clocks tell.
-var machine = newSuspension(readClocks)
+// system measures the suspension of this machine by its clocks.
+var system = newSuspension(readClocks)
 
-// reading is one look at the two clocks: the steady clock stands while the machine is
-// suspended, the clock since the boot does not. They cannot be read at one instant, so the
-// steady clock is read before and after the other.
+// reading is one reading of two clocks: CLOCK_BOOTTIME advances while the machine is
+// suspended, CLOCK_MONOTONIC does not. They cannot be read at the same instant, so the
+// monotonic clock is read before and after the other.
 type reading struct{ before, boot, after time.Duration }
 
 func readClocks() (reading, bool) {
@@ -25,14 +25,15 @@
 	return reading{before: time.Duration(before.Nano()), boot: time.Duration(boot.Nano()), after: time.Duration(after.Nano())}, true
 }
 
-// suspension tells how far the clocks have drifted apart since it was made.
+// suspension measures by how much the boot-time clock has advanced more than the monotonic
+// clock since newSuspension.
 type suspension struct {
 	read func() (reading, bool)
-	// base is the most that the clocks may have been apart at the begin.
+	// base is the upper bound of the difference between the clocks at the first reading.
 	base time.Duration
-	// known is the most that they surely drifted apart since. A thread that is preempted
-	// between two reads makes the difference unsure, never too large.
-	known atomic.Int64
+	// lowerBound is the largest lower bound, in nanoseconds, of the suspension since then. If
+	// the thread is preempted between two reads, the result is less exact but never too large.
+	lowerBound atomic.Int64
 }
 
 func newSuspension(read func() (reading, bool)) *suspension {
@@ -43,21 +44,21 @@
 	return s
 }
 
-// slept returns the time of suspension since the begin. A system without one of the clocks
-// is never suspended, as far as it can tell.
-func (s *suspension) slept() time.Duration {
+// total returns the time of suspension since newSuspension. It is 0 on a system that lacks
+// one of the clocks.
+func (s *suspension) total() time.Duration {
 	now, ok := s.read()
 	if !ok {
-		return time.Duration(s.known.Load())
+		return time.Duration(s.lowerBound.Load())
 	}
-	sure := int64(now.boot - now.after - s.base)
+	current := int64(now.boot - now.after - s.base)
 	for {
-		known := s.known.Load()
-		if sure <= known {
+		known := s.lowerBound.Load()
+		if current <= known {
 			return time.Duration(known)
 		}
-		if s.known.CompareAndSwap(known, sure) {
-			return time.Duration(sure)
+		if s.lowerBound.CompareAndSwap(known, current) {
+			return time.Duration(current)
 		}
 	}
 }
--- a/internal/clock/boottime_linux_test.go
+++ b/internal/clock/boottime_linux_test.go
@@ -7,23 +7,26 @@
 	"github.com/stretchr/testify/require"
 )
 
-// clocks are readings that a test sets.
-type clocks struct{ steady, boot, preempted time.Duration }
+// fakeClocks are clocks that a test sets. preempted is the time between the two reads of the
+// monotonic clock.
+type fakeClocks struct{ monotonic, boot, preempted time.Duration }
 
-func (c *clocks) read() (reading, bool) {
-	return reading{before: c.steady, boot: c.boot, after: c.steady + c.preempted}, true
+func (c *fakeClocks) read() (reading, bool) {
+	return reading{before: c.monotonic, boot: c.boot, after: c.monotonic + c.preempted}, true
 }
 
-func TestSuspensionIsNeverOverstatedNorForgotten(t *testing.T) {
-	set := &clocks{steady: time.Hour, boot: 3 * time.Hour}
-	suspended := newSuspension(set.read)
-	require.Zero(t, suspended.slept(), "what was before the process does not count")
-	set.steady += time.Minute
-	set.boot += time.Minute + 4*time.Second
-	set.preempted = time.Second
-	require.Equal(t, 3*time.Second, suspended.slept(), "a preempted reading is surely apart by so much")
-	set.preempted = 0
-	require.Equal(t, 4*time.Second, suspended.slept())
-	set.preempted = time.Minute
-	require.Equal(t, 4*time.Second, suspended.slept(), "what was known stays known")
+// A reading during which the thread was preempted is inexact. It must neither overstate the
+// suspension nor lower a value that was returned before.
+func TestSuspensionIsNeverOverstatedAndNeverDecreases(t *testing.T) {
+	clocks := &fakeClocks{monotonic: time.Hour, boot: 3 * time.Hour}
+	suspension := newSuspension(clocks.read)
+	require.Zero(t, suspension.total(), "suspension before the first reading does not count")
+	clocks.monotonic += time.Minute
+	clocks.boot += time.Minute + 4*time.Second
+	clocks.preempted = time.Second
+	require.Equal(t, 3*time.Second, suspension.total(), "the preempted second is not counted as suspension")
+	clocks.preempted = 0
+	require.Equal(t, 4*time.Second, suspension.total())
+	clocks.preempted = time.Minute
+	require.Equal(t, 4*time.Second, suspension.total(), "an inexact reading does not lower the value")
 }
--- a/internal/clock/boottime_other.go
+++ b/internal/clock/boottime_other.go
@@ -4,9 +4,11 @@
 
 import "time"
 
-// machine knows no clock here that runs while the machine is suspended.
-var machine unsuspended
+// system measures no suspension: on this platform the package reads no clock that advances
+// while the machine is suspended.
+var system noSuspension
 
-type unsuspended struct{}
+// noSuspension stands for a machine that is never suspended.
+type noSuspension struct{}
 
-func (unsuspended) slept() time.Duration { return 0 }
+func (noSuspension) total() time.Duration { return 0 }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,10 +1,11 @@
-// Package clock tells how long the machine was suspended.
+// Package clock measures time including the time for which the machine was suspended.
 //
-// The steady clock, by which time.Now measures, stands while a machine is suspended; the
-// world goes on. A lease that is measured by it alone outlasts its end, and what a node read
-// seconds ago looks new. So ages that matter to others, those of leases, of what was read and
-// of deadlines, are taken here: steady time and the time of suspension together. Timers need
-// no more than the steady clock: they only wake what looks at an age.
+// The monotonic clock that time.Now reads stops while the machine is suspended, but time goes
+// on for other machines. Measured by it alone, a lease would outlast its end, and data read
+// before the suspension would look recent. Ages that other machines rely on, such as those of
+// leases, of data read and of deadlines, are therefore measured with this package, as
+// monotonic time plus the time of suspension. Timers can use the monotonic clock alone: they
+// only wake code that then checks an age.
 package clock
 
 import (
@@ -12,62 +13,67 @@
 	"time"
 )
 
-// Moment is a point in time of which the age counts suspension. The zero Moment is long ago.
+// Moment is a point in time whose age includes suspension. The zero Moment lies a hundred
+// years back.
 type Moment struct {
-	at    time.Time
-	slept time.Duration
+	at        time.Time
+	suspended time.Duration // total suspension at that time
 }
 
-// Mark returns the present moment.
+// Mark returns the current moment.
 func Mark() Moment { return At(time.Now()) }
 
-// At returns the moment of a reading of time.Now that was just taken.
-func At(reading time.Time) Moment { return Moment{at: reading, slept: Slept()} }
+// At returns the moment now, a result of time.Now that was just obtained.
+func At(now time.Time) Moment { return Moment{at: now, suspended: Slept()} }
 
-// Age returns the time since the moment.
+// Age returns the time since the moment, including suspension.
 func (m Moment) Age() time.Duration { return m.AgeAt(time.Now()) }
 
-// ageless is the age of the zero Moment.
-const ageless = 100 * 365 * 24 * time.Hour
+// zeroMomentAge is the age of the zero Moment: a hundred years.
+const zeroMomentAge = 100 * 365 * 24 * time.Hour
 
-// AgeAt returns the time from the moment until a reading of time.Now that was just taken.
-func (m Moment) AgeAt(reading time.Time) time.Duration {
+// AgeAt returns the time from the moment until now, a result of time.Now that was just
+// obtained, including suspension.
+func (m Moment) AgeAt(now time.Time) time.Duration {
 	if m.IsZero() {
-		return ageless
+		return zeroMomentAge
 	}
-	return reading.Sub(m.at) + m.Slept()
+	return now.Sub(m.at) + m.Slept()
 }
 
-// Add returns the moment that lies a duration later.
-func (m Moment) Add(later time.Duration) Moment { return Moment{at: m.at.Add(later), slept: m.slept} }
+// Add returns the moment that lies a duration later, without suspension in between.
+func (m Moment) Add(duration time.Duration) Moment {
+	return Moment{at: m.at.Add(duration), suspended: m.suspended}
+}
 
-// Slept returns for how long the machine was suspended since the moment.
-func (m Moment) Slept() time.Duration { return Slept() - m.slept }
+// Slept returns the time for which the machine was suspended since the moment.
+func (m Moment) Slept() time.Duration { return Slept() - m.suspended }
 
-// Time returns the reading of time.Now at the moment.
+// Time returns the result of time.Now at the moment.
 func (m Moment) Time() time.Time { return m.at }
 
 // IsZero reports whether the moment was never set.
 func (m Moment) IsZero() bool { return m.at.IsZero() }
 
-// Now returns a time that runs on while the machine is suspended. It may be compared with
-// other results of Now only, neither with time.Now nor in a timer.
+// Now returns a time that advances while the machine is suspended. Compare it only with other
+// results of Now; do not compare it with time.Now or set a timer by it.
 func Now() time.Time { return time.Now().Add(Slept()) }
 
-// source replaces the operating system's clocks, nil for those.
-var source atomic.Pointer[func() time.Duration]
+// simulated replaces the suspension read from the operating system, unless it is nil.
+var simulated atomic.Pointer[func() time.Duration]
 
-// Simulate replaces what Slept returns, for tests and simulations, until restore is called.
-func Simulate(slept func() time.Duration) (restore func()) {
-	former := source.Swap(&slept)
-	return func() { source.Store(former) }
+// Simulate makes suspended the source of the suspension time, for tests and simulations, until
+// restore is called.
+func Simulate(suspended func() time.Duration) (restore func()) {
+	former := simulated.Swap(&suspended)
+	return func() { simulated.Store(former) }
 }
 
-// Slept returns for how long the machine was suspended since the process began. It takes three
-// looks at clocks, 0.6 µs together (BenchmarkSlept).
+// Slept returns the time for which the machine was suspended since the process started. It
+// reads clocks three times, which takes 0.6 µs (see BenchmarkSlept).
 func Slept() time.Duration {
-	if simulated := source.Load(); simulated != nil {
-		return (*simulated)()
+	if suspended := simulated.Load(); suspended != nil {
+		return (*suspended)()
 	}
-	return machine.slept()
+	return system.total()
 }
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -1,8 +1,8 @@
-// Package duty names what only one node at a time may do for all: calls to the platform
-// and to samplers that carry the holder's name and its fence. Who holds the right, and
-// how two nodes that both take themselves for the holder are kept apart, is decided in
-// one place (package hosted); this package is what the loops that make such calls share
-// with it.
+// Package duty declares the interface for calls that only one node at a time may make on
+// behalf of all nodes: calls to the platform and to samplers that carry the name of the node
+// that holds the right and its fencing token. Package hosted decides which node holds the
+// right, and which of two nodes that both consider themselves the holder may make a call; the
+// loops that make such calls depend on this package only.
 package duty
 
 import (
@@ -10,20 +10,21 @@
 	"time"
 )
 
-// Right is under which a call is made.
+// Right is the permission to make one call.
 type Right struct {
-	// Holder is the machine that makes the call.
+	// Holder is the name of the node that makes the call.
 	Holder string
-	// Fence rises whenever the holder changes.
+	// Fence is the fencing token: it increases whenever the holder changes.
 	Fence uint64
 }
 
-// Holder tells whether this node may act.
+// Holder grants this node the right to make exclusive calls.
 type Holder interface {
-	// MayAct reports whether this node holds the right, as far as it knows. It costs
-	// nothing and is no right by itself.
+	// MayAct reports whether this node is the holder as far as it knows. It makes no
+	// remote calls; the answer alone does not permit a call.
 	MayAct(now time.Time) bool
-	// Claim writes down that a call about a subject is about to be made and returns
-	// the right to make it, at once and only once; false if this node may not.
+	// Claim records that this node is about to make a call about a subject, and returns
+	// the right to make it, immediately and only once. It reports false if this node may
+	// not make the call.
 	Claim(ctx context.Context, subject string) (Right, bool)
 }
--- a/internal/platformsim/mutants_test.go
+++ b/internal/platformsim/mutants_test.go
@@ -126,7 +126,7 @@
 		mutation.Replace("internal/quarantine/book.go", "if len(other.Ended) > ends && other.held(policy)", "if false && other.held(policy)"),
 	}},
 	{Promise: "In touch: suspension counts", Test: "TestSuspendedNodeIsOutOfTouch", Package: "./internal/hosted", Edits: []mutation.Edit{
-		mutation.Replace("internal/clock/clock.go", "return reading.Sub(m.at) + m.Slept()", "return reading.Sub(m.at)"),
+		mutation.Replace("internal/clock/clock.go", "return now.Sub(m.at) + m.Slept()", "return now.Sub(m.at)"),
 	}},
 	{Promise: "MIXED: a cut event is no event", Edits: []mutation.Edit{
 		mutation.Replace("platform/events.go", "return 0, nil, io.ErrUnexpectedEOF", "return len(data), data, nil"),
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait pauses a goroutine until a time or the end of a context.
+// Package wait blocks a goroutine for a time or at intervals, until a context ends.
 package wait
 
 import (
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// For waits for a duration. It reports false if ctx ended first.
+// For waits for a duration. It reports false if ctx ended first, or had already ended for a
+// duration of 0 or less.
 func For(ctx context.Context, duration time.Duration) bool {
 	if duration <= 0 {
 		return ctx.Err() == nil
@@ -21,15 +22,16 @@
 	}
 }
 
-// Until waits until a time. It reports false if ctx ended first.
+// Until waits until a time. It reports false as For does.
 func Until(ctx context.Context, at time.Time) bool { return For(ctx, time.Until(at)) }
 
-// Every runs a step at once and then at each interval until ctx ends.
-func Every(ctx context.Context, interval time.Duration, step func()) {
+// Every calls run at once and then at each interval until ctx ends. A call that takes longer
+// than the interval delays or skips the next ones; calls never overlap.
+func Every(ctx context.Context, interval time.Duration, run func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
-		step()
+		run()
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
