--- a/internal/fanout/choice.go
+++ b/internal/fanout/choice.go
@@ -12,7 +12,7 @@
 	failedReaderBackoff = 3 * time.Second
 	// StalestAge is the maximum age of a reader's entries; beyond it the reader lags. A reader
 	// that reaches the log gets an answer from it every 0.6 s and pauses for 0.1 s. On the
-	// users' smallest deployments a leaving sampler must get no new work after 2 s: StalestAge,
+	// users' smallest deployments a leaving sampler must get no new work after 2 s: this age,
 	// the 0.6 s for which a request is held and a pause of 0.1 s add up to less.
 	StalestAge = 1200 * time.Millisecond
 	// startTimeout is how long a node without entries retries the readers, from its first
@@ -34,8 +34,10 @@
 	avoidUntil map[string]time.Time
 }
 
-// NewChoice returns the Choice of a node that has asked no reader yet.
-func NewChoice() *Choice { return &Choice{avoidUntil: make(map[string]time.Time)} }
+// NewChoice returns the state of a node that has asked no reader yet.
+func NewChoice() *Choice {
+	return &Choice{avoidUntil: make(map[string]time.Time)}
+}
 
 // Parents returns the readers to ask now, in order of preference.
 func (c *Choice) Parents(plan Plan, now time.Time) []Node {
--- a/internal/fanout/fanout_test.go
+++ b/internal/fanout/fanout_test.go
@@ -10,7 +10,7 @@
 	"github.com/pathbend/pathbend/internal/sharedlog"
 )
 
-// testNodes returns perZone nodes in each zone, of which the first large ones are large.
+// testNodes returns perZone nodes in each zone; large is how many of them are large machines.
 func testNodes(zones, perZone, large int) []Node {
 	var nodes []Node
 	for zone := range zones {
--- a/internal/fanout/plan.go
+++ b/internal/fanout/plan.go
@@ -24,11 +24,11 @@
 }
 
 const (
-	// defaultDirectNodes is the default of Sizes.Direct. Up to 91 nodes, direct reads take less
+	// defaultDirectNodes is the default maximum of nodes that read directly. Up to 91 nodes, direct reads take less
 	// than a tenth of what the users' log can serve. With twice as many nodes as this, sharing
 	// would save at most half of the reads, at the cost of one more hop for every entry.
 	defaultDirectNodes = 128
-	// defaultNodesPerReader is the default of Sizes.PerReader. When all nodes start at once,
+	// defaultNodesPerReader is the default mean of nodes per reader. When all nodes start at once,
 	// each gets the entries of the applications, about 60 kB compressed for 2,222 of them: a
 	// reader sends 2 MB, which is 0.3 s of the slowest link (60 Mbit/s). 985 nodes have about
 	// 35 readers, which read 0.2 GB instead of 5.9 GB; with twice the nodes and samplers they
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -2,10 +2,10 @@
 // a central counter.
 //
 // Each tenant has an owner, the node that ranks first for it. Nodes that receive
-// requests of the tenant report their demand to the owner at every Interval and
-// get a share of the rate in return; nodes without demand send no report. Ledger
-// is the owner's state; it does no I/O and reads no clock. A node without a
-// current share uses an equal part of the rate.
+// requests of the tenant report their demand to the owner at a fixed interval and
+// get a share of the rate in return; nodes without demand send no report. The
+// owner's state does no I/O and reads no clock. A node without a current share
+// uses an equal part of the rate.
 //
 // Invariant: once every node with a current report has reported again, the
 // shares granted to these nodes add up to at most the rate.
@@ -32,7 +32,7 @@
 	reports map[string]report
 }
 
-// NewLedger returns a ledger without reports.
+// NewLedger returns one without reports.
 func NewLedger() *Ledger { return &Ledger{reports: make(map[string]report)} }
 
 // Report records a node's demand and returns its share of rate; all three are in
--- a/internal/roundtrip/estimator.go
+++ b/internal/roundtrip/estimator.go
@@ -29,7 +29,7 @@
 // Bounds limit the time-out of an estimator, whatever the round-trip times are.
 type Bounds struct {
 	// Floor is the minimum time-out. It is also the time-out for a nearby service, relative
-	// to which Beyond is counted.
+	// to which the extra time for distance is counted.
 	Floor time.Duration
 	// Ceiling is the maximum time-out.
 	Ceiling time.Duration
