--- a/internal/platformsim/mutants_test.go
+++ b/internal/platformsim/mutants_test.go
@@ -107,8 +107,8 @@
 	{Promise: "FAILBACK: nodes share what a cold back end bears", Test: "TestColdSharesAddUpToTheBudget", Package: "./internal/routing", Edits: []mutation.Edit{
 		mutation.Replace("internal/routing/cold_share.go", "recipients := min(len(nodes), requests)", "recipients := min(1, requests)\n\trank = 0"),
 	}},
-	{Promise: "FAILBACK: a former executor's requests count", Test: "TestNoSecondIsOverTheBoundUnderATakeover", Package: "./internal/warmup", Edits: []mutation.Edit{
-		mutation.Replace("internal/warmup/budget.go", "senders = 2", "senders = 1"),
+	{Promise: "FAILBACK: a former executor's requests count", Test: "TestTwoSendersStayWithinTheLimitDuringATakeover", Package: "./internal/warmup", Edits: []mutation.Edit{
+		mutation.Replace("internal/warmup/budget.go", "maxSenders = 2", "maxSenders = 1"),
 	}},
 	{Promise: "BUDGET: a request that is held goes nowhere", Test: "TestRequestThatCrashesItsSamplersIsHeldBack", Edits: []mutation.Edit{
 		mutation.Replace("internal/quarantine/guard.go", "\tcase Quarantined:\n\t\treturn nil, g.refuse(digest, time.Until(until))\n", "\tcase Quarantined:\n\t\t_ = until\n"),
@@ -126,7 +126,7 @@
 		mutation.Replace("internal/quarantine/registry.go", "if len(other.Ended) > crashes && other.reachedLimit(policy)", "if false && other.reachedLimit(policy)"),
 	}},
 	{Promise: "In touch: suspension counts", Test: "TestSuspendedNodeHasNoCurrentLog", Package: "./internal/hosted", Edits: []mutation.Edit{
-		mutation.Replace("internal/clock/clock.go", "return reading.Sub(m.at) + m.Slept()", "return reading.Sub(m.at)"),
+		mutation.Replace("internal/clock/clock.go", "return now.Sub(m.at) + m.Slept()", "return now.Sub(m.at)"),
 	}},
 	{Promise: "MIXED: a cut event is no event", Edits: []mutation.Edit{
 		mutation.Replace("platform/events.go", "return 0, nil, io.ErrUnexpectedEOF", "return len(data), data, nil"),
