--- a/internal/ledger/chunks.go
+++ b/internal/ledger/chunks.go
@@ -9,16 +9,17 @@
 )
 
 const (
-	// chunkOverheadBytes is the most that a chunk's own fields take.
+	// chunkOverheadBytes is an upper bound on the encoded size of a chunk without its payload.
 	chunkOverheadBytes = 64
-	// maxChunks bounds the chunks of one entry.
+	// maxChunks is the maximum number of chunks per entry.
 	maxChunks = 1024
-	// maxPartialEntries bounds the entries whose chunks are not all in yet.
+	// maxPartialEntries is the maximum number of entries that wait for further chunks.
 	maxPartialEntries = 256
 )
 
-// Encode cuts an entry into records of at most maxRecordBytes. The nonce must
-// be unique to this call.
+// Encode splits an entry into records of at most maxRecordBytes bytes. The nonce identifies
+// the chunks of the entry and must be unique to this call. The error is BodyTooLarge if the
+// entry needs more than maxChunks records.
 func Encode(entry *pathbendv1.LedgerEntry, nonce uint64, maxRecordBytes int) ([][]byte, error) {
 	encoded, err := proto.Marshal(entry)
 	if err != nil {
@@ -27,7 +28,7 @@
 	size := maxRecordBytes - chunkOverheadBytes
 	count := max((len(encoded)+size-1)/size, 1)
 	if size <= 0 || count > maxChunks {
-		return nil, result.New(result.BodyTooLarge, "an entry of %d bytes does not fit the log's records", len(encoded))
+		return nil, result.New(result.BodyTooLarge, "ledger entry of %d bytes exceeds the log's record limits", len(encoded))
 	}
 	records := make([][]byte, 0, count)
 	for index := range count {
@@ -42,13 +43,15 @@
 	return records, nil
 }
 
-// assembler puts entries together from their chunks.
+// assembler reassembles entries from their chunks, which may be interleaved with those of
+// other entries.
 type assembler struct {
 	partial map[uint64]*partialEntry
-	// order lists the nonces by arrival, oldest first.
+	// order lists the nonces in order of arrival, oldest first.
 	order []uint64
 }
 
+// partialEntry is an entry of which some chunks are missing.
 type partialEntry struct {
 	chunks  [][]byte
 	missing int
@@ -56,14 +59,14 @@
 
 func newAssembler() *assembler { return &assembler{partial: make(map[uint64]*partialEntry)} }
 
-// add adds a record and returns the entry that it completes, or nil.
+// add decodes a record and returns the entry that it completes, or nil if chunks are missing.
 func (a *assembler) add(record []byte) (*pathbendv1.LedgerEntry, error) {
 	var chunk pathbendv1.LedgerChunk
 	if err := proto.Unmarshal(record, &chunk); err != nil {
 		return nil, result.Wrap(result.RecordMalformed, err, "decode ledger chunk")
 	}
 	if chunk.Count == 0 || chunk.Count > maxChunks || chunk.Index >= chunk.Count {
-		return nil, result.New(result.RecordMalformed, "chunk %d of %d", chunk.Index, chunk.Count)
+		return nil, result.New(result.RecordMalformed, "invalid ledger chunk: index %d, count %d", chunk.Index, chunk.Count)
 	}
 	if chunk.Count == 1 {
 		return decodeEntry(chunk.Payload)
@@ -75,10 +78,12 @@
 	return decodeEntry(assembled)
 }
 
+// collect stores a chunk and returns the encoded entry if all of its chunks are present, or
+// nil.
 func (a *assembler) collect(chunk *pathbendv1.LedgerChunk) []byte {
 	entry, ok := a.partial[chunk.Nonce]
 	if !ok || len(entry.chunks) != int(chunk.Count) {
-		a.forgetOldest()
+		a.evictOldest()
 		entry = &partialEntry{chunks: make([][]byte, chunk.Count), missing: int(chunk.Count)}
 		a.partial[chunk.Nonce] = entry
 		a.order = append(a.order, chunk.Nonce)
@@ -98,7 +103,9 @@
 	return assembled
 }
 
-func (a *assembler) forgetOldest() {
+// evictOldest makes room for another partial entry, and drops the nonces of completed
+// entries from the front of the order.
+func (a *assembler) evictOldest() {
 	for len(a.order) > 0 && (len(a.partial) >= maxPartialEntries || a.partial[a.order[0]] == nil) {
 		delete(a.partial, a.order[0])
 		a.order = a.order[1:]
@@ -110,9 +117,10 @@
 	if err := proto.Unmarshal(encoded, entry); err != nil {
 		return nil, result.Wrap(result.RecordMalformed, err, "decode ledger entry")
 	}
-	// Earlier releases announced capacities of nodes here; their entries say nothing now.
-	aboutJob := entry.GetClaimed() == nil && entry.GetAnnounced() == nil && entry.GetSuspect() == nil
-	if entry.Fact == nil || (aboutJob && entry.JobId == "") {
+	// Entries that announce node capacities were written by earlier releases. They are
+	// accepted, and have no effect.
+	belongsToJob := entry.GetClaimed() == nil && entry.GetAnnounced() == nil && entry.GetSuspect() == nil
+	if entry.Fact == nil || (belongsToJob && entry.JobId == "") {
 		return nil, result.New(result.RecordMalformed, "ledger entry without a job id or fact")
 	}
 	return entry, nil
--- a/internal/ledger/claims.go
+++ b/internal/ledger/claims.go
@@ -7,20 +7,20 @@
 	pathbendv1 "github.com/pathbend/pathbend/api/pathbend/v1"
 )
 
-// Claim is a call that was about to be made, of those that only one node at a time may
-// make.
+// Claim announces a call of a kind that only one node at a time may make. The holder writes
+// it to the log before it makes the call.
 type Claim struct {
 	Holder string
-	// Fence is the right under which it was made; a later holder's is higher.
+	// Fence is the fencing token of the claim; a later holder's token is higher.
 	Fence uint64
-	// Serial was drawn for this claim.
+	// Serial identifies this claim.
 	Serial uint64
-	// ReadAt is when this process read of it, which is after it was written.
+	// ReadAt is when this process read the claim, which is after it was written.
 	ReadAt time.Time
 }
 
-// claims holds, by subject, the last claim of each holder, and the one with the highest
-// fence of all.
+// claims stores the last claim of each holder by subject, and the claim with the highest
+// fencing token of all subjects.
 type claims struct {
 	bySubject map[string]map[string]Claim
 	newest    Claim
@@ -28,14 +28,14 @@
 
 func newClaims() claims { return claims{bySubject: make(map[string]map[string]Claim)} }
 
-func (c *claims) note(claim *pathbendv1.Claim, now time.Time) {
-	noted := Claim{Holder: claim.Holder, Fence: claim.Fence, Serial: claim.Serial, ReadAt: now}
+func (c *claims) record(claim *pathbendv1.Claim, now time.Time) {
+	recorded := Claim{Holder: claim.Holder, Fence: claim.Fence, Serial: claim.Serial, ReadAt: now}
 	if c.bySubject[claim.Subject] == nil {
 		c.bySubject[claim.Subject] = make(map[string]Claim)
 	}
-	c.bySubject[claim.Subject][claim.Holder] = noted
-	if noted.Fence >= c.newest.Fence {
-		c.newest = noted
+	c.bySubject[claim.Subject][claim.Holder] = recorded
+	if recorded.Fence >= c.newest.Fence {
+		c.newest = recorded
 	}
 }
 
@@ -46,14 +46,14 @@
 	})
 }
 
-// LastClaim returns the last claim of a holder on a subject, false if none is known.
+// LastClaim returns the last claim of a holder on a subject, and false if none is known.
 func (l *Ledger) LastClaim(subject, holder string) (Claim, bool) {
 	last, ok := l.claims.bySubject[subject][holder]
 	return last, ok
 }
 
-// LastClaimByOthers returns when this process read of the last claim on a subject by
-// any other holder, the zero time if none is known.
+// LastClaimByOthers returns when this process read the last claim on a subject by
+// any other holder. The zero time means that none is known.
 func (l *Ledger) LastClaimByOthers(subject, holder string) time.Time {
 	var last time.Time
 	for other, claim := range l.claims.bySubject[subject] {
@@ -64,5 +64,5 @@
 	return last
 }
 
-// NewestClaim returns the claim with the highest fence, on any subject.
+// NewestClaim returns the claim with the highest fencing token on any subject.
 func (l *Ledger) NewestClaim() Claim { return l.claims.newest }
--- a/internal/ledger/doc.go
+++ b/internal/ledger/doc.go
@@ -1,16 +1,18 @@
-// Package ledger folds the records of batch jobs into their state.
+// Package ledger is a replicated state machine that derives the state of batch jobs from the
+// records of the shared log.
 //
-// Every node reads the same records in the same order and so holds the same
+// Every node applies the same records in the same order and therefore holds the same
 // jobs with the same results at the same positions:
 //
-//   - The first submission of a job id counts; later ones are dropped.
-//   - The first result of an item counts; its position is the number of results
-//     that the job had before. So a record that is appended twice, by a writer
-//     that did not hear the answer or by one that was replaced and does not know
-//     it yet, changes nothing.
-//   - Progress keeps the text of items that are still generated, so that another
-//     executor goes on from there. It counts only if it extends what is kept.
+//   - The first submission of a job id is applied; later ones are ignored.
+//   - The first result of an item is applied; its position is the number of results
+//     that the job had before. Applying is therefore idempotent: a record that is appended
+//     twice, by a writer that did not receive the response or by one that was replaced and
+//     has not noticed yet, changes nothing.
+//   - Progress stores the text of items whose generation is not finished, so that another
+//     executor can resume them. A part is applied only if it starts a new text or follows
+//     the last stored part.
 //
-// Correctness therefore needs no single writer. The package is pure; callers
-// hold the lock.
+// Correctness therefore does not depend on a single writer. The package does no I/O and no
+// locking; callers synchronize access.
 package ledger
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -10,25 +10,26 @@
 // Result is the outcome of one item.
 type Result struct {
 	ItemID string
-	// Dead is set for an item that was given up; it has no text.
+	// Dead is set if the item was abandoned; it has no text then.
 	Dead bool
-	// Text names the data of all events, separated by line feeds.
+	// Text refers to the data of all events, separated by line feeds.
 	Text *pathbendv1.Blob
-	// Versions are the weight versions that made events of the text, ascending.
+	// Versions are the weight versions that generated events of the text, in ascending order.
 	Versions []uint64
-	// Score is the stamp of the reward call's answer; RewardID names that call.
+	// Score is the score from the reward call's response; RewardID identifies that call.
 	Score    string
 	RewardID string
 }
 
-// Progress is the text of an item that is not finished.
+// Progress is the partial text of an item whose generation is not finished.
 type Progress struct {
-	// ID names the last part of the text.
+	// ID identifies the last part of the text.
 	ID uint64
-	// Events counts the events of the text.
+	// Events is the number of events in the text.
 	Events uint64
-	// Parts name the text; a line feed lies between two of them.
-	Parts    []*pathbendv1.Blob
+	// Parts refer to the parts of the text, which are joined by line feeds.
+	Parts []*pathbendv1.Blob
+	// Versions are the weight versions that generated events of the text, in ascending order.
 	Versions []uint64
 }
 
@@ -38,15 +39,17 @@
 	Spec *pathbendv1.BatchJob
 	// ReceivedAt is when this process read the submission.
 	ReceivedAt time.Time
-	Ended      bool
-	// Results are the listed results; a result's position is its index.
+	// Ended is set once the end of the job was read, whether or not it is complete.
+	Ended bool
+	// Results are the results of items; a result's position is its index.
 	Results []Result
 
-	items  map[string]struct{}
-	listed map[string]int
+	items map[string]struct{}
+	// positions maps the ids of items with a result to the result's position.
+	positions map[string]int
 }
 
-// Total is the number of items.
+// Total returns the number of items, including those that have a result.
 func (j *Job) Total() int { return len(j.Spec.ItemIds) }
 
 // Has reports whether an item belongs to the job.
@@ -56,29 +59,30 @@
 }
 
 // Listed reports whether an item has a result.
-func (j *Job) Listed(id string) bool {
-	_, ok := j.listed[id]
+func (j *Job) Listed(itemID string) bool {
+	_, ok := j.positions[itemID]
 	return ok
 }
 
 // Complete reports whether every item has a result.
 func (j *Job) Complete() bool { return len(j.Results) == len(j.items) }
 
-// Open reports whether work on the job is wanted.
+// Open reports whether the job still needs work: it has not ended, and items lack a result.
 func (j *Job) Open() bool { return !j.Ended && !j.Complete() }
 
-// Ledger holds all jobs. It is not safe for concurrent use.
+// Ledger is the state of all jobs and claims. It is not safe for concurrent use.
 type Ledger struct {
 	assembler *assembler
 	jobs      map[string]*Job
-	// order lists the jobs by arrival.
+	// order lists the jobs in order of arrival.
 	order []*Job
-	// progress is kept by item id: a later job may bring an item again.
+	// progress is indexed by item id, without the job id: a later job may submit an item
+	// again.
 	progress map[string]Progress
-	// finished finds a finished text by item id.
+	// finished maps item ids to results with a finished text.
 	finished map[string]Result
-	// ended holds ends that came before their job, which a reader that begins
-	// in the middle of the log may see.
+	// ended holds the ids of jobs whose end was read before their submission, which can
+	// happen to a reader that starts in the middle of the log.
 	ended  map[string]bool
 	claims claims
 }
@@ -95,38 +99,45 @@
 	}
 }
 
-// Kind tells what an applied record changed.
+// Kind is the kind of a change.
 type Kind int
 
 // Kinds of changes.
 const (
-	// Nothing was changed: a repetition, or a part of a larger entry.
+	// Nothing means that no job changed: the record is a duplicate, part of an incomplete
+	// entry, or refers to no known job.
 	Nothing Kind = iota
+	// Submitted means that a job was added.
 	Submitted
+	// Ended means that a job ended.
 	Ended
+	// Listed means that results were added to a job.
 	Listed
+	// Progressed means that progress of a job's items was read.
 	Progressed
-	// Suspected tells of a request under which back ends ended; the ledger keeps nothing of
+	// Suspected reports a request during which back ends crashed; the ledger does not store
 	// it.
 	Suspected
 )
 
-// Change is what an applied record changed. It may be read without the lock,
-// but for the parts of Job that change.
+// Change describes the effect of an applied record. It may be read without the caller's
+// lock, except for the fields of Job that later records change.
 type Change struct {
 	Kind Kind
-	Job  *Job
+	// Job is the job that changed, nil for Nothing and Suspected.
+	Job *Job
 	// Listed are the new results of a Listed change.
 	Listed []Result
-	// Results counts all results of the job; Complete is set if every item has
+	// Results is the number of all results of the job; Complete is set if every item has
 	// one.
 	Results  int
 	Complete bool
-	// Suspect is what a Suspected change tells.
+	// Suspect is the request that a Suspected change reports.
 	Suspect *pathbendv1.SuspectRequest
 }
 
-// Apply applies the next record of the log at a time.
+// Apply applies the next record of the log. now is stored as the time at which a submission
+// or claim was read. The error is RecordMalformed if the record cannot be decoded.
 func (l *Ledger) Apply(record []byte, now time.Time) (Change, error) {
 	entry, err := l.assembler.add(record)
 	if err != nil || entry == nil {
@@ -138,11 +149,11 @@
 	case *pathbendv1.LedgerEntry_Ended:
 		return l.end(entry.JobId), nil
 	case *pathbendv1.LedgerEntry_Listed:
-		return l.list(entry.JobId, fact.Listed.Results), nil
+		return l.addResults(entry.JobId, fact.Listed.Results), nil
 	case *pathbendv1.LedgerEntry_Progress:
-		return l.advance(entry.JobId, fact.Progress.Items), nil
+		return l.addProgress(entry.JobId, fact.Progress.Items), nil
 	case *pathbendv1.LedgerEntry_Claimed:
-		l.claims.note(fact.Claimed, now)
+		l.claims.record(fact.Claimed, now)
 	case *pathbendv1.LedgerEntry_Suspect:
 		return Change{Kind: Suspected, Suspect: fact.Suspect}, nil
 	}
@@ -155,7 +166,7 @@
 	}
 	job := &Job{
 		ID: id, Spec: spec, ReceivedAt: now, Ended: l.ended[id],
-		items: make(map[string]struct{}, len(spec.ItemIds)), listed: make(map[string]int),
+		items: make(map[string]struct{}, len(spec.ItemIds)), positions: make(map[string]int),
 	}
 	for _, itemID := range spec.ItemIds {
 		job.items[itemID] = struct{}{}
@@ -179,61 +190,62 @@
 	return Change{Kind: Ended, Job: job, Results: len(job.Results)}
 }
 
-func (l *Ledger) list(id string, results []*pathbendv1.BatchResult) Change {
+func (l *Ledger) addResults(id string, results []*pathbendv1.BatchResult) Change {
 	job, ok := l.jobs[id]
 	if !ok {
 		return Change{}
 	}
-	from := len(job.Results)
-	for _, listed := range results {
-		l.listOne(job, listed)
+	before := len(job.Results)
+	for _, itemResult := range results {
+		l.addResult(job, itemResult)
 	}
-	if len(job.Results) == from {
+	if len(job.Results) == before {
 		return Change{}
 	}
 	return Change{
-		Kind: Listed, Job: job, Listed: job.Results[from:], Results: len(job.Results), Complete: job.Complete(),
+		Kind: Listed, Job: job, Listed: job.Results[before:], Results: len(job.Results), Complete: job.Complete(),
 	}
 }
 
-func (l *Ledger) listOne(job *Job, listed *pathbendv1.BatchResult) {
-	if !job.Has(listed.ItemId) || job.Listed(listed.ItemId) {
+func (l *Ledger) addResult(job *Job, itemResult *pathbendv1.BatchResult) {
+	if !job.Has(itemResult.ItemId) || job.Listed(itemResult.ItemId) {
 		return
 	}
 	added := Result{
-		ItemID: listed.ItemId, Dead: listed.Dead, Text: listed.Text, Versions: listed.Versions,
-		Score: listed.Score, RewardID: listed.RewardId,
+		ItemID: itemResult.ItemId, Dead: itemResult.Dead, Text: itemResult.Text, Versions: itemResult.Versions,
+		Score: itemResult.Score, RewardID: itemResult.RewardId,
 	}
-	job.listed[listed.ItemId] = len(job.Results)
+	job.positions[itemResult.ItemId] = len(job.Results)
 	job.Results = append(job.Results, added)
-	delete(l.progress, listed.ItemId)
-	if !listed.Dead {
-		l.finished[listed.ItemId] = added
+	delete(l.progress, itemResult.ItemId)
+	if !itemResult.Dead {
+		l.finished[itemResult.ItemId] = added
 	}
 }
 
-func (l *Ledger) advance(id string, items []*pathbendv1.ItemProgress) Change {
+func (l *Ledger) addProgress(id string, items []*pathbendv1.ItemProgress) Change {
 	job, ok := l.jobs[id]
 	if !ok {
 		return Change{}
 	}
 	for _, item := range items {
-		kept := l.progress[item.ItemId]
+		saved := l.progress[item.ItemId]
 		if !job.Has(item.ItemId) || job.Listed(item.ItemId) {
 			continue
 		}
-		if item.Previous != 0 && item.Previous != kept.ID {
+		if item.Previous != 0 && item.Previous != saved.ID {
 			continue
 		}
 		if item.Previous == 0 {
-			kept = Progress{}
+			saved = Progress{}
 		}
-		l.progress[item.ItemId] = kept.extended(item)
+		l.progress[item.ItemId] = saved.withPart(item)
 	}
 	return Change{Kind: Progressed, Job: job}
 }
 
-func (p Progress) extended(item *pathbendv1.ItemProgress) Progress {
+// withPart returns the progress with another part appended, and leaves p unchanged.
+func (p Progress) withPart(item *pathbendv1.ItemProgress) Progress {
 	return Progress{
 		ID:       item.Id,
 		Events:   p.Events + item.Events,
@@ -242,44 +254,47 @@
 	}
 }
 
-// MergeVersions returns the versions of both lists, ascending and once each.
+// MergeVersions returns the versions of both lists in ascending order, without duplicates.
 func MergeVersions(a, b []uint64) []uint64 {
 	merged := append(slices.Clone(a), b...)
 	slices.Sort(merged)
 	return slices.Compact(merged)
 }
 
-// Job returns a job by id, nil if it is not known.
+// Job returns a job by id, or nil if the job is unknown.
 func (l *Ledger) Job(id string) *Job { return l.jobs[id] }
 
-// Jobs returns all jobs by arrival. The caller must not modify the slice.
+// Jobs returns all jobs in order of arrival. The caller must not modify the slice.
 func (l *Ledger) Jobs() []*Job { return l.order }
 
-// Progress returns the kept text of an item that is not finished.
+// Progress returns the partial text of an item that has no result, and false if there is
+// none.
 func (l *Ledger) Progress(itemID string) (Progress, bool) {
-	kept, ok := l.progress[itemID]
-	return kept, ok
+	saved, ok := l.progress[itemID]
+	return saved, ok
 }
 
-// Finished returns a listed text of an item, from whichever job.
+// Finished returns the result of an item with a finished text, whichever job it belongs to,
+// and false if there is none.
 func (l *Ledger) Finished(itemID string) (Result, bool) {
-	listed, ok := l.finished[itemID]
-	return listed, ok
+	finished, ok := l.finished[itemID]
+	return finished, ok
 }
 
-// Expire forgets the jobs received before a time, and the claims read before it.
+// Expire removes the jobs that were received before a time, and the claims that were read
+// before it.
 func (l *Ledger) Expire(before time.Time) {
-	kept := slices.IndexFunc(l.order, func(job *Job) bool { return !job.ReceivedAt.Before(before) })
-	if kept < 0 {
-		kept = len(l.order)
+	firstKept := slices.IndexFunc(l.order, func(job *Job) bool { return !job.ReceivedAt.Before(before) })
+	if firstKept < 0 {
+		firstKept = len(l.order)
 	}
-	for _, job := range l.order[:kept] {
+	for _, job := range l.order[:firstKept] {
 		delete(l.jobs, job.ID)
 		for id := range job.items {
 			delete(l.progress, id)
 			delete(l.finished, id)
 		}
 	}
-	l.order = slices.Clone(l.order[kept:])
+	l.order = slices.Clone(l.order[firstKept:])
 	l.claims.expire(before)
 }
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -18,20 +18,20 @@
 
 var start = time.Unix(1_000_000, 0)
 
-func submission(id string, items ...string) *pathbendv1.LedgerEntry {
+func submissionEntry(id string, items ...string) *pathbendv1.LedgerEntry {
 	job := &pathbendv1.BatchJob{Host: "h", Path: "/p/", ItemIds: items}
 	return &pathbendv1.LedgerEntry{JobId: id, Fact: &pathbendv1.LedgerEntry_Submitted{Submitted: job}}
 }
 
-func listing(id string, results ...*pathbendv1.BatchResult) *pathbendv1.LedgerEntry {
+func resultsEntry(id string, results ...*pathbendv1.BatchResult) *pathbendv1.LedgerEntry {
 	return &pathbendv1.LedgerEntry{JobId: id, Fact: &pathbendv1.LedgerEntry_Listed{Listed: &pathbendv1.BatchResults{Results: results}}}
 }
 
-func ending(id string) *pathbendv1.LedgerEntry {
+func endEntry(id string) *pathbendv1.LedgerEntry {
 	return &pathbendv1.LedgerEntry{JobId: id, Fact: &pathbendv1.LedgerEntry_Ended{Ended: &pathbendv1.BatchEnd{}}}
 }
 
-func progress(id string, items ...*pathbendv1.ItemProgress) *pathbendv1.LedgerEntry {
+func progressEntry(id string, items ...*pathbendv1.ItemProgress) *pathbendv1.LedgerEntry {
 	return &pathbendv1.LedgerEntry{JobId: id, Fact: &pathbendv1.LedgerEntry_Progress{Progress: &pathbendv1.BatchProgress{Items: items}}}
 }
 
@@ -47,8 +47,8 @@
 	return found
 }
 
-// longIDs returns ids of which a few fill a record.
-func longIDs(prefix string, count int) []string {
+// longItemIDs returns item ids of 101 bytes or more, so that a few of them fill a record.
+func longItemIDs(prefix string, count int) []string {
 	ids := make([]string, count)
 	for i := range ids {
 		ids[i] = strings.Repeat(prefix, 100) + fmt.Sprint(i)
@@ -70,15 +70,15 @@
 	return last
 }
 
-func TestFirstSubmissionAndFirstResultCount(t *testing.T) {
+func TestOnlyFirstSubmissionAndFirstResultAreApplied(t *testing.T) {
 	l := New()
-	require.Equal(t, Submitted, apply(t, l, submission("j", "a", "b")).Kind)
-	require.Equal(t, Nothing, apply(t, l, submission("j", "c")).Kind)
-	apply(t, l, listing("j", &pathbendv1.BatchResult{ItemId: "b", Text: blob(1)}))
-	change := apply(t, l, listing("j",
+	require.Equal(t, Submitted, apply(t, l, submissionEntry("j", "a", "b")).Kind)
+	require.Equal(t, Nothing, apply(t, l, submissionEntry("j", "c")).Kind)
+	apply(t, l, resultsEntry("j", &pathbendv1.BatchResult{ItemId: "b", Text: blob(1)}))
+	change := apply(t, l, resultsEntry("j",
 		&pathbendv1.BatchResult{ItemId: "b", Text: blob(2)},
 		&pathbendv1.BatchResult{ItemId: "a", Text: blob(3)},
-		&pathbendv1.BatchResult{ItemId: "stranger"},
+		&pathbendv1.BatchResult{ItemId: "unknown-item"},
 	))
 	require.Equal(t, Listed, change.Kind)
 	require.True(t, change.Complete)
@@ -91,43 +91,44 @@
 
 func TestResultsMayFollowTheEnd(t *testing.T) {
 	l := New()
-	apply(t, l, submission("j", "a"))
-	require.Equal(t, Ended, apply(t, l, ending("j")).Kind)
-	require.Equal(t, Nothing, apply(t, l, ending("j")).Kind)
-	apply(t, l, listing("j", &pathbendv1.BatchResult{ItemId: "a"}))
+	apply(t, l, submissionEntry("j", "a"))
+	require.Equal(t, Ended, apply(t, l, endEntry("j")).Kind)
+	require.Equal(t, Nothing, apply(t, l, endEntry("j")).Kind)
+	apply(t, l, resultsEntry("j", &pathbendv1.BatchResult{ItemId: "a"}))
 	require.Len(t, l.Job("j").Results, 1)
 	require.False(t, l.Job("j").Open())
 }
 
-// Two executors that both believed to own an item saved parts of different
-// runs; joined by event number alone, they made a text that no sampler made.
+// Guards against joining parts of different runs into a text that no sampler generated. Two
+// executors that both consider themselves owner of an item save parts of their own runs, whose
+// event numbers alone fit each other.
 func TestPartsOfTwoRunsAreNeverJoined(t *testing.T) {
 	l := New()
-	apply(t, l, submission("j", "a"))
+	apply(t, l, submissionEntry("j", "a"))
 	part := func(id, previous, offset uint64) *pathbendv1.ItemProgress {
 		return &pathbendv1.ItemProgress{ItemId: "a", Id: id, Previous: previous, Text: blob(offset), Events: 1, Versions: []uint64{3}}
 	}
-	apply(t, l, progress("j", part(1, 0, 11)))
-	apply(t, l, progress("j", part(7, 0, 21))) // a new executor begins anew
-	apply(t, l, progress("j", part(2, 1, 12))) // the former one goes on
+	apply(t, l, progressEntry("j", part(1, 0, 11)))
+	apply(t, l, progressEntry("j", part(7, 0, 21))) // another executor starts a new run
+	apply(t, l, progressEntry("j", part(2, 1, 12))) // the previous executor continues its run
 	kept, ok := l.Progress("a")
 	require.True(t, ok)
 	require.Equal(t, []uint64{21}, offsets(kept.Parts))
-	apply(t, l, progress("j", part(8, 7, 22)))
+	apply(t, l, progressEntry("j", part(8, 7, 22)))
 	kept, _ = l.Progress("a")
 	require.Equal(t, []uint64{21, 22}, offsets(kept.Parts))
 	require.EqualValues(t, 2, kept.Events)
 	require.EqualValues(t, 8, kept.ID)
-	apply(t, l, listing("j", &pathbendv1.BatchResult{ItemId: "a"}))
+	apply(t, l, resultsEntry("j", &pathbendv1.BatchResult{ItemId: "a"}))
 	_, ok = l.Progress("a")
 	require.False(t, ok)
 }
 
-func TestLargeEntriesTravelInChunksInAnyInterleaving(t *testing.T) {
+func TestInterleavedChunksAreReassembled(t *testing.T) {
 	l := New()
-	first, err := Encode(submission("j1", longIDs("a", 12)...), 1, testRecordBytes)
+	first, err := Encode(submissionEntry("j1", longItemIDs("a", 12)...), 1, testRecordBytes)
 	require.NoError(t, err)
-	second, err := Encode(submission("j2", longIDs("b", 12)...), 2, testRecordBytes)
+	second, err := Encode(submissionEntry("j2", longItemIDs("b", 12)...), 2, testRecordBytes)
 	require.NoError(t, err)
 	require.Greater(t, len(first), 1)
 	for i := range max(len(first), len(second)) {
@@ -138,13 +139,13 @@
 			}
 		}
 	}
-	require.Equal(t, longIDs("a", 12), l.Job("j1").Spec.ItemIds)
-	require.Equal(t, longIDs("b", 12), l.Job("j2").Spec.ItemIds)
+	require.Equal(t, longItemIDs("a", 12), l.Job("j1").Spec.ItemIds)
+	require.Equal(t, longItemIDs("b", 12), l.Job("j2").Spec.ItemIds)
 }
 
-func TestBadRecordsAreRefusedAndChangeNothing(t *testing.T) {
+func TestMalformedRecordsAreRejectedWithoutChange(t *testing.T) {
 	l := New()
-	apply(t, l, submission("j", "a"))
+	apply(t, l, submissionEntry("j", "a"))
 	noJob, err := proto.Marshal(&pathbendv1.LedgerChunk{Count: 1, Payload: nil})
 	require.NoError(t, err)
 	badIndex, err := proto.Marshal(&pathbendv1.LedgerChunk{Index: 3, Count: 2})
@@ -156,10 +157,10 @@
 	require.Len(t, l.Jobs(), 1)
 }
 
-func TestOldJobsAreForgotten(t *testing.T) {
+func TestExpiredJobsAreRemoved(t *testing.T) {
 	l := New()
-	apply(t, l, submission("old", "a"))
-	records, err := Encode(submission("new", "b"), 9, testRecordBytes)
+	apply(t, l, submissionEntry("old", "a"))
+	records, err := Encode(submissionEntry("new", "b"), 9, testRecordBytes)
 	require.NoError(t, err)
 	_, err = l.Apply(records[0], start.Add(time.Minute))
 	require.NoError(t, err)
@@ -168,9 +169,9 @@
 	require.NotNil(t, l.Job("new"))
 }
 
-// Every reader of the same records holds the same results at the same places,
-// however often records were repeated.
-func TestReadersAgreeWhateverIsRepeated(t *testing.T) {
+// Readers of the same records must hold the same results at the same positions, however
+// often a result is appended.
+func TestReadersAgreeDespiteDuplicateRecords(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	var log [][]byte
 	add := func(entry *pathbendv1.LedgerEntry) {
@@ -178,39 +179,39 @@
 		require.NoError(t, err)
 		log = append(log, records...)
 	}
-	add(submission("j", "0", "1", "2", "3", "4", "5", "6", "7"))
+	add(submissionEntry("j", "0", "1", "2", "3", "4", "5", "6", "7"))
 	for range 40 {
 		item := fmt.Sprint(random.IntN(8))
-		add(listing("j", &pathbendv1.BatchResult{ItemId: item, Text: blob(random.Uint64N(1000))}))
+		add(resultsEntry("j", &pathbendv1.BatchResult{ItemId: item, Text: blob(random.Uint64N(1000))}))
 	}
-	one, two := New(), New()
-	positions := make(map[int]uint64)
+	first, second := New(), New()
+	offsetAt := make(map[int]uint64)
 	for _, record := range log {
-		_, err := one.Apply(record, start)
+		_, err := first.Apply(record, start)
 		require.NoError(t, err)
-		if one.Job("j") == nil {
+		if first.Job("j") == nil {
 			continue
 		}
-		for position, listed := range one.Job("j").Results {
-			if text, known := positions[position]; known {
-				require.Equal(t, text, listed.Text.Offset)
+		for position, listed := range first.Job("j").Results {
+			if offset, known := offsetAt[position]; known {
+				require.Equal(t, offset, listed.Text.Offset)
 			}
-			positions[position] = listed.Text.Offset
+			offsetAt[position] = listed.Text.Offset
 		}
 	}
 	for _, record := range log {
-		_, err := two.Apply(record, start.Add(time.Hour))
+		_, err := second.Apply(record, start.Add(time.Hour))
 		require.NoError(t, err)
 	}
-	require.Len(t, two.Job("j").Results, len(one.Job("j").Results))
-	for position, listed := range two.Job("j").Results {
-		require.Equal(t, one.Job("j").Results[position].ItemID, listed.ItemID)
-		require.Equal(t, positions[position], listed.Text.Offset)
+	require.Len(t, second.Job("j").Results, len(first.Job("j").Results))
+	for position, listed := range second.Job("j").Results {
+		require.Equal(t, first.Job("j").Results[position].ItemID, listed.ItemID)
+		require.Equal(t, offsetAt[position], listed.Text.Offset)
 	}
 }
 
 func FuzzApply(f *testing.F) {
-	records, err := Encode(submission("j", "a"), 1, testRecordBytes)
+	records, err := Encode(submissionEntry("j", "a"), 1, testRecordBytes)
 	require.NoError(f, err)
 	f.Add(records[0])
 	f.Add([]byte{})
@@ -221,7 +222,7 @@
 	})
 }
 
-func TestOrdersAreKnownToAll(t *testing.T) {
+func TestClaimsAreKnownBySubjectAndHolder(t *testing.T) {
 	l := New()
 	_, known := l.LastClaim("s", "a")
 	require.False(t, known)
@@ -235,7 +236,7 @@
 	require.True(t, known)
 	require.Equal(t, Claim{Holder: "a", Fence: 2, Serial: 12, ReadAt: start}, last)
 	require.Equal(t, last, l.NewestClaim())
-	require.Equal(t, start, l.LastClaimByOthers("s", "a"), "that of b")
+	require.Equal(t, start, l.LastClaimByOthers("s", "a"), "read time of b's claim")
 	require.Zero(t, l.LastClaimByOthers("other", "a"))
 	l.Expire(start.Add(time.Minute))
 	_, known = l.LastClaim("s", "a")
--- a/internal/platformsim/mutants_test.go
+++ b/internal/platformsim/mutants_test.go
@@ -20,10 +20,10 @@
 		mutation.Replace("internal/schedule/text.go", "return versions[0] >= a.MinVersion", "return true"),
 	}},
 	{Promise: "ORDER: parts of two runs are not joined", Test: "TestPartsOfTwoRunsAreNeverJoined", Package: "./internal/ledger", Edits: []mutation.Edit{
-		mutation.Replace("internal/ledger/ledger.go", "if item.Previous != 0 && item.Previous != kept.ID {", "if false {"),
+		mutation.Replace("internal/ledger/ledger.go", "if item.Previous != 0 && item.Previous != saved.ID {", "if false {"),
 	}},
 	{Promise: "TWICE: the first result counts", Edits: []mutation.Edit{
-		mutation.Replace("internal/ledger/ledger.go", "if !job.Has(listed.ItemId) || job.Listed(listed.ItemId) {\n\t\treturn\n\t}\n\tadded", "if !job.Has(listed.ItemId) {\n\t\treturn\n\t}\n\tadded"),
+		mutation.Replace("internal/ledger/ledger.go", "if !job.Has(itemResult.ItemId) || job.Listed(itemResult.ItemId) {\n\t\treturn\n\t}\n\tadded", "if !job.Has(itemResult.ItemId) {\n\t\treturn\n\t}\n\tadded"),
 	}},
 	{Promise: "UNASKED: an ended job stops", Test: "TestEndedJobIsNotGoneOnWith", Package: "./internal/hosted", Edits: []mutation.Edit{
 		mutation.Replace("internal/hosted/executor.go", "stopped := e.scheduler.DropJob(change.Job.ID, time.Now())", "var stopped []schedule.Key"),
