--- a/internal/ownership/doc.go
+++ b/internal/ownership/doc.go
@@ -1,9 +1,11 @@
-// Package ownership keeps a node's share of the partitions of batch jobs.
+// Package ownership maintains a node's partition assignment in the consumer group that
+// distributes batch jobs.
 //
-// State: the generation and partitions that the group dealt out last, and when that was
-// renewed. One goroutine, in Run, looks who holds the jobs, stands as package election
-// decides, renews the share and gives it back; all else reads the state under a lock. Inputs
-// are the group, what nodes announced of their machines, and whether this node is prepared to
-// execute. It calls the group and the callback that hands over what is executed; who executes
-// and orders asks Executes and MayOrder before each step.
+// The state is the generation and partitions that the group assigned last, and the time of
+// the last renewal. One goroutine, in Run, observes the owners of the partitions, joins and
+// leaves the group as package election decides, and renews and releases the assignment;
+// other goroutines read the state under a mutex. Inputs are the group, the capacities that
+// nodes announced, and whether this node is prepared to execute jobs. The package calls the
+// group and the callback that hands over running work. Code that executes jobs or sends
+// orders to samplers calls Executes or MayOrder before each step.
 package ownership
--- a/internal/ownership/holder.go
+++ b/internal/ownership/holder.go
@@ -16,205 +16,221 @@
 )
 
 const (
-	// renewalsPerTTL is how often a share is renewed within its time.
+	// renewalsPerTTL is the number of renewals within the TTL of an assignment.
 	renewalsPerTTL = 3
-	// confirmPause is the pause before a new generation is confirmed.
-	confirmPause = 20 * time.Millisecond
-	// awaitPause is the pause between renewals of a member that waits for its share.
-	awaitPause = 100 * time.Millisecond
-	// renewTimeout bounds one renewal.
+	// confirmDelay is the delay before a new generation is confirmed.
+	confirmDelay = 20 * time.Millisecond
+	// assignmentPollInterval is the interval between renewals by a member that waits for its
+	// partition.
+	assignmentPollInterval = 100 * time.Millisecond
+	// renewTimeout is the timeout of one renewal, including all of its calls, and of any
+	// other call to the group. It is extended by Group.Beyond.
 	renewTimeout = 600 * time.Millisecond
-	// renewHedge is when a further call of the same renewal goes out beside those that
-	// have no answer, up to mostRenewals: the log service answers in some 5 ms, and a
-	// share lapses when the answers of a few renewals in a row are lost.
-	renewHedge   = 120 * time.Millisecond
-	mostRenewals = 4
-	// farAway is the round trip from which on a node leaves the jobs to nearer ones, if there
-	// are any: regions of one country are some 20 ms away and back, on a new connection
-	// twice that; those of a continent 50 to 100 ms (chosen between them).
-	farAway = 45 * time.Millisecond
-	// OrderMargin is kept between the last order and the end of the share.
+	// renewHedgeDelay is the time without a response after which another call is sent for the
+	// same renewal, up to maxConcurrentRenewals calls. The log service responds in about 5 ms,
+	// and an assignment expires if the responses of a few consecutive renewals are lost.
+	renewHedgeDelay       = 120 * time.Millisecond
+	maxConcurrentRenewals = 4
+	// farRoundTrip is the round-trip time to the log service above which a node lets nearer
+	// nodes, if any, join first. Round trips between regions of one country take about 20 ms,
+	// and twice that on a new connection; those across a continent take 50 to 100 ms.
+	farRoundTrip = 45 * time.Millisecond
+	// OrderMargin is the safety margin between the last order and the expiry of the
+	// assignment.
 	OrderMargin = 200 * time.Millisecond
-	// IsolatedLimit is how long a node that cannot renew its share goes on with
-	// its jobs: the log service may be down for all, and then nobody else can
-	// take them over.
-	IsolatedLimit = 8 * time.Second
+	// isolationTimeout is how long a node that cannot renew its assignment continues to
+	// execute its jobs. The log service may be unavailable to all nodes, in which case no
+	// other node can take the jobs over.
+	isolationTimeout = 8 * time.Second
 )
 
-// Settings are what a holder is a member with.
+// Settings configure a node's membership in the group.
 type Settings struct {
-	// Member is the node's name, Millicores the processor time a second that it may use, 0 if
-	// that is not known.
-	Member     string
+	// Member is the node's name.
+	Member string
+	// Millicores is the processor time that the node may use, in thousandths of a core. Zero
+	// means unknown.
 	Millicores uint64
-	// Group deals out the partitions of Topic. Who holds Partition executes.
+	// Group is the consumer group that assigns the partitions of Topic. The member that holds
+	// Partition executes the jobs.
 	Group     string
 	Topic     string
 	Partition int
-	// TTL is how long a share outlasts its last renewal.
+	// TTL is how long an assignment remains valid after its last renewal.
 	TTL time.Duration
 }
 
-// Capacities is what nodes announced of their machines.
+// Capacities provides the capacities that nodes announced.
 type Capacities interface {
-	// Announced returns what an election needs: the largest capacity known, the
-	// number of nodes and a way to look a node up. ok is false until the log was
-	// read once.
+	// Announced returns the announced capacities. ok is false until the log was read once.
 	Announced() (announced Announcements, ok bool)
 }
 
-// Announcements are capacities in thousandths of a core.
+// Announcements are the capacities of nodes in thousandths of a core, as an election needs
+// them.
 type Announcements struct {
-	// Largest is the largest known, Nodes the number of nodes, Of looks a node up.
+	// Largest is the largest known capacity.
 	Largest uint64
-	Nodes   int
-	Of      func(node string) uint64
+	// Nodes is the number of nodes.
+	Nodes int
+	// Of returns the capacity of a node, 0 if it is unknown.
+	Of func(node string) uint64
 }
 
-// Candidacy is what an election needs to know of this node's preparation.
+// Candidacy tells an election whether this node is prepared to execute jobs.
 type Candidacy interface {
-	// Candidate reports whether this node is among those that are prepared to execute, and
-	// how many are.
-	Candidate() (stands bool, candidates int)
-	// Able reports whether it has all that it needs by now, Prepare makes it get and keep
-	// that, Release lets it go.
+	// Candidate reports whether this node is one of the nodes that prepare to execute jobs,
+	// and the number of such nodes.
+	Candidate() (isCandidate bool, candidates int)
+	// Able reports whether the node holds all data that it needs to execute.
 	Able() bool
+	// Prepare makes the node load that data and keep it up to date.
 	Prepare()
+	// Release allows the node to drop that data.
 	Release()
 }
 
-// Group deals the partitions out, and tells how much longer its answers take than those of
-// a service next door.
+// Group assigns the partitions to its members.
 type Group interface {
 	sharedlog.Group
+	// Beyond returns how much longer the group's responses take than those of a service in
+	// the same data center.
 	Beyond() time.Duration
-	// Away is the round trip to it.
+	// Away returns the round-trip time to the group.
 	Away() time.Duration
 }
 
-// Callbacks are what a holder tells the node.
+// Callbacks notify the node of changes to its assignment.
 type Callbacks struct {
-	// HandOver saves what this node executes before it leaves the group.
+	// HandOver saves the state of running work before the node leaves the group.
 	HandOver func(ctx context.Context)
-	// Changed is called when other partitions are held than before.
+	// Changed is called when the set of held partitions changes. It is called with the
+	// Holder's mutex held and must not call the Holder's methods.
 	Changed func()
 }
 
-// Holder keeps this node's share of the job partitions.
+// Holder maintains this node's assignment of the job partitions. It is safe for concurrent
+// use; Run must be called only once.
 type Holder struct {
 	settings   Settings
 	group      Group
 	capacities Capacities
-	// candidacy tells whether this node is prepared to execute; nil where all are.
+	// candidacy tells whether this node is prepared to execute. It is nil if all nodes are.
 	candidacy Candidacy
 	callbacks Callbacks
 	logger    *event.Logger
 
-	standing election.Standing
-	// lookAt is when to look at the owners next.
-	lookAt time.Time
+	candidate election.Standing
+	// nextObserveAt is the time of the next observation of the owners.
+	nextObserveAt time.Time
 
 	mutex      sync.Mutex
 	generation uint64
-	held       map[int]struct{}
-	renewedAt  clock.Moment
-	lost       bool
-	left       bool
+	// held is the set of assigned partitions.
+	held      map[int]struct{}
+	renewedAt clock.Moment
+	// contactLost is set while renewals fail.
+	contactLost bool
+	// left is set by Leave. The node does not join again.
+	left bool
 }
 
-// New returns a holder that holds nothing. candidacy is nil where all nodes are prepared alike.
-func New(settings Settings, group Group, known Capacities, candidacy Candidacy, callbacks Callbacks, logger *event.Logger) *Holder {
+// New returns a holder without partitions. candidacy is nil if all nodes are prepared to
+// execute.
+func New(settings Settings, group Group, announced Capacities, candidacy Candidacy, callbacks Callbacks, logger *event.Logger) *Holder {
 	return &Holder{
-		settings: settings, group: group, capacities: known, candidacy: candidacy, callbacks: callbacks, logger: logger,
+		settings: settings, group: group, capacities: announced, candidacy: candidacy, callbacks: callbacks, logger: logger,
 		held: make(map[int]struct{}),
 	}
 }
 
-// Run takes part in the group until ctx ends or the node leaves it.
+// Run participates in the group until ctx ends or the node leaves it.
 func (o *Holder) Run(ctx context.Context) {
 	for ctx.Err() == nil && !o.hasLeft() {
 		began := time.Now()
-		if !o.stands(ctx, began) {
-			wait.Until(ctx, o.lookAt)
+		if !o.reconcileMembership(ctx, began) {
+			wait.Until(ctx, o.nextObserveAt)
 			continue
 		}
 		next := began.Add(o.settings.TTL / renewalsPerTTL)
 		if o.renew(ctx) {
-			// A partition that is to move passes on only once its holder has
-			// answered with the new generation.
-			next = began.Add(confirmPause)
-		} else if !o.holds(o.settings.Partition, began) {
-			next = began.Add(awaitPause)
+			// The group reassigns a partition only after its holder has confirmed the
+			// new generation.
+			next = began.Add(confirmDelay)
+		} else if !o.hasValidAssignment(o.settings.Partition, began) {
+			next = began.Add(assignmentPollInterval)
 		}
 		wait.Until(ctx, next)
 	}
 }
 
-// stands decides whether this node is to be in the group, and leaves the group
-// if it is not any more.
-func (o *Holder) stands(ctx context.Context, now time.Time) bool {
+// reconcileMembership reports whether this node is to be a member of the group, and leaves
+// the group if it no longer is.
+func (o *Holder) reconcileMembership(ctx context.Context, now time.Time) bool {
 	announced, ok := o.capacities.Announced()
 	if !ok {
-		o.lookAt = now.Add(unreadPause)
+		o.nextObserveAt = now.Add(capacityPollInterval)
 		return false
 	}
 	view := election.View{Largest: announced.Largest}
 	candidates := announced.Nodes
 	if o.candidacy != nil {
-		stands, count := o.candidacy.Candidate()
-		if view.Reserve = !stands; stands {
+		isCandidate, count := o.candidacy.Candidate()
+		if view.Reserve = !isCandidate; isCandidate {
 			candidates = count
 		}
 		view.Unready = !o.candidacy.Able()
 	}
-	regular := view.Regular(o.settings.Millicores) && !view.Reserve
-	stale := o.standing.Joined() && !o.renewedWithin(o.settings.TTL, now)
-	if !stale && (now.Before(o.lookAt) || regular && o.holds(o.settings.Partition, now)) {
-		return o.standing.Joined()
+	large := view.Regular(o.settings.Millicores) && !view.Reserve
+	stale := o.candidate.Joined() && !o.renewedWithin(o.settings.TTL, now)
+	if !stale && (now.Before(o.nextObserveAt) || large && o.hasValidAssignment(o.settings.Partition, now)) {
+		return o.candidate.Joined()
 	}
-	o.lookAt = now.Add(spreadLook(lookEvery(candidates, regular)))
+	o.nextObserveAt = now.Add(withJitter(observeInterval(candidates, large)))
 	callCtx, cancel := context.WithTimeout(ctx, renewTimeout+o.group.Beyond())
 	defer cancel()
 	owners, err := o.group.Owners(callCtx, o.settings.Group)
 	if err != nil {
-		return o.standing.Joined() && !stale
+		return o.candidate.Joined() && !stale
 	}
-	before := o.standing.Joined()
-	view.Owners, view.Far = o.describe(owners, announced), o.group.Away() > farAway
-	o.standing.Look(view, o.settings.Millicores)
+	before := o.candidate.Joined()
+	view.Owners, view.Far = o.electionOwners(owners, announced), o.group.Away() > farRoundTrip
+	o.candidate.Look(view, o.settings.Millicores)
 	o.prepare(view)
-	if joined := o.standing.Joined(); joined != before {
+	if joined := o.candidate.Joined(); joined != before {
 		o.logger.Log(event.StandingChanged, "joins", joined, "millicores", o.settings.Millicores, "largest", view.Largest,
 			"owners", len(owners))
 		if !joined {
 			o.withdraw(ctx)
 		}
 	}
-	return o.standing.Joined()
+	return o.candidate.Joined()
 }
 
-// prepare lets the node have what it needs to execute, or not, by its standing.
+// prepare makes the node load or release the data that it needs to execute, depending on
+// its candidacy.
 func (o *Holder) prepare(view election.View) {
 	switch {
 	case o.candidacy == nil:
-	case o.standing.Joined() || o.standing.Wanted(view, o.settings.Millicores):
+	case o.candidate.Joined() || o.candidate.Wanted(view, o.settings.Millicores):
 		o.candidacy.Prepare()
 	default:
 		o.candidacy.Release()
 	}
 }
 
-// renewedWithin reports whether the share was renewed of late. A node that was out of
-// touch for longer than the share lasts looks who holds it now before it enters the
-// group again: its entry alone would make the service deal anew.
+// renewedWithin reports whether the assignment was renewed within a period. A node whose
+// assignment has expired observes the current owners before it joins the group again,
+// because joining alone makes the service rebalance the group.
 func (o *Holder) renewedWithin(limit time.Duration, now time.Time) bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	return o.renewedAt.AgeAt(now) < limit
 }
 
-// holds reports whether this node's share surely lasts.
-func (o *Holder) holds(partition int, now time.Time) bool {
+// hasValidAssignment reports whether this node holds a partition and its assignment has not
+// expired.
+func (o *Holder) hasValidAssignment(partition int, now time.Time) bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	_, held := o.held[partition]
@@ -222,53 +238,58 @@
 }
 
 const (
-	// unreadPause is the pause of a node that has not read the log yet.
-	unreadPause = 20 * time.Millisecond
-	// ShortestLook is the shortest pause between looks at the owners by a node with
-	// a large machine, shortestSmallLook that by a node with a small one.
-	ShortestLook      = 300 * time.Millisecond
-	shortestSmallLook = time.Second
-	// lookPerNode and smallLookPerNode lengthen these so that all nodes together
-	// ask no more than some hundred times a second.
-	lookPerNode      = 5 * time.Millisecond
-	smallLookPerNode = 10 * time.Millisecond
+	// capacityPollInterval is the interval at which a node that has not read the announced
+	// capacities yet checks for them.
+	capacityPollInterval = 20 * time.Millisecond
+	// ShortestLook is the minimum interval between observations of the owners by a large
+	// node, and minSmallNodeObserveInterval that by a small one.
+	ShortestLook                = 300 * time.Millisecond
+	minSmallNodeObserveInterval = time.Second
+	// observeIntervalPerNode and smallNodeObserveIntervalPerNode lengthen the interval in
+	// proportion to the number of nodes, so that all nodes together send no more than a few
+	// hundred requests a second.
+	observeIntervalPerNode          = 5 * time.Millisecond
+	smallNodeObserveIntervalPerNode = 10 * time.Millisecond
 )
 
-func lookEvery(nodes int, regular bool) time.Duration {
-	if regular {
-		return max(ShortestLook, time.Duration(nodes)*lookPerNode)
+// observeInterval returns the average interval between observations of the owners by one
+// of a number of nodes.
+func observeInterval(nodes int, large bool) time.Duration {
+	if large {
+		return max(ShortestLook, time.Duration(nodes)*observeIntervalPerNode)
 	}
-	return max(shortestSmallLook, time.Duration(nodes)*smallLookPerNode)
+	return max(minSmallNodeObserveInterval, time.Duration(nodes)*smallNodeObserveIntervalPerNode)
 }
 
-// spreadLook draws a pause around a length, so that nodes that started together do
-// not enter the group together.
-func spreadLook(length time.Duration) time.Duration {
-	const least, width = 0.7, 0.6
-	return time.Duration(float64(length) * (least + width*rand.Float64()))
+// withJitter returns an interval with random jitter of up to 30 %, so that nodes that
+// started together do not join the group together.
+func withJitter(interval time.Duration) time.Duration {
+	const minFactor, factorRange = 0.7, 0.6
+	return time.Duration(float64(interval) * (minFactor + factorRange*rand.Float64()))
 }
 
-func (o *Holder) describe(owners []sharedlog.Owner, announced Announcements) []election.Owner {
-	var described []election.Owner
+// electionOwners converts the owners of the topic's partitions to those of an election.
+func (o *Holder) electionOwners(owners []sharedlog.Owner, announced Announcements) []election.Owner {
+	var converted []election.Owner
 	for _, owner := range owners {
 		if owner.Partition.Topic != o.settings.Topic {
 			continue
 		}
-		described = append(described, election.Owner{
+		converted = append(converted, election.Owner{
 			Millicores: announced.Of(owner.Member), Self: owner.Member == o.settings.Member,
 			Jobs: owner.Partition.Number == o.settings.Partition,
 		})
 	}
-	return described
+	return converted
 }
 
-// withdraw leaves the group until the node stands again.
+// withdraw leaves the group until the election makes the node a member again.
 func (o *Holder) withdraw(ctx context.Context) {
 	o.mutex.Lock()
 	o.held = make(map[int]struct{})
 	o.generation = 0
 	o.mutex.Unlock()
-	o.giveBack(ctx)
+	o.releaseAssignment(ctx)
 }
 
 func (o *Holder) hasLeft() bool {
@@ -277,78 +298,80 @@
 	return o.left
 }
 
-// renew makes one join. It reports whether the generation is new, so that it is
-// confirmed at once.
+// renew renews the assignment once. It reports whether the generation changed and needs to
+// be confirmed.
 func (o *Holder) renew(ctx context.Context) (changed bool) {
 	callCtx, cancel := context.WithTimeout(ctx, renewTimeout+o.group.Beyond())
 	defer cancel()
 	o.mutex.Lock()
 	generation := o.generation
 	o.mutex.Unlock()
-	answer, err := o.join(callCtx, generation)
+	response, err := o.join(callCtx, generation)
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	if o.left || ctx.Err() != nil {
 		return false
 	}
 	if err != nil {
-		if !o.lost {
+		if !o.contactLost {
 			o.logger.Log(event.GroupContactLost, "generation", o.generation, "detail", err.Error())
 		}
-		o.lost = true
+		o.contactLost = true
 		return false
 	}
-	if o.lost {
-		o.logger.Log(event.GroupContactRegained, "generation", answer.share.Generation, "after_ms", (o.renewedAt.Age() - answer.began.Age()).Milliseconds())
+	if o.contactLost {
+		o.logger.Log(event.GroupContactRegained, "generation", response.assignment.Generation, "after_ms", (o.renewedAt.Age() - response.sentAt.Age()).Milliseconds())
 	}
-	o.lost = false
-	o.Take(answer.share, answer.began)
-	return answer.share.Generation != generation
+	o.contactLost = false
+	o.Take(response.assignment, response.sentAt)
+	return response.assignment.Generation != generation
 }
 
-// joined is the answer to one call of a renewal.
-type joined struct {
-	share sharedlog.Share
-	// began is when it was sent: the share lasts from then on.
-	began clock.Moment
+// joinResponse is the response to one call of a renewal.
+type joinResponse struct {
+	assignment sharedlog.Share
+	// sentAt is when the call was sent. The TTL of the assignment starts at that time.
+	sentAt clock.Moment
 }
 
-// join makes one renewal, of several calls if they are not answered.
-func (o *Holder) join(ctx context.Context, generation uint64) (joined, error) {
-	bounds := hedge.Call{Most: mostRenewals, After: func() time.Duration { return renewHedge + o.group.Beyond() }}
-	return hedge.First(ctx, bounds, func(int) (joined, error) {
-		began := clock.Mark()
-		share, err := o.group.Join(ctx, o.settings.Group, o.settings.Member, o.settings.Topic, o.settings.TTL, generation)
-		return joined{share: share, began: began}, err
+// join makes the calls of one renewal, and hedges calls without a response.
+func (o *Holder) join(ctx context.Context, generation uint64) (joinResponse, error) {
+	hedging := hedge.Call{Most: maxConcurrentRenewals, After: func() time.Duration { return renewHedgeDelay + o.group.Beyond() }}
+	return hedge.First(ctx, hedging, func(int) (joinResponse, error) {
+		sentAt := clock.Mark()
+		assignment, err := o.group.Join(ctx, o.settings.Group, o.settings.Member, o.settings.Topic, o.settings.TTL, generation)
+		return joinResponse{assignment: assignment, sentAt: sentAt}, err
 	})
 }
 
-// Take puts an answer in force.
-func (o *Holder) Take(share sharedlog.Share, began clock.Moment) {
-	held := make(map[int]struct{}, len(share.Partitions))
-	for _, partition := range share.Partitions {
+// Take applies an assignment whose request was sent at a given time. It does not lock: Run
+// calls it with o.mutex held.
+func (o *Holder) Take(assignment sharedlog.Share, sentAt clock.Moment) {
+	held := make(map[int]struct{}, len(assignment.Partitions))
+	for _, partition := range assignment.Partitions {
 		held[partition.Number] = struct{}{}
 	}
-	if share.Generation != o.generation {
-		o.logger.Log(event.GroupShareChanged, "generation", share.Generation, "from", o.generation, "partitions", len(held))
+	if assignment.Generation != o.generation {
+		o.logger.Log(event.GroupShareChanged, "generation", assignment.Generation, "from", o.generation, "partitions", len(held))
 	}
 	changed := !maps.Equal(held, o.held)
-	o.generation, o.held, o.renewedAt = share.Generation, held, began
+	o.generation, o.held, o.renewedAt = assignment.Generation, held, sentAt
 	if changed {
 		o.callbacks.Changed()
 	}
 }
 
-// Executes reports whether this node runs the jobs of a partition.
+// Executes reports whether this node is to execute the jobs of a partition. It remains true
+// for isolationTimeout after the last renewal.
 func (o *Holder) Executes(partition int, now time.Time) bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	_, held := o.held[partition]
-	return held && !o.left && o.renewedAt.AgeAt(now) < IsolatedLimit
+	return held && !o.left && o.renewedAt.AgeAt(now) < isolationTimeout
 }
 
-// OutOfTouch reports whether this node executes although another may hold its share
-// by now.
+// OutOfTouch reports whether this node still holds its partition although the assignment
+// expired, so that another node may hold it already.
 func (o *Holder) OutOfTouch(now time.Time) bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -356,18 +379,18 @@
 	return held && o.renewedAt.AgeAt(now) > o.settings.TTL+OrderMargin
 }
 
-// Yield gives up what this node holds, when it found out otherwise that another
-// executes.
+// Yield drops the assignment without contacting the group. It is called when the node has
+// learned from another source that another node executes.
 func (o *Holder) Yield() {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.held = make(map[int]struct{})
 }
 
-// MayOrder returns the fence for orders if this node may give them now, as far as
-// its share tells. A holder that has not heard yet that its partition passed on
-// finds out when it announces an order in the log.
-func (o *Holder) MayOrder(partition int, now time.Time) (fence uint64, ok bool) {
+// MayOrder returns the fencing token for orders, and whether the assignment permits this
+// node to send orders at a given time. A holder that does not know yet that its partition
+// was reassigned finds out when it announces an order in the log.
+func (o *Holder) MayOrder(partition int, now time.Time) (fencingToken uint64, ok bool) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	_, held := o.held[partition]
@@ -377,18 +400,18 @@
 	return o.generation, true
 }
 
-// Leave gives the share back.
+// Leave releases the assignment and leaves the group for good.
 func (o *Holder) Leave(ctx context.Context) {
 	o.mutex.Lock()
 	o.left = true
 	o.held = make(map[int]struct{})
 	o.mutex.Unlock()
-	o.giveBack(ctx)
+	o.releaseAssignment(ctx)
 }
 
-// giveBack hands over what this node executed and tells the group. The share is
-// no longer held by then, so that nothing begins anew meanwhile.
-func (o *Holder) giveBack(ctx context.Context) {
+// releaseAssignment hands over running work and leaves the group. Callers clear the held
+// partitions first, so that no new work starts meanwhile.
+func (o *Holder) releaseAssignment(ctx context.Context) {
 	o.callbacks.HandOver(ctx)
 	callCtx, cancel := context.WithTimeout(ctx, renewTimeout+o.group.Beyond())
 	defer cancel()
@@ -397,7 +420,7 @@
 	}
 }
 
-// Current returns the generation last heard.
+// Current returns the generation of the last assignment.
 func (o *Holder) Current() uint64 {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
--- a/internal/ownership/holder_test.go
+++ b/internal/ownership/holder_test.go
@@ -20,10 +20,10 @@
 	return Settings{Member: member, Millicores: millicores, Group: "executors", Topic: ownershiptest.Topic, TTL: ttl}
 }
 
-// announced is what nodes announced, by name.
-type announced map[string]uint64
+// announcedCapacities maps the names of nodes to their capacities in millicores.
+type announcedCapacities map[string]uint64
 
-func (a announced) Announced() (Announcements, bool) {
+func (a announcedCapacities) Announced() (Announcements, bool) {
 	known := Announcements{Nodes: len(a), Of: func(node string) uint64 { return a[node] }}
 	for _, millicores := range a {
 		known.Largest = max(known.Largest, millicores)
@@ -31,23 +31,24 @@
 	return known, true
 }
 
-// own runs an ownership against a group for the time of a test.
-func own(t *testing.T, test func(o *Holder, group *ownershiptest.Group)) {
+// runHolder runs a holder with a fake group for the duration of a test function, in a
+// synctest bubble.
+func runHolder(t *testing.T, test func(o *Holder, group *ownershiptest.Group)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		ownWith(t, settingsOf("n", 0), announced{}, test)
+		runHolderWith(t, settingsOf("n", 0), announcedCapacities{}, test)
 	})
 }
 
-// ownWith is own with settings and announcements of its own, within a bubble.
-func ownWith(t *testing.T, settings Settings, known announced, test func(o *Holder, group *ownershiptest.Group)) {
+// runHolderWith is runHolder with given settings and capacities. The caller runs in a bubble.
+func runHolderWith(t *testing.T, settings Settings, known announcedCapacities, test func(o *Holder, group *ownershiptest.Group)) {
 	t.Helper()
-	ownAmong(t, settings, known, nil, test)
+	runHolderWithOwners(t, settings, known, nil, test)
 }
 
-// ownAmong is ownWith beside owners that are there from the start: the first look may
-// come before the first step of the test.
-func ownAmong(t *testing.T, settings Settings, known announced, owners []sharedlog.Owner, test func(o *Holder, group *ownershiptest.Group)) {
+// runHolderWithOwners is runHolderWith with owners that are present from the start: the
+// holder may observe the owners before the first statement of the test function.
+func runHolderWithOwners(t *testing.T, settings Settings, known announcedCapacities, owners []sharedlog.Owner, test func(o *Holder, group *ownershiptest.Group)) {
 	t.Helper()
 	group := &ownershiptest.Group{Share: ownershiptest.Holding(4, 0), Owned: owners}
 	o := New(settings, group, known, nil, noCallbacks, event.Discard())
@@ -60,7 +61,7 @@
 }
 
 func TestHolderExecutesAndOrdersUnderItsGeneration(t *testing.T) {
-	own(t, func(o *Holder, _ *ownershiptest.Group) {
+	runHolder(t, func(o *Holder, _ *ownershiptest.Group) {
 		time.Sleep(10 * time.Millisecond)
 		require.True(t, o.Executes(0, time.Now()))
 		require.False(t, o.Executes(1, time.Now()))
@@ -72,15 +73,15 @@
 	})
 }
 
-func TestHolderThatCannotRenewStopsOrdersBeforeItsShareEnds(t *testing.T) {
-	own(t, func(o *Holder, group *ownershiptest.Group) {
+func TestHolderThatCannotRenewStopsOrdersBeforeItsAssignmentExpires(t *testing.T) {
+	runHolder(t, func(o *Holder, group *ownershiptest.Group) {
 		time.Sleep(4 * time.Second)
 		group.Set(func() { group.Down = true })
 		time.Sleep(1400 * time.Millisecond)
 		_, ok := o.MayOrder(0, time.Now())
-		require.False(t, ok, "another may hold the share 1.5 s after the last renewal")
-		require.True(t, o.Executes(0, time.Now()), "the log may be down for all")
-		time.Sleep(IsolatedLimit)
+		require.False(t, ok, "another node may hold the partition 1.5 s after the last renewal")
+		require.True(t, o.Executes(0, time.Now()), "the log may be unavailable to all nodes")
+		time.Sleep(isolationTimeout)
 		require.False(t, o.Executes(0, time.Now()))
 		group.Set(func() { group.Down = false })
 		time.Sleep(time.Second)
@@ -88,17 +89,17 @@
 	})
 }
 
-func TestFrozenHolderDoesNotOrderWhenItWakes(t *testing.T) {
-	own(t, func(o *Holder, group *ownershiptest.Group) {
+func TestFrozenHolderMayNotOrderAfterItResumes(t *testing.T) {
+	runHolder(t, func(o *Holder, group *ownershiptest.Group) {
 		time.Sleep(4 * time.Second)
-		frozen := time.Now().Add(5 * time.Second) // no loop ran meanwhile
-		_, ok := o.MayOrder(0, frozen)
+		resumed := time.Now().Add(5 * time.Second) // the loop did not run meanwhile
+		_, ok := o.MayOrder(0, resumed)
 		require.False(t, ok)
 	})
 }
 
-func TestAnswerCountsFromItsQuestion(t *testing.T) {
-	own(t, func(o *Holder, group *ownershiptest.Group) {
+func TestAssignmentIsValidFromTheTimeOfTheRequest(t *testing.T) {
+	runHolder(t, func(o *Holder, group *ownershiptest.Group) {
 		time.Sleep(4 * time.Second)
 		group.Set(func() { group.Delay = 550 * time.Millisecond })
 		time.Sleep(2 * time.Second)
@@ -109,8 +110,8 @@
 	})
 }
 
-func TestLostPartitionIsLeftAtOnce(t *testing.T) {
-	own(t, func(o *Holder, group *ownershiptest.Group) {
+func TestReassignedPartitionIsReleasedAtOnce(t *testing.T) {
+	runHolder(t, func(o *Holder, group *ownershiptest.Group) {
 		time.Sleep(4 * time.Second)
 		group.Set(func() { group.Share = ownershiptest.Holding(5, 3) })
 		time.Sleep(time.Second)
@@ -120,43 +121,45 @@
 	})
 }
 
-func TestLeavingGivesTheShareBack(t *testing.T) {
-	own(t, func(o *Holder, group *ownershiptest.Group) {
+func TestLeavingReleasesTheAssignment(t *testing.T) {
+	runHolder(t, func(o *Holder, group *ownershiptest.Group) {
 		time.Sleep(4 * time.Second)
 		o.Leave(context.Background())
 		require.True(t, group.HasLeft())
 		require.False(t, o.Executes(0, time.Now()))
 		joined := group.Joins()
 		time.Sleep(3 * time.Second)
-		require.LessOrEqual(t, group.Joins(), joined+1, "it does not join again")
+		require.LessOrEqual(t, group.Joins(), joined+1, "the holder must not join again")
 		require.False(t, o.Executes(0, time.Now()))
 	})
 }
 
-// A holder that heard that its partition moves confirmed it only at its next
-// renewal, half a second later; until then nobody executed.
+// Guards against a gap in execution while a partition moves: a holder that learns of the new
+// generation must confirm it at once and not with its next renewal half a second later,
+// because no node executes until then.
 func TestNewGenerationIsConfirmedAtOnce(t *testing.T) {
-	own(t, func(o *Holder, group *ownershiptest.Group) {
+	runHolder(t, func(o *Holder, group *ownershiptest.Group) {
 		time.Sleep(4 * time.Second)
 		before := group.Joins()
 		group.Set(func() { group.Share = ownershiptest.Holding(5) })
 		for group.Joins() == before {
 			time.Sleep(time.Millisecond)
 		}
-		time.Sleep(2 * confirmPause)
+		time.Sleep(2 * confirmDelay)
 		require.Equal(t, before+2, group.Joins())
 		require.EqualValues(t, 5, group.LastGeneration())
 	})
 }
 
-// A deployment of 80 nodes lost all its steps: the group had dealt the jobs to a
-// node with a fifth of a core, while 19 had four times as much.
-func TestSmallNodeLeavesTheJobsToLargerOnes(t *testing.T) {
+// Guards against assigning the jobs to a node that is too small. A deployment of 80 nodes
+// completed no steps because its executor had a fifth of a core, while 19 other nodes had
+// four times as much.
+func TestSmallNodeLeavesJobsToLargerNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		settings := settingsOf("small", 192)
-		known := announced{"small": 192, "large": 800}
-		ownWith(t, settings, known, func(o *Holder, group *ownershiptest.Group) {
-			group.Set(func() { group.Owned = []sharedlog.Owner{{Partition: jobs(0), Member: "large"}} })
+		known := announcedCapacities{"small": 192, "large": 800}
+		runHolderWith(t, settings, known, func(o *Holder, group *ownershiptest.Group) {
+			group.Set(func() { group.Owned = []sharedlog.Owner{{Partition: jobPartition(0), Member: "large"}} })
 			time.Sleep(10 * time.Second)
 			require.Zero(t, group.Joins())
 
@@ -165,7 +168,7 @@
 			require.Positive(t, group.Joins(), "no other node executes")
 			require.True(t, o.Executes(0, time.Now()))
 
-			group.Set(func() { group.Owned = []sharedlog.Owner{{Partition: jobs(3), Member: "large"}} })
+			group.Set(func() { group.Owned = []sharedlog.Owner{{Partition: jobPartition(3), Member: "large"}} })
 			time.Sleep(2 * time.Second)
 			require.True(t, group.HasLeft())
 			require.False(t, o.Executes(0, time.Now()))
@@ -173,10 +176,10 @@
 	})
 }
 
-func TestSmallNodeKeepsItsPlaceWhileItCannotAsk(t *testing.T) {
+func TestSmallNodeDoesNotJoinWhileTheGroupIsUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		settings := settingsOf("small", 192)
-		ownWith(t, settings, announced{"large": 800}, func(_ *Holder, group *ownershiptest.Group) {
+		runHolderWith(t, settings, announcedCapacities{"large": 800}, func(_ *Holder, group *ownershiptest.Group) {
 			group.Set(func() { group.Down = true })
 			time.Sleep(10 * time.Second)
 			require.Zero(t, group.Joins())
@@ -184,21 +187,21 @@
 	})
 }
 
-func ownerOf(member string, number int) sharedlog.Owner {
-	return sharedlog.Owner{Partition: jobs(number), Member: member}
+func newOwner(member string, number int) sharedlog.Owner {
+	return sharedlog.Owner{Partition: jobPartition(number), Member: member}
 }
 
-func jobs(number int) sharedlog.Partition {
+func jobPartition(number int) sharedlog.Partition {
 	return sharedlog.Partition{Topic: ownershiptest.Topic, Number: number}
 }
 
-// Every node of the fleet was in the group, and each restart made the service deal
-// the jobs anew.
-func TestNodesStandOutWhileAnotherExecutes(t *testing.T) {
+// Guards against a rebalance of the jobs with every restart of a node, which happens if all
+// nodes are members of the group.
+func TestNodesStayOutOfTheGroupWhileAnotherExecutes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		settings := settingsOf("b", 800)
-		among := []sharedlog.Owner{ownerOf("a", 0)}
-		ownAmong(t, settings, announced{"a": 800, "b": 800}, among, func(o *Holder, group *ownershiptest.Group) {
+		owners := []sharedlog.Owner{newOwner("a", 0)}
+		runHolderWithOwners(t, settings, announcedCapacities{"a": 800, "b": 800}, owners, func(o *Holder, group *ownershiptest.Group) {
 			time.Sleep(10 * time.Second)
 			require.Zero(t, group.Joins())
 			group.Set(func() { group.Owned = nil })
@@ -209,14 +212,15 @@
 	})
 }
 
-// The executor stood 120 ms from the store, one way, while nodes next to it were idle
-// (quiet-1): a node there lets a look pass before it enters.
-func TestFarNodeEntersAfterTheNearOnes(t *testing.T) {
-	enters := func(away time.Duration) time.Duration {
-		var took time.Duration
+// Guards against an executor that is far from the log service while nodes near to it are
+// idle, as happened with a one-way latency of 120 ms. A far node skips one observation of
+// the owners before it joins.
+func TestFarNodeJoinsAfterNearNodes(t *testing.T) {
+	timeToExecute := func(roundTrip time.Duration) time.Duration {
+		var elapsed time.Duration
 		synctest.Test(t, func(t *testing.T) {
-			group := &ownershiptest.Group{Share: ownershiptest.Holding(1, 0), Distance: away}
-			o := New(settingsOf("n", 0), group, announced{}, nil, noCallbacks, event.Discard())
+			group := &ownershiptest.Group{Share: ownershiptest.Holding(1, 0), RoundTrip: roundTrip}
+			o := New(settingsOf("n", 0), group, announcedCapacities{}, nil, noCallbacks, event.Discard())
 			ctx, cancel := context.WithCancel(t.Context())
 			done := make(chan struct{})
 			began := time.Now()
@@ -224,12 +228,12 @@
 			for !o.Executes(0, time.Now()) {
 				time.Sleep(time.Millisecond)
 			}
-			took = time.Since(began)
+			elapsed = time.Since(began)
 			cancel()
 			<-done
 		})
-		return took
+		return elapsed
 	}
-	require.Less(t, enters(16*time.Millisecond), ShortestLook/2)
-	require.Greater(t, enters(94*time.Millisecond), ShortestLook/2)
+	require.Less(t, timeToExecute(16*time.Millisecond), ShortestLook/2)
+	require.Greater(t, timeToExecute(94*time.Millisecond), ShortestLook/2)
 }
--- a/internal/ownership/ownershiptest/group.go
+++ b/internal/ownership/ownershiptest/group.go
@@ -1,4 +1,4 @@
-// Package ownershiptest has what tests of nodes need to deal shares out.
+// Package ownershiptest provides a fake consumer group for tests of nodes.
 package ownershiptest
 
 import (
@@ -10,36 +10,40 @@
 	"github.com/pathbend/pathbend/internal/sharedlog"
 )
 
-// Topic is the one whose partitions are dealt out.
+// Topic is the topic whose partitions the fake group assigns.
 const Topic = "pathbend-jobs"
 
-// Holding is a share of partitions.
+// Holding returns an assignment of partitions of Topic.
 func Holding(generation uint64, partitions ...int) sharedlog.Share {
-	share := sharedlog.Share{Generation: generation}
+	assignment := sharedlog.Share{Generation: generation}
 	for _, number := range partitions {
-		share.Partitions = append(share.Partitions, sharedlog.Partition{Topic: Topic, Number: number})
+		assignment.Partitions = append(assignment.Partitions, sharedlog.Partition{Topic: Topic, Number: number})
 	}
-	return share
+	return assignment
 }
 
-// Group deals out what a test says. It implements ownership.Group.
+// Group is a fake group that returns what a test sets. It implements ownership.Group. A test
+// changes or reads the exported fields only within Set while a node uses the group.
 type Group struct {
 	mutex sync.Mutex
-	// Share is what it deals out to the member, Owners what it tells of all. While Down is
-	// set nothing is answered; Delay is how long a join takes, Distance the way there and back.
-	Share    sharedlog.Share
-	Owned    []sharedlog.Owner
-	Down     bool
-	Delay    time.Duration
-	Distance time.Duration
-	// Joined counts the joins.
-	Joined int
+	// Share is the assignment that Join returns.
+	Share sharedlog.Share
+	// Owned are the owners that Owners returns.
+	Owned []sharedlog.Owner
+	// Down makes Join and Owners fail with LogUnavailable.
+	Down bool
+	// Delay is the duration of a Join call.
+	Delay time.Duration
+	// RoundTrip is the round-trip time that Away returns.
+	RoundTrip time.Duration
+	// JoinCalls is the number of Join calls.
+	JoinCalls int
 
-	left  bool
-	heard uint64
+	left           bool
+	lastGeneration uint64
 }
 
-// Set changes what it does.
+// Set calls change with the group's mutex held.
 func (g *Group) Set(change func()) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -49,15 +53,15 @@
 // Join implements sharedlog.Group.
 func (g *Group) Join(ctx context.Context, _, _, _ string, _ time.Duration, generation uint64) (sharedlog.Share, error) {
 	g.mutex.Lock()
-	delay, down, share := g.Delay, g.Down, g.Share
-	g.Joined++
-	g.heard = generation
+	delay, down, assignment := g.Delay, g.Down, g.Share
+	g.JoinCalls++
+	g.lastGeneration = generation
 	g.mutex.Unlock()
 	time.Sleep(delay)
 	if down {
 		return sharedlog.Share{}, result.New(result.LogUnavailable, "down")
 	}
-	return share, ctx.Err()
+	return assignment, ctx.Err()
 }
 
 // Leave implements sharedlog.Group.
@@ -76,29 +80,29 @@
 	return g.Owned, nil
 }
 
-// Joins counts the joins.
+// Joins returns the number of Join calls.
 func (g *Group) Joins() int {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.Joined
+	return g.JoinCalls
 }
 
-// HasLeft reports whether the member gave its share back.
+// HasLeft reports whether the member left the group.
 func (g *Group) HasLeft() bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.left
 }
 
-// LastGeneration is the one that the member told last.
+// LastGeneration returns the generation that the last Join call confirmed.
 func (g *Group) LastGeneration() uint64 {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.heard
+	return g.lastGeneration
 }
 
-// Beyond implements ownership.Group: the service is next door.
+// Beyond implements ownership.Group. It returns 0, as for a service in the same data center.
 func (g *Group) Beyond() time.Duration { return 0 }
 
 // Away implements ownership.Group.
-func (g *Group) Away() time.Duration { return g.Distance }
+func (g *Group) Away() time.Duration { return g.RoundTrip }
--- a/internal/ownership/renewal_test.go
+++ b/internal/ownership/renewal_test.go
@@ -16,33 +16,34 @@
 	"github.com/pathbend/pathbend/internal/sharedlog"
 )
 
-// losingGroup renews shares and answers each lost-th call only.
-type losingGroup struct {
+// lossyGroup renews assignments, and responds only to every responseInterval-th call.
+type lossyGroup struct {
 	ownershiptest.Group
-	mutex sync.Mutex
-	calls int
-	lost  int
+	mutex            sync.Mutex
+	calls            int
+	responseInterval int
 }
 
-func (g *losingGroup) Join(ctx context.Context, _, _, _ string, _ time.Duration, _ uint64) (sharedlog.Share, error) {
+func (g *lossyGroup) Join(ctx context.Context, _, _, _ string, _ time.Duration, _ uint64) (sharedlog.Share, error) {
 	g.mutex.Lock()
 	g.calls++
-	answered := g.calls%g.lost == 0
+	responds := g.calls%g.responseInterval == 0
 	g.mutex.Unlock()
-	if answered {
+	if responds {
 		return ownershiptest.Holding(4, 0), nil
 	}
 	<-ctx.Done()
-	return sharedlog.Share{}, result.New(result.LogUnknown, "no answer")
+	return sharedlog.Share{}, result.New(result.LogUnknown, "no response")
 }
 
-// Half of the answers of the store were lost for 5 s; three renewals in a row had none,
-// the share lapsed, and the jobs moved six times in eight seconds (scale-1).
-func TestShareOutlastsLostAnswers(t *testing.T) {
+// Guards against assignments that expire because responses are lost. When half of the log
+// service's responses were lost for 5 s, three consecutive renewals had none, the assignment
+// expired, and the jobs moved six times in eight seconds.
+func TestAssignmentSurvivesLostResponses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		group := &losingGroup{lost: 4}
+		group := &lossyGroup{responseInterval: 4}
 		settings := settingsOf("n", 0)
-		o := New(settings, group, announced{}, nil, noCallbacks, event.Discard())
+		o := New(settings, group, announcedCapacities{}, nil, noCallbacks, event.Discard())
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() { defer close(done); o.Run(ctx) }()
@@ -58,21 +59,22 @@
 	})
 }
 
-func TestAnsweredRenewalIsOneCall(t *testing.T) {
-	own(t, func(_ *Holder, group *ownershiptest.Group) {
+func TestRenewalWithAResponseMakesOneCall(t *testing.T) {
+	runHolder(t, func(_ *Holder, group *ownershiptest.Group) {
 		time.Sleep(10 * time.Millisecond)
-		group.Set(func() { group.Joined = 0 })
+		group.Set(func() { group.JoinCalls = 0 })
 		time.Sleep(3 * time.Second)
-		group.Set(func() { require.LessOrEqual(t, group.Joined, 7, "a renewal each half second") })
+		group.Set(func() { require.LessOrEqual(t, group.JoinCalls, 7, "one renewal every half second") })
 	})
 }
 
-// A holder that was suspended for longer than its share took it for its own, since the
-// steady clock had stood, until its next renewal was answered.
-func TestShareEndsWhileTheMachineIsSuspended(t *testing.T) {
+// Guards against a stale assignment after the machine was suspended for longer than the TTL.
+// The monotonic clock stands still meanwhile, so that the holder considered the partition its
+// own until its next renewal had a response.
+func TestAssignmentExpiresWhileTheMachineIsSuspended(t *testing.T) {
 	suspended := time.Duration(0)
 	t.Cleanup(clock.Simulate(func() time.Duration { return suspended }))
-	own(t, func(o *Holder, group *ownershiptest.Group) {
+	runHolder(t, func(o *Holder, group *ownershiptest.Group) {
 		time.Sleep(4 * time.Second)
 		_, ok := o.MayOrder(0, time.Now())
 		require.True(t, ok)
@@ -81,22 +83,23 @@
 		suspended += 2 * time.Second
 		_, ok = o.MayOrder(0, time.Now())
 		require.False(t, ok)
-		require.False(t, o.holds(0, time.Now()))
+		require.False(t, o.hasValidAssignment(0, time.Now()))
 		require.True(t, o.OutOfTouch(time.Now()))
-		require.True(t, o.Executes(0, time.Now()), "for as long as one that is isolated")
-		suspended += IsolatedLimit
+		require.True(t, o.Executes(0, time.Now()), "until the isolation timeout")
+		suspended += isolationTimeout
 		require.False(t, o.Executes(0, time.Now()))
 		group.Set(func() { group.Down = false })
 		time.Sleep(time.Second)
 		_, ok = o.MayOrder(0, time.Now())
-		require.True(t, ok, "it was renewed since")
+		require.True(t, ok, "the assignment was renewed")
 	})
 }
 
-// A holder that was cut off came back and entered the group before it looked: the
-// service dealt anew, and the node that executed by then stopped all its runs.
-func TestHolderThatWasOutOfTouchLooksBeforeItEnters(t *testing.T) {
-	own(t, func(o *Holder, group *ownershiptest.Group) {
+// Guards against a needless rebalance: a holder that regains contact must observe the owners
+// before it joins. Otherwise the service rebalances the group, and the node that has taken the
+// jobs over stops all of its runs.
+func TestHolderWithExpiredAssignmentObservesOwnersBeforeItJoins(t *testing.T) {
+	runHolder(t, func(o *Holder, group *ownershiptest.Group) {
 		time.Sleep(4 * time.Second)
 		group.Set(func() { group.Down = true })
 		time.Sleep(4 * time.Second)
@@ -104,8 +107,8 @@
 		before := 0
 		group.Set(func() {
 			group.Down = false
-			before = group.Joined
-			group.Owned = append(group.Owned, ownerOf("other", 0))
+			before = group.JoinCalls
+			group.Owned = append(group.Owned, newOwner("other", 0))
 		})
 		time.Sleep(time.Second)
 		require.Equal(t, before, group.Joins())
