--- a/internal/sharedlog/appender.go
+++ b/internal/sharedlog/appender.go
@@ -10,42 +10,44 @@
 )
 
 const (
-	// callsTogether is how many calls of an Appender are under way at once. A
-	// partition takes its appends in turn, so more would only queue there; with one,
-	// a lost answer would hold up all that comes after it (chosen).
-	callsTogether = 4
-	// callHold is how long a call counts as under way. One that takes longer may
-	// never be answered, and what waits goes out beside it.
-	callHold = 250 * time.Millisecond
-	// callTimeout bounds one call.
+	// maxConcurrentCalls is the maximum number of concurrent calls of an Appender. A
+	// partition processes its appends one at a time, so that more calls would only queue
+	// there. With a single call, a lost response would block all later appends.
+	maxConcurrentCalls = 4
+	// callSlotTimeout is how long a call counts against maxConcurrentCalls. A call that takes
+	// longer may never have a response, and waiting records are sent concurrently with it.
+	callSlotTimeout = 250 * time.Millisecond
+	// callTimeout is the timeout of one call.
 	callTimeout = 1500 * time.Millisecond
 )
 
-// RecordFraming is what the log adds to a record, in bytes, at most.
+// RecordFraming is the maximum number of bytes that the log adds to a record.
 const RecordFraming = 16
 
-// Appender appends to one partition for many callers at once. Records that wait
-// while calls are under way go out together: a burst of callers costs a few calls,
-// where one call each would take longer than any of them waits. It is safe for
-// concurrent use.
+// Appender batches the appends of concurrent callers to one partition. Records that arrive
+// while calls are in flight are sent together: a burst of callers makes a few calls, where
+// one call per caller would take longer than the callers wait. It is safe for concurrent
+// use.
 type Appender struct {
 	Log       Log
 	Partition Partition
-	// MaxBytes bounds one call.
+	// MaxBytes is the maximum size of one call, including RecordFraming for each record.
 	MaxBytes int
-	// Observe is told how each call ended; it may be nil.
+	// Observe receives the error and duration of each call. It may be nil.
 	Observe func(err error, took time.Duration)
-	// Beyond is that of Follower, for appends.
+	// Beyond returns how much longer the log's responses to appends take than those of a log
+	// in the same data center. It may be nil.
 	Beyond func() time.Duration
 
 	mutex   sync.Mutex
 	waiting []*pendingAppend
+	// senders is the number of running goroutines of send.
 	senders int
 }
 
-// pendingAppend is what one caller appends.
+// pendingAppend is the append of one caller.
 type pendingAppend struct {
-	// ctx is the caller's.
+	// ctx is the context of the caller.
 	ctx     context.Context
 	records [][]byte
 	done    chan error
@@ -59,9 +61,9 @@
 	return size
 }
 
-// Append adds records, all or none. They must fit one call. Errors are those of
-// Log.Append; if ctx ends before the records were sent, LogUnavailable promises that
-// they never will be.
+// Append appends all records or none. They must fit into one call. Errors are those of
+// Log.Append. If ctx ends before the records were sent, the error is LogUnavailable, and
+// they are never sent.
 func (a *Appender) Append(ctx context.Context, records [][]byte) error {
 	pending := &pendingAppend{ctx: ctx, records: records, done: make(chan error, 1)}
 	a.add(pending)
@@ -71,22 +73,22 @@
 	case <-ctx.Done():
 	}
 	if a.withdraw(pending) {
-		return result.Wrap(result.LogUnavailable, ctx.Err(), "wait for appends under way")
+		return result.Wrap(result.LogUnavailable, ctx.Err(), "wait for appends in flight")
 	}
-	return result.Wrap(result.LogUnknown, ctx.Err(), "await the log's answer")
+	return result.Wrap(result.LogUnknown, ctx.Err(), "await the log's response")
 }
 
 func (a *Appender) add(pending *pendingAppend) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.waiting = append(a.waiting, pending)
-	if a.senders < callsTogether {
+	if a.senders < maxConcurrentCalls {
 		a.senders++
 		go a.send()
 	}
 }
 
-// withdraw takes back what was not sent yet.
+// withdraw removes an append that was not sent yet, and reports whether it did.
 func (a *Appender) withdraw(pending *pendingAppend) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -99,29 +101,30 @@
 	return false
 }
 
-// send makes calls until nothing waits.
+// send makes calls until no append is waiting.
 func (a *Appender) send() {
 	for {
-		batch := a.take()
+		batch := a.nextBatch()
 		if len(batch) == 0 {
 			return
 		}
-		ended := make(chan struct{})
+		done := make(chan struct{})
 		go func() {
-			defer close(ended)
+			defer close(done)
 			a.call(batch)
 		}()
-		hold := time.NewTimer(lengthened(callHold, a.Beyond))
+		slotTimer := time.NewTimer(withExtraLatency(callSlotTimeout, a.Beyond))
 		select {
-		case <-ended:
-		case <-hold.C:
+		case <-done:
+		case <-slotTimer.C:
 		}
-		hold.Stop()
+		slotTimer.Stop()
 	}
 }
 
-// take returns what the next call holds. If nothing waits the sender is over.
-func (a *Appender) take() []*pendingAppend {
+// nextBatch returns the appends of the next call. If none is waiting it returns nil, and the
+// sender must return.
+func (a *Appender) nextBatch() []*pendingAppend {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	if len(a.waiting) == 0 {
@@ -139,9 +142,9 @@
 }
 
 func (a *Appender) call(batch []*pendingAppend) {
-	ctx, cancel := context.WithTimeout(context.Background(), lengthened(callTimeout, a.Beyond))
+	ctx, cancel := context.WithTimeout(context.Background(), withExtraLatency(callTimeout, a.Beyond))
 	defer cancel()
-	defer cancelWithAll(batch, cancel)()
+	defer cancelWhenAllAreDone(batch, cancel)()
 	var records [][]byte
 	for _, pending := range batch {
 		records = append(records, pending.records...)
@@ -156,15 +159,15 @@
 	}
 }
 
-// cancelWithAll ends a call once all its callers have left, and not before: it
-// serves each of them. It returns what stops that.
-func cancelWithAll(batch []*pendingAppend, cancel context.CancelFunc) (stop func()) {
-	var left atomic.Int64
-	left.Store(int64(len(batch)))
+// cancelWhenAllAreDone cancels a call once the contexts of all its callers are done. It
+// returns a function that releases its resources.
+func cancelWhenAllAreDone(batch []*pendingAppend, cancel context.CancelFunc) (stop func()) {
+	var remaining atomic.Int64
+	remaining.Store(int64(len(batch)))
 	stops := make([]func() bool, 0, len(batch))
 	for _, pending := range batch {
 		stops = append(stops, context.AfterFunc(pending.ctx, func() {
-			if left.Add(-1) == 0 {
+			if remaining.Add(-1) == 0 {
 				cancel()
 			}
 		}))
--- a/internal/sharedlog/appender_test.go
+++ b/internal/sharedlog/appender_test.go
@@ -13,49 +13,49 @@
 	"github.com/pathbend/pathbend/internal/result"
 )
 
-// turnLog takes its appends in turn, as a partition does. While it is silent it
-// answers none.
-type turnLog struct {
+// serialLog processes its appends one at a time, as a partition does. While it is
+// unresponsive it responds to none.
+type serialLog struct {
 	Log
 
-	takes time.Duration
+	latency time.Duration
 
-	// turn is a channel rather than a lock, which would stop the virtual clock.
-	turn    chan struct{}
-	mutex   sync.Mutex
-	silent  bool
-	calls   int
-	records int
+	// semaphore is a channel and not a mutex, which would stop the virtual clock.
+	semaphore    chan struct{}
+	mutex        sync.Mutex
+	unresponsive bool
+	calls        int
+	records      int
 }
 
-func (l *turnLog) Append(ctx context.Context, _ Partition, records [][]byte) (uint64, error) {
+func (l *serialLog) Append(ctx context.Context, _ Partition, records [][]byte) (uint64, error) {
 	l.mutex.Lock()
 	l.calls++
-	silent := l.silent
+	unresponsive := l.unresponsive
 	l.mutex.Unlock()
-	if silent {
+	if unresponsive {
 		<-ctx.Done()
-		return 0, result.New(result.LogUnknown, "silent")
+		return 0, result.New(result.LogUnknown, "unresponsive")
 	}
-	l.turn <- struct{}{}
-	defer func() { <-l.turn }()
-	time.Sleep(l.takes)
+	l.semaphore <- struct{}{}
+	defer func() { <-l.semaphore }()
+	time.Sleep(l.latency)
 	l.records += len(records)
 	return 0, nil
 }
 
-func (l *turnLog) silence(silent bool) {
+func (l *serialLog) setUnresponsive(unresponsive bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.silent = silent
+	l.unresponsive = unresponsive
 }
 
-// 480 orders were announced with one append each, 4 ms apiece: none was answered
-// before its caller tried again, the results of items among them, and the partition
-// did nothing else for five seconds.
-func TestBurstOfAppendsTakesFewCalls(t *testing.T) {
+// Guards against one call per append. With 480 concurrent appends of 4 ms each, no call had a
+// response before its caller retried, and the partition was blocked for five seconds, also for
+// the results of items.
+func TestBurstOfAppendsIsBatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		log := &turnLog{turn: make(chan struct{}, 1), takes: 4 * time.Millisecond}
+		log := &serialLog{semaphore: make(chan struct{}, 1), latency: 4 * time.Millisecond}
 		appender := &Appender{Log: log, MaxBytes: 1 << 20}
 		began := time.Now()
 		var callers conc.WaitGroup
@@ -68,14 +68,14 @@
 		}
 		callers.Wait()
 		require.Equal(t, 480, log.records)
-		require.LessOrEqual(t, log.calls, 2*callsTogether)
+		require.LessOrEqual(t, log.calls, 2*maxConcurrentCalls)
 		require.Less(t, time.Since(began), 50*time.Millisecond)
 	})
 }
 
-func TestCallsKeepToTheirSize(t *testing.T) {
+func TestCallsRespectMaxBytes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		log := &turnLog{turn: make(chan struct{}, 1), takes: 4 * time.Millisecond}
+		log := &serialLog{semaphore: make(chan struct{}, 1), latency: 4 * time.Millisecond}
 		appender := &Appender{Log: log, MaxBytes: 10 * (1 + RecordFraming)}
 		var callers conc.WaitGroup
 		for range 104 {
@@ -91,49 +91,49 @@
 	})
 }
 
-func TestAppendThatWasNotSentIsNeverSent(t *testing.T) {
+func TestCanceledAppendThatWasNotSentIsNeverSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		log := &turnLog{turn: make(chan struct{}, 1), silent: true}
+		log := &serialLog{semaphore: make(chan struct{}, 1), unresponsive: true}
 		appender := &Appender{Log: log, MaxBytes: 1 << 20}
 		var hung conc.WaitGroup
-		for range callsTogether {
+		for range maxConcurrentCalls {
 			hung.Go(func() {
 				if err := appender.Append(t.Context(), [][]byte{{1}}); !result.Is(err, result.LogUnknown) {
 					t.Error(err)
 				}
 			})
-			// Each is under way before the next, so that no two share a call.
+			// Each append is in flight before the next, so that no two share a call.
 			synctest.Wait()
 		}
-		ctx, cancel := context.WithTimeout(t.Context(), callHold/2)
+		ctx, cancel := context.WithTimeout(t.Context(), callSlotTimeout/2)
 		defer cancel()
 		err := appender.Append(ctx, [][]byte{{2}, {3}})
 		require.True(t, result.Is(err, result.LogUnavailable), "%v", err)
-		log.silence(false)
+		log.setUnresponsive(false)
 		hung.Wait()
 		require.Zero(t, log.records)
 	})
 }
 
-func TestHungCallsDoNotHoldUpLaterOnes(t *testing.T) {
+func TestHungCallsDoNotBlockLaterAppends(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		log := &turnLog{turn: make(chan struct{}, 1), silent: true, takes: time.Millisecond}
+		log := &serialLog{semaphore: make(chan struct{}, 1), unresponsive: true, latency: time.Millisecond}
 		appender := &Appender{Log: log, MaxBytes: 1 << 20}
 		var hung conc.WaitGroup
-		for range 3 * callsTogether {
+		for range 3 * maxConcurrentCalls {
 			hung.Go(func() { _ = appender.Append(t.Context(), [][]byte{{1}}) })
 		}
 		synctest.Wait()
-		time.Sleep(2 * callHold)
-		log.silence(false)
+		time.Sleep(2 * callSlotTimeout)
+		log.setUnresponsive(false)
 		began := time.Now()
 		require.NoError(t, appender.Append(t.Context(), [][]byte{{2}}))
-		require.LessOrEqual(t, time.Since(began), callHold+time.Millisecond)
+		require.LessOrEqual(t, time.Since(began), callSlotTimeout+time.Millisecond)
 		hung.Wait()
 	})
 }
 
-func TestErrorsReachEveryCallerOfACall(t *testing.T) {
+func TestErrorReachesEveryCallerOfABatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		appender := &Appender{Log: refusingLog{}, MaxBytes: 1 << 20}
 		var callers conc.WaitGroup
--- a/internal/sharedlog/follow.go
+++ b/internal/sharedlog/follow.go
@@ -11,43 +11,47 @@
 )
 
 const (
-	// pollWait is how long one read waits at the service for a record. It also
-	// bounds how long a follower that hears nothing counts as current.
+	// pollWait is how long the service waits for a record in one read (long poll). It also
+	// limits for how long a follower counts as current without a response.
 	pollWait = 600 * time.Millisecond
-	// leastPollWait bounds it below: more reads would cost more than they tell (chosen).
-	leastPollWait = 200 * time.Millisecond
-	// readTimeout is added to pollWait to bound an entire read.
+	// minPollWait is the lower limit of the wait at a distant service. Shorter waits cause
+	// more reads without more information.
+	minPollWait = 200 * time.Millisecond
+	// readTimeout plus the poll wait is the timeout of a read that waits for records.
 	readTimeout = 700 * time.Millisecond
-	// bulkTimeout bounds a read of records that are there already.
-	bulkTimeout = 2 * time.Second
-	// retryPause is the pause after a failed read.
-	retryPause = 100 * time.Millisecond
-	// probeTimeout bounds a read after a failed one: the service may come back at
-	// any moment, and a read that was sent before is never answered. Every
-	// probesPerRead-th has the time of a usual read, in case the service is slow.
-	probeTimeout  = 400 * time.Millisecond
-	probesPerRead = 4
+	// bulkReadTimeout is the timeout of a read of records that exist already.
+	bulkReadTimeout = 2 * time.Second
+	// retryInterval is the pause after a failed read.
+	retryInterval = 100 * time.Millisecond
+	// probeTimeout is the timeout of a read that follows a failed one. It is short because
+	// the service may recover at any moment, and a read that was sent before that never has
+	// a response. Every readsPerProbeCycle-th read has the usual timeout, in case the service
+	// is slow.
+	probeTimeout       = 400 * time.Millisecond
+	readsPerProbeCycle = 4
 )
 
-// Health tells how a follower fares. It is safe for concurrent use.
+// Health is the health of a follower. The zero value has read nothing. It is safe for
+// concurrent use.
 type Health struct {
 	mutex     sync.Mutex
 	currentAt clock.Moment
 	lost      bool
-	// failures counts the failed reads in a row.
+	// failures is the number of consecutive failed reads.
 	failures int
 }
 
-// CurrentAt is the time as of which the follower has every record: the start
-// of the last read that was answered. It is zero before the first.
+// CurrentAt returns the time as of which the follower has read every record: the start of
+// the last successful read that reached the end of the partition, or the end of its wait if
+// it returned no records. It is zero before the first one.
 func (h *Health) CurrentAt() time.Time {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return h.currentAt.Time()
 }
 
-// Age is for how long the follower may have missed records, suspension of the machine
-// included.
+// Age returns the time since CurrentAt, during which the follower may have missed records.
+// It includes time for which the machine was suspended.
 func (h *Health) Age() time.Duration {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -61,21 +65,21 @@
 	return h.lost
 }
 
-// answered notes a read that began at a time. It reports whether reads failed
-// before, and for how long the follower was not current.
-func (h *Health) answered(began clock.Moment) (regained bool, after time.Duration) {
+// recordSuccess records a successful read that is current as of a given time. It reports
+// whether the previous read failed, and for how long the follower was not current.
+func (h *Health) recordSuccess(asOf clock.Moment) (recovered bool, after time.Duration) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	regained, after = h.lost, h.currentAt.Age()-began.Age()
+	recovered, after = h.lost, h.currentAt.Age()-asOf.Age()
 	h.lost, h.failures = false, 0
-	if began.Time().After(h.currentAt.Time()) {
-		h.currentAt = began
+	if asOf.Time().After(h.currentAt.Time()) {
+		h.currentAt = asOf
 	}
-	return regained, after
+	return recovered, after
 }
 
-// failed notes a failed read and reports whether it is the first in a row.
-func (h *Health) failed() bool {
+// recordFailure records a failed read. It reports whether the previous read succeeded.
+func (h *Health) recordFailure() bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	first := !h.lost
@@ -84,68 +88,72 @@
 	return first
 }
 
-// probes reports whether the next read is a probe, which is to be answered at once
-// and soon.
-func (h *Health) probes() bool {
+// nextIsProbe reports whether the next read is a probe, which does not wait for records and
+// has a short timeout.
+func (h *Health) nextIsProbe() bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	return h.failures%probesPerRead != 0
+	return h.failures%readsPerProbeCycle != 0
 }
 
-// Observer is told of a follower's lost and regained contact.
+// Observer is notified when a follower loses and regains contact with the log.
 type Observer interface {
+	// ReadFailed is called for the first of consecutive failed reads.
 	ReadFailed(partition Partition, err error)
+	// ReadRecovered is called for the first successful read after failed ones. after is how
+	// long the follower was not current.
 	ReadRecovered(partition Partition, after time.Duration)
 }
 
-// Follower reads a partition from its oldest record on, forever.
+// Follower reads a partition from its oldest record and applies all records in order.
 type Follower struct {
 	Log       Log
 	Partition Partition
 	Observer  Observer
 	// Apply applies records in order; offset is that of the first.
 	Apply func(offset uint64, records [][]byte)
-	// Pause is waited after a read that returned records, so that several join
-	// one read; none if it is nil.
+	// Pause returns the pause after a read that reached the end of the partition, so that
+	// the next read returns several records. There is no pause if it is nil.
 	Pause func() time.Duration
-	// Beyond tells how much longer the log's answers take than those of one next door,
-	// for which the constants were chosen; nil if they do not.
+	// Beyond returns how much longer the log's responses take than those of a log in the
+	// same data center, to which the timeouts apply. It may be nil, which means 0.
 	Beyond func() time.Duration
 	Health Health
 
-	reading sync.Mutex
-	next    uint64
+	// applyMutex guards next and serializes calls of Apply.
+	applyMutex sync.Mutex
+	next       uint64
 
-	rounds sync.Mutex
-	round  *catchUpRound
+	roundMutex sync.Mutex
+	round      *catchUpRound
 }
 
 // Run follows the partition until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
-	// The first reading is shared with callers that need it at once.
+	// The initial read is shared with callers of CatchUp.
 	for ctx.Err() == nil && f.CatchUp(ctx) != nil {
-		wait.For(ctx, retryPause)
+		wait.For(ctx, retryInterval)
 	}
 	for ctx.Err() == nil {
-		caughtUp, err := f.step(ctx, pollFor(f.Beyond))
+		caughtUp, err := f.readOnce(ctx, pollWaitFor(f.Beyond))
 		switch {
 		case err != nil:
-			wait.For(ctx, retryPause)
+			wait.For(ctx, retryInterval)
 		case caughtUp:
-			rest(ctx, f.Pause)
+			pauseAfterRead(ctx, f.Pause)
 		}
 	}
 }
 
-// CatchUp returns once the follower has the records that the partition held at
-// the time of the call. Callers share reads: of those that come while one is
-// under way, one makes the next read and the others wait for it, so that a crowd
-// of callers does not read the same records again and again.
+// CatchUp returns once the follower has applied the records that the partition held at
+// the time of the call. Concurrent callers share reads: of the callers that arrive during a
+// read, one makes the next read and the others wait for it, so that many callers do not read
+// the same records repeatedly.
 func (f *Follower) CatchUp(ctx context.Context) error {
 	began := time.Now()
 	for {
-		round, mine := f.joinRound()
-		if mine {
+		round, leader := f.joinRound()
+		if leader {
 			round.err = f.catchUp(ctx)
 			f.endRound(round)
 			return round.err
@@ -155,59 +163,60 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		if !round.began.Before(began) {
+		if !round.startedAt.Before(began) {
 			return round.err
 		}
 	}
 }
 
-// catchUpRound is one shared catch-up.
+// catchUpRound is a catch-up that concurrent callers share.
 type catchUpRound struct {
-	began time.Time
-	done  chan struct{}
+	startedAt time.Time
+	done      chan struct{}
 	// err is set before done is closed.
 	err error
 }
 
-// joinRound returns the round under way, or begins one that is the caller's.
-func (f *Follower) joinRound() (round *catchUpRound, mine bool) {
-	f.rounds.Lock()
-	defer f.rounds.Unlock()
+// joinRound returns the current round, or starts one that the caller must execute and end
+// as its leader.
+func (f *Follower) joinRound() (round *catchUpRound, leader bool) {
+	f.roundMutex.Lock()
+	defer f.roundMutex.Unlock()
 	if f.round != nil {
 		return f.round, false
 	}
-	f.round = &catchUpRound{began: time.Now(), done: make(chan struct{})}
+	f.round = &catchUpRound{startedAt: time.Now(), done: make(chan struct{})}
 	return f.round, true
 }
 
 func (f *Follower) endRound(round *catchUpRound) {
-	f.rounds.Lock()
-	defer f.rounds.Unlock()
+	f.roundMutex.Lock()
+	defer f.roundMutex.Unlock()
 	f.round = nil
 	close(round.done)
 }
 
 func (f *Follower) catchUp(ctx context.Context) error {
 	for {
-		caughtUp, err := f.step(ctx, 0)
+		caughtUp, err := f.readOnce(ctx, 0)
 		if err != nil || caughtUp {
 			return err
 		}
 	}
 }
 
-// step makes one read. It reports whether every record was read: one read
-// returns a bounded part of what is there.
-func (f *Follower) step(ctx context.Context, poll time.Duration) (caughtUp bool, err error) {
-	f.reading.Lock()
+// readOnce makes one read and applies its records. It reports whether the end of the
+// partition was reached: one read returns a limited number of records.
+func (f *Follower) readOnce(ctx context.Context, poll time.Duration) (caughtUp bool, err error) {
+	f.applyMutex.Lock()
 	from := f.next
-	f.reading.Unlock()
-	began := clock.Mark()
-	timeout := poll + f.readTime(poll)
-	if poll > 0 && f.Health.probes() {
+	f.applyMutex.Unlock()
+	asOf := clock.Mark()
+	timeout := poll + f.transferTimeout(poll)
+	if poll > 0 && f.Health.nextIsProbe() {
 		poll, timeout = 0, probeTimeout
 	}
-	timeout = lengthened(timeout, f.Beyond)
+	timeout = withExtraLatency(timeout, f.Beyond)
 	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	batch, err := f.Log.Read(callCtx, f.Partition, from, poll)
@@ -216,7 +225,7 @@
 		return false, err
 	}
 	if err != nil {
-		if ctx.Err() == nil && f.Health.failed() {
+		if ctx.Err() == nil && f.Health.recordFailure() {
 			f.Observer.ReadFailed(f.Partition, err)
 		}
 		return false, err
@@ -226,67 +235,70 @@
 		return false, nil
 	}
 	if len(batch.Records) == 0 {
-		// The service waited in vain: there was nothing new at the end of the
-		// wait, which began no earlier than the call.
-		began = began.Add(poll)
+		// The service waited without a new record. The wait started no earlier than the
+		// call, so that the follower is current as of the call's start plus the wait.
+		asOf = asOf.Add(poll)
 	}
-	if regained, after := f.Health.answered(began); regained {
+	if recovered, after := f.Health.recordSuccess(asOf); recovered {
 		f.Observer.ReadRecovered(f.Partition, after)
 	}
 	return true, nil
 }
 
-// readTime bounds the transfer of one answer: a catch-up after a start moves as
-// much as an answer holds, while many nodes read at once.
-func (f *Follower) readTime(poll time.Duration) time.Duration {
+// transferTimeout returns the timeout for the transfer of one response. It is longer for a
+// catch-up, whose responses are as large as the log permits while many nodes read
+// concurrently after a start.
+func (f *Follower) transferTimeout(poll time.Duration) time.Duration {
 	if poll > 0 {
 		return readTimeout
 	}
-	return bulkTimeout
+	return bulkReadTimeout
 }
 
-// lengthened returns a time-out that was chosen for a log next door, for one that is as far
-// away as beyond tells.
-func lengthened(timeout time.Duration, beyond func() time.Duration) time.Duration {
-	if beyond == nil {
+// withExtraLatency returns the timeout for a distant log, given the one for a log in the
+// same data center. extraLatency may be nil.
+func withExtraLatency(timeout time.Duration, extraLatency func() time.Duration) time.Duration {
+	if extraLatency == nil {
 		return timeout
 	}
-	return timeout + beyond()
+	return timeout + extraLatency()
 }
 
-// pollFor returns how long a read may wait at a service that is as far away as beyond
-// tells: what the way takes is not waited, so that a follower that hears nothing counts as
-// current for as long as one next door.
-func pollFor(beyond func() time.Duration) time.Duration {
-	if beyond == nil {
+// pollWaitFor returns how long a read may wait at the service. The extra latency is
+// subtracted, so that a follower that receives no records stays as current as one in the
+// same data center.
+func pollWaitFor(extraLatency func() time.Duration) time.Duration {
+	if extraLatency == nil {
 		return pollWait
 	}
-	return max(pollWait-beyond(), leastPollWait)
+	return max(pollWait-extraLatency(), minPollWait)
 }
 
-// apply hands over the records that were not handed over yet: two reads may
-// run at once and return the same ones.
+// apply applies the records that were not applied yet: two concurrent reads may return the
+// same records.
 func (f *Follower) apply(from uint64, records [][]byte) {
-	f.reading.Lock()
-	defer f.reading.Unlock()
+	f.applyMutex.Lock()
+	defer f.applyMutex.Unlock()
 	if from > f.next {
 		return
 	}
-	seen := f.next - from
-	if seen >= uint64(len(records)) {
+	applied := f.next - from
+	if applied >= uint64(len(records)) {
 		return
 	}
-	f.Apply(f.next, records[seen:])
+	f.Apply(f.next, records[applied:])
 	f.next = from + uint64(len(records))
 }
 
+// skipTo moves the next offset forward to the oldest retained one.
 func (f *Follower) skipTo(first uint64) {
-	f.reading.Lock()
-	defer f.reading.Unlock()
+	f.applyMutex.Lock()
+	defer f.applyMutex.Unlock()
 	f.next = max(f.next, first)
 }
 
-func rest(ctx context.Context, pause func() time.Duration) {
+// pauseAfterRead waits for the duration that pause returns. pause may be nil.
+func pauseAfterRead(ctx context.Context, pause func() time.Duration) {
 	if pause != nil {
 		wait.For(ctx, pause())
 	}
--- a/internal/sharedlog/follow_test.go
+++ b/internal/sharedlog/follow_test.go
@@ -13,20 +13,21 @@
 	"github.com/pathbend/pathbend/internal/result"
 )
 
-// fakeLog holds one partition in memory and answers at most perRead records.
+// fakeLog is an in-memory log with one partition. A read returns at most maxPerRead records.
 type fakeLog struct {
-	mutex   sync.Mutex
-	records [][]byte
-	keyed   []KeyedRecord
-	first   uint64
-	perRead int
-	// failing makes calls fail; staleEnd, if not 0, is the end that Newest tells.
+	mutex      sync.Mutex
+	records    [][]byte
+	keyed      []KeyedRecord
+	first      uint64
+	maxPerRead int
+	// failing makes reads fail. staleEnd, if not 0, is the End that the next call of Newest
+	// returns.
 	failing  bool
 	staleEnd uint64
-	// reads counts the reads, each of which takes readTime.
-	reads    int
-	readTime time.Duration
-	newest   []KeyedRecord
+	// reads is the number of reads, each of which takes readLatency.
+	reads       int
+	readLatency time.Duration
+	newest      []KeyedRecord
 }
 
 func (l *fakeLog) Append(_ context.Context, _ Partition, records [][]byte) (uint64, error) {
@@ -46,14 +47,14 @@
 func (l *fakeLog) Read(ctx context.Context, _ Partition, from uint64, wait time.Duration) (Batch, error) {
 	deadline := time.Now().Add(wait)
 	l.set(func() { l.reads++ })
-	time.Sleep(l.readTime)
+	time.Sleep(l.readLatency)
 	for {
 		l.mutex.Lock()
 		end := uint64(len(l.records))
 		failing, first := l.failing, l.first
 		var found [][]byte
 		if from < end {
-			found = l.records[from:min(end, from+uint64(l.perRead))]
+			found = l.records[from:min(end, from+uint64(l.maxPerRead))]
 		}
 		l.mutex.Unlock()
 		switch {
@@ -96,10 +97,10 @@
 	return KeyedPage{KeyedBatch: KeyedBatch{End: end, Records: l.newest}}, nil
 }
 
-type silentObserver struct{ failed, recovered int }
+type countingObserver struct{ failed, recovered int }
 
-func (o *silentObserver) ReadFailed(Partition, error)            { o.failed++ }
-func (o *silentObserver) ReadRecovered(Partition, time.Duration) { o.recovered++ }
+func (o *countingObserver) ReadFailed(Partition, error)            { o.failed++ }
+func (o *countingObserver) ReadRecovered(Partition, time.Duration) { o.recovered++ }
 
 func numbered(count int) [][]byte {
 	records := make([][]byte, count)
@@ -109,13 +110,13 @@
 	return records
 }
 
-// A log answers a bounded part of what it holds. A node that took the first
-// part for the whole executed a job whose end lay in the second.
-func TestCatchUpReadsAllParts(t *testing.T) {
+// Guards against treating the first batch as all records: a read returns a limited number of
+// records, and a node executed a job whose end was in the second batch.
+func TestCatchUpReadsAllBatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var got [][]byte
 		follower := &Follower{
-			Log: &fakeLog{records: numbered(25), perRead: 10}, Observer: &silentObserver{},
+			Log: &fakeLog{records: numbered(25), maxPerRead: 10}, Observer: &countingObserver{},
 			Apply: func(_ uint64, records [][]byte) { got = append(got, records...) },
 		}
 		require.NoError(t, follower.CatchUp(t.Context()))
@@ -124,25 +125,25 @@
 	})
 }
 
-func TestFollowerIsNotCurrentBeforeTheLastPart(t *testing.T) {
+func TestFollowerIsNotCurrentBeforeTheLastBatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		follower := &Follower{
-			Log: &fakeLog{records: numbered(25), perRead: 10}, Observer: &silentObserver{}, Apply: func(uint64, [][]byte) {},
+			Log: &fakeLog{records: numbered(25), maxPerRead: 10}, Observer: &countingObserver{}, Apply: func(uint64, [][]byte) {},
 		}
-		whole, err := follower.step(t.Context(), 0)
+		caughtUp, err := follower.readOnce(t.Context(), 0)
 		require.NoError(t, err)
-		require.False(t, whole)
+		require.False(t, caughtUp)
 		require.True(t, follower.Health.CurrentAt().IsZero())
 	})
 }
 
-func TestFollowerHandsEachRecordOverOnceAndTellsOfOutages(t *testing.T) {
+func TestFollowerAppliesEachRecordOnceAndReportsOutages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		log := &fakeLog{records: numbered(5), perRead: 3}
-		observer := &silentObserver{}
+		log := &fakeLog{records: numbered(5), maxPerRead: 3}
+		observer := &countingObserver{}
 		var got [][]byte
 		follower := &Follower{
-			Log: log, Observer: observer, Pause: shortPause,
+			Log: log, Observer: observer, Pause: oneMillisecond,
 			Apply: func(offset uint64, records [][]byte) {
 				require.Equal(t, uint64(len(got)), offset)
 				got = append(got, records...)
@@ -157,7 +158,7 @@
 		require.True(t, follower.Health.Lost())
 		log.set(func() { log.failing = false; log.records = numbered(9) })
 		time.Sleep(500 * time.Millisecond)
-		require.NoError(t, follower.CatchUp(ctx), "beside the loop")
+		require.NoError(t, follower.CatchUp(ctx), "concurrently with the loop")
 		cancel()
 		<-done
 		require.Equal(t, numbered(9), got)
@@ -172,37 +173,37 @@
 	change()
 }
 
-func TestFollowerGoesOnAtTheOldestRecordKept(t *testing.T) {
+func TestFollowerContinuesAtTheOldestRetainedRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		log := &fakeLog{records: numbered(10), perRead: 10, first: 4}
+		log := &fakeLog{records: numbered(10), maxPerRead: 10, first: 4}
 		var offsets []uint64
-		follower := &Follower{Log: log, Observer: &silentObserver{}, Apply: func(offset uint64, _ [][]byte) { offsets = append(offsets, offset) }}
+		follower := &Follower{Log: log, Observer: &countingObserver{}, Apply: func(offset uint64, _ [][]byte) { offsets = append(offsets, offset) }}
 		require.Error(t, follower.CatchUp(t.Context()))
 		require.NoError(t, follower.CatchUp(t.Context()))
 		require.Equal(t, []uint64{4}, offsets)
 	})
 }
 
-func TestKeyedFollowerNeverMovesBack(t *testing.T) {
+func TestKeyedFollowerIgnoresStaleNewestRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		record := func(offset uint64) KeyedRecord {
 			return KeyedRecord{Key: "k", Value: []byte{byte(offset)}, Offset: offset}
 		}
 		log := &fakeLog{keyed: []KeyedRecord{record(0)}, newest: []KeyedRecord{record(0)}}
 		var got []byte
-		take := func(records []KeyedRecord, _ uint64) {
+		apply := func(records []KeyedRecord, _ uint64) {
 			for _, one := range records {
 				got = append(got, one.Value[0])
 			}
 		}
-		follower := &KeyedFollower{Log: log, Observer: &silentObserver{}, Reset: take, Apply: take, Pause: shortPause}
+		follower := &KeyedFollower{Log: log, Observer: &countingObserver{}, Reset: apply, Apply: apply, Pause: oneMillisecond}
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() { defer close(done); follower.Run(ctx) }()
 		time.Sleep(50 * time.Millisecond)
 		log.set(func() { log.keyed = append(log.keyed, record(1), record(2)) })
 		time.Sleep(50 * time.Millisecond)
-		// The history is dropped, and the newest records are stale at first.
+		// The history is truncated, and the newest records are stale at first.
 		log.set(func() { log.first, log.staleEnd = 3, 1 })
 		time.Sleep(300 * time.Millisecond)
 		log.set(func() { log.newest = []KeyedRecord{record(2)} })
@@ -211,20 +212,20 @@
 		<-done
 		require.Equal(t, []byte{0, 1, 2}, got[:3])
 		for _, value := range got[3:] {
-			require.Equal(t, byte(2), value, "a stale answer is passed over")
+			require.Equal(t, byte(2), value, "a stale response is ignored")
 		}
 	})
 }
 
-// After a start of all nodes, each request for a job that was not read yet made
-// a reading of its own, and together they took as long as the log gives away in
-// seconds.
-func TestCatchUpsShareTheirReads(t *testing.T) {
+// Guards against one read per concurrent caller. After a start of all nodes, each request for
+// a job that was not read yet made its own read, and together they used the log's entire read
+// capacity for seconds.
+func TestConcurrentCatchUpsShareReads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		log := &fakeLog{records: numbered(40), perRead: 10, readTime: 100 * time.Millisecond}
+		log := &fakeLog{records: numbered(40), maxPerRead: 10, readLatency: 100 * time.Millisecond}
 		count := 0
 		follower := &Follower{
-			Log: log, Observer: &silentObserver{}, Apply: func(_ uint64, records [][]byte) { count += len(records) },
+			Log: log, Observer: &countingObserver{}, Apply: func(_ uint64, records [][]byte) { count += len(records) },
 		}
 		var callers sync.WaitGroup
 		for range 50 {
@@ -240,10 +241,10 @@
 
 func TestLateCallerIsNotServedByAnEarlierRound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		log := &fakeLog{records: numbered(1), perRead: 10, readTime: 100 * time.Millisecond}
+		log := &fakeLog{records: numbered(1), maxPerRead: 10, readLatency: 100 * time.Millisecond}
 		count := 0
 		follower := &Follower{
-			Log: log, Observer: &silentObserver{}, Apply: func(_ uint64, records [][]byte) { count += len(records) },
+			Log: log, Observer: &countingObserver{}, Apply: func(_ uint64, records [][]byte) { count += len(records) },
 		}
 		go func() { _ = follower.CatchUp(t.Context()) }()
 		time.Sleep(50 * time.Millisecond)
@@ -253,4 +254,4 @@
 	})
 }
 
-func shortPause() time.Duration { return time.Millisecond }
+func oneMillisecond() time.Duration { return time.Millisecond }
--- a/internal/sharedlog/keyed.go
+++ b/internal/sharedlog/keyed.go
@@ -10,187 +10,195 @@
 )
 
 const (
-	// pageTimeout bounds the first attempt at a page of newest records, mostPageTimeout
-	// any later one: each attempt that runs out of time doubles it. When hundreds of
-	// nodes start at once, each waits for the pages of all others: 300 pages of 0.8 MB
-	// take 3 s at 80 MB a second, and one that is given up has cost the store as much.
-	pageTimeout     = pollWait + readTimeout
-	mostPageTimeout = 8 * time.Second
+	// pageTimeout is the timeout of the first attempt to read a page of newest records. It
+	// doubles after each attempt that times out, up to maxPageTimeout. When hundreds of nodes
+	// start at once, each waits for the pages of all others: 300 pages of 0.8 MB take 3 s at
+	// 80 MB/s, and a page whose read is abandoned has cost the store as much as any other.
+	pageTimeout    = pollWait + readTimeout
+	maxPageTimeout = 8 * time.Second
 )
 
 // KeyedFollower reads the newest record of every key, then follows the
-// partition. Records may be handed over again after a truncation; the receiver
-// must not move backwards.
+// partition. After a truncation, records may be delivered again; the receiver must not
+// replace newer records with them.
 type KeyedFollower struct {
 	Log       Log
 	Partition Partition
 	Observer  Observer
-	// Reset applies the newest record of every key; keys that are missing are
-	// dropped. Apply applies later records in order. next is the offset up to which records
-	// were read by then.
+	// Reset applies the newest record of every key; missing keys are deleted. next is the
+	// offset after the last record that was read.
 	Reset func(records []KeyedRecord, next uint64)
+	// Apply applies later records in order, with next as in Reset.
 	Apply func(records []KeyedRecord, next uint64)
-	// Early, if set, is told of the records that were read so far while the first pages
-	// come, each time that there are twice as many.
+	// Early, if set, receives the records read so far during the initial read of all pages,
+	// each time that their number has doubled.
 	Early func(records []KeyedRecord)
+	// Pause is the same as in Follower.
 	Pause func() time.Duration
-	// Poll is how long a read may be held where that is longer than usual; nil if it is not.
+	// Poll returns how long a read may wait at the service if that is longer than the usual
+	// wait. It may be nil.
 	Poll func() time.Duration
-	// Beyond is that of Follower.
+	// Beyond is the same as in Follower.
 	Beyond func() time.Duration
 	Health Health
 
-	gathering gathering
-	// ahead holds, by key, the offset of records that were read ahead of next.
-	ahead map[string]uint64
+	initialRead initialRead
+	// readAhead maps keys to the offset of their record if it was read before the offset from
+	// which the follower continues reached it.
+	readAhead map[string]uint64
 }
 
-// gathering is what was read of the newest records so far. Pages stay when a later
-// one fails.
-type gathering struct {
+// initialRead holds the newest records read so far. Pages are retained if a later one
+// fails.
+type initialRead struct {
 	KeyedBatch
-	after   string
-	begun   bool
+	// lastKey is the last key of the last page.
+	lastKey string
+	started bool
+	// timeout is the timeout of the next attempt, 0 for pageTimeout.
 	timeout time.Duration
-	// told is how many records there were when Early was told last.
-	told int
+	// reported is the number of records at the last call of Early.
+	reported int
 }
 
 // Run follows the partition until ctx ends.
 func (f *KeyedFollower) Run(ctx context.Context) {
-	known := false
+	initialized := false
 	var next uint64
 	for ctx.Err() == nil {
-		began := clock.Mark()
-		batch, err := f.read(ctx, known, next)
+		asOf := clock.Mark()
+		batch, err := f.read(ctx, initialized, next)
 		switch {
 		case result.Is(err, result.LogTruncated):
-			known = false
+			initialized = false
 			continue
 		case err != nil:
-			if ctx.Err() == nil && f.Health.failed() {
+			if ctx.Err() == nil && f.Health.recordFailure() {
 				f.Observer.ReadFailed(f.Partition, err)
 			}
-			wait.For(ctx, retryPause)
+			wait.For(ctx, retryInterval)
 			continue
-		case !known && batch.End < next:
-			// A stale answer: what was applied already goes further.
-			wait.For(ctx, retryPause)
+		case !initialized && batch.End < next:
+			// The response is stale: later records were applied already.
+			wait.For(ctx, retryInterval)
 			continue
-		case !known:
+		case !initialized:
 			f.Reset(batch.Records, batch.End)
-			known, next = true, batch.End
+			initialized, next = true, batch.End
 		case batch.Next > next:
 			next = batch.Next
-			f.Apply(f.unread(batch.Records), next)
+			f.Apply(f.withoutStale(batch.Records), next)
 		}
 		if len(batch.Records) == 0 {
-			// Whoever answered waited in vain: there was nothing new at the end of the wait.
-			began = began.Add(batch.Held)
+			// The service, or a cache before it, waited without a new record, so that the
+			// follower is current as of the end of the wait.
+			asOf = asOf.Add(batch.Held)
 		}
-		if regained, after := f.Health.answered(began.Add(-batch.Age)); regained {
+		if recovered, after := f.Health.recordSuccess(asOf.Add(-batch.Age)); recovered {
 			f.Observer.ReadRecovered(f.Partition, after)
 		}
 		if next >= batch.End {
-			rest(ctx, f.Pause)
+			pauseAfterRead(ctx, f.Pause)
 		}
 	}
 }
 
-func (f *KeyedFollower) read(ctx context.Context, known bool, next uint64) (KeyedBatch, error) {
-	if !known {
-		return f.gather(ctx)
+func (f *KeyedFollower) read(ctx context.Context, initialized bool, next uint64) (KeyedBatch, error) {
+	if !initialized {
+		return f.readNewest(ctx)
 	}
-	poll := pollFor(f.Beyond)
+	poll := pollWaitFor(f.Beyond)
 	if f.Poll != nil {
 		poll = max(poll, f.Poll())
 	}
 	timeout := poll + readTimeout
-	if f.Health.probes() {
+	if f.Health.nextIsProbe() {
 		poll, timeout = 0, probeTimeout
 	}
-	ctx, cancel := context.WithTimeout(ctx, lengthened(timeout, f.Beyond))
+	ctx, cancel := context.WithTimeout(ctx, withExtraLatency(timeout, f.Beyond))
 	defer cancel()
 	return f.Log.ReadKeyed(ctx, f.Partition, next, poll)
 }
 
-// gather reads all pages of the newest records. After a failure the next call goes on
-// where this one ended.
-func (f *KeyedFollower) gather(ctx context.Context) (KeyedBatch, error) {
+// readNewest reads all pages of the newest records. After a failure the next call continues
+// with the page that failed.
+func (f *KeyedFollower) readNewest(ctx context.Context) (KeyedBatch, error) {
 	for {
-		page, err := f.page(ctx)
+		page, err := f.readPage(ctx)
 		if err != nil {
 			return KeyedBatch{}, err
 		}
-		if f.gathering.add(page) {
-			gathered := f.gathering.KeyedBatch
-			f.gathering = gathering{}
-			f.noteAhead(gathered)
-			return gathered, nil
+		if f.initialRead.add(page) {
+			newest := f.initialRead.KeyedBatch
+			f.initialRead = initialRead{}
+			f.recordReadAhead(newest)
+			return newest, nil
 		}
-		f.tellEarly()
+		f.reportEarly()
 	}
 }
 
-// tellEarly hands on what was gathered if that is twice as much as the last time, so that
-// all of it together is handled no more than twice.
-func (f *KeyedFollower) tellEarly() {
-	if read := len(f.gathering.Records); f.Early != nil && read >= 2*f.gathering.told {
-		f.gathering.told = read
-		f.Early(f.gathering.Records)
+// reportEarly passes the records read so far to Early if their number has doubled since the
+// last call, so that each record is passed about twice in total.
+func (f *KeyedFollower) reportEarly() {
+	if read := len(f.initialRead.Records); f.Early != nil && read >= 2*f.initialRead.reported {
+		f.initialRead.reported = read
+		f.Early(f.initialRead.Records)
 	}
 }
 
-// page reads the next page. An attempt that ran out of time lengthens the next.
-func (f *KeyedFollower) page(ctx context.Context) (KeyedPage, error) {
-	timeout := max(f.gathering.timeout, pageTimeout)
-	callCtx, cancel := context.WithTimeout(ctx, lengthened(timeout, f.Beyond))
+// readPage reads the next page. An attempt that times out doubles the timeout of the next.
+func (f *KeyedFollower) readPage(ctx context.Context) (KeyedPage, error) {
+	timeout := max(f.initialRead.timeout, pageTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, withExtraLatency(timeout, f.Beyond))
 	defer cancel()
-	page, err := f.Log.Newest(callCtx, f.Partition, f.gathering.after)
+	page, err := f.Log.Newest(callCtx, f.Partition, f.initialRead.lastKey)
 	if err != nil && callCtx.Err() != nil {
-		f.gathering.timeout = min(2*timeout, mostPageTimeout)
+		f.initialRead.timeout = min(2*timeout, maxPageTimeout)
 	}
 	return page, err
 }
 
-// add takes a page and reports whether it was the last.
-func (g *gathering) add(page KeyedPage) (complete bool) {
-	if !g.begun {
-		g.begun, g.End = true, page.End
+// add adds a page and reports whether it was the last one.
+func (r *initialRead) add(page KeyedPage) (complete bool) {
+	if !r.started {
+		r.started, r.End = true, page.End
 	}
-	g.Records = append(g.Records, page.Records...)
+	r.Records = append(r.Records, page.Records...)
 	if len(page.Records) == 0 {
 		return true
 	}
-	g.after = page.Records[len(page.Records)-1].Key
+	r.lastKey = page.Records[len(page.Records)-1].Key
 	return !page.More
 }
 
-// noteAhead remembers the records that lie past the end from which reading goes on:
-// a later page may be newer than the first. Older ones of their keys are to come.
-func (f *KeyedFollower) noteAhead(gathered KeyedBatch) {
-	f.ahead = make(map[string]uint64)
-	for _, record := range gathered.Records {
-		if record.Offset >= gathered.End {
-			f.ahead[record.Key] = record.Offset
+// recordReadAhead remembers the records after the offset from which the follower continues,
+// because a later page may be newer than the first. The follower will read older records of
+// their keys.
+func (f *KeyedFollower) recordReadAhead(newest KeyedBatch) {
+	f.readAhead = make(map[string]uint64)
+	for _, record := range newest.Records {
+		if record.Offset >= newest.End {
+			f.readAhead[record.Key] = record.Offset
 		}
 	}
 }
 
-// unread drops records older than what was read ahead of them.
-func (f *KeyedFollower) unread(records []KeyedRecord) []KeyedRecord {
-	if len(f.ahead) == 0 {
+// withoutStale returns the records without those that are older than a record of their key
+// that was read ahead.
+func (f *KeyedFollower) withoutStale(records []KeyedRecord) []KeyedRecord {
+	if len(f.readAhead) == 0 {
 		return records
 	}
-	kept := make([]KeyedRecord, 0, len(records))
+	fresh := make([]KeyedRecord, 0, len(records))
 	for _, record := range records {
-		if newest, known := f.ahead[record.Key]; known {
+		if newest, known := f.readAhead[record.Key]; known {
 			if record.Offset < newest {
 				continue
 			}
-			delete(f.ahead, record.Key)
+			delete(f.readAhead, record.Key)
 		}
-		kept = append(kept, record)
+		fresh = append(fresh, record)
 	}
-	return kept
+	return fresh
 }
--- a/internal/sharedlog/keyed_test.go
+++ b/internal/sharedlog/keyed_test.go
@@ -11,28 +11,28 @@
 	"github.com/pathbend/pathbend/internal/result"
 )
 
-// pagedLog hands out one key a page. A page takes some time.
+// pagedLog returns pages of one key each, after a latency.
 type pagedLog struct {
 	Log
 
-	keys  []KeyedRecord
-	end   uint64
-	takes time.Duration
-	later []KeyedRecord
+	keys    []KeyedRecord
+	end     uint64
+	latency time.Duration
+	later   []KeyedRecord
 
-	asked  []string
-	failed int
+	requested []string
+	failed    int
 }
 
 func (l *pagedLog) Newest(ctx context.Context, _ Partition, after string) (KeyedPage, error) {
-	l.asked = append(l.asked, after)
-	timer := time.NewTimer(l.takes)
+	l.requested = append(l.requested, after)
+	timer := time.NewTimer(l.latency)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 	case <-ctx.Done():
 		l.failed++
-		return KeyedPage{}, result.New(result.LogUnavailable, "not in time")
+		return KeyedPage{}, result.New(result.LogUnavailable, "page timed out")
 	}
 	for i, record := range l.keys {
 		if after == "" || after == l.keys[max(i-1, 0)].Key && i > 0 {
@@ -58,44 +58,45 @@
 	return batch, nil
 }
 
-func followPages(t *testing.T, log *pagedLog, lasts time.Duration) (reset, applied []KeyedRecord) {
+func runKeyedFollower(t *testing.T, log *pagedLog, duration time.Duration) (reset, applied []KeyedRecord) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		f := &KeyedFollower{
-			Log: log, Observer: &silentObserver{}, Pause: shortPause,
+			Log: log, Observer: &countingObserver{}, Pause: oneMillisecond,
 			Reset: func(records []KeyedRecord, _ uint64) { reset = append(reset, records...) },
 			Apply: func(records []KeyedRecord, _ uint64) { applied = append(applied, records...) },
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() { defer close(done); f.Run(ctx) }()
-		time.Sleep(lasts)
+		time.Sleep(duration)
 		cancel()
 		<-done
 	})
 	return reset, applied
 }
 
-// 300 nodes that started at once read 2,400 entries of samplers, five pages each. No
-// page was there within 1.3 s for all, and each failure began with the first page
-// again: none ever had the list, nor the configuration that lay behind it in the queue.
-func TestPagesStayWhenALaterOneFailsAndGetMoreTime(t *testing.T) {
-	log := &pagedLog{keys: []KeyedRecord{{Key: "a", Offset: 1}, {Key: "b", Offset: 2}, {Key: "c", Offset: 3}}, end: 5, takes: 3 * time.Second}
-	reset, _ := followPages(t, log, 20*time.Second)
+// Guards against restarting the initial read after each failed page. When 300 nodes that
+// started at once read 2,400 sampler entries in five pages each, not all of them received
+// their pages within 1.3 s and began with the first page again. No node ever completed the
+// list, or the configuration that was queued behind it.
+func TestPagesAreRetainedAndTheTimeoutGrowsWhenALaterPageFails(t *testing.T) {
+	log := &pagedLog{keys: []KeyedRecord{{Key: "a", Offset: 1}, {Key: "b", Offset: 2}, {Key: "c", Offset: 3}}, end: 5, latency: 3 * time.Second}
+	reset, _ := runKeyedFollower(t, log, 20*time.Second)
 	require.Equal(t, log.keys, reset)
-	require.Equal(t, []string{"", "", "", "a", "b"}, log.asked, "two attempts too short, then each page once")
+	require.Equal(t, []string{"", "", "", "a", "b"}, log.requested, "two attempts time out, then each page is read once")
 	require.Equal(t, 2, log.failed)
 }
 
-func TestPageIsNotWaitedForWithoutLimit(t *testing.T) {
-	log := &pagedLog{keys: []KeyedRecord{{Key: "a"}}, takes: time.Hour}
-	reset, _ := followPages(t, log, 2*time.Minute)
+func TestPageTimeoutIsLimited(t *testing.T) {
+	log := &pagedLog{keys: []KeyedRecord{{Key: "a"}}, latency: time.Hour}
+	reset, _ := runKeyedFollower(t, log, 2*time.Minute)
 	require.Empty(t, reset)
-	require.GreaterOrEqual(t, log.failed, int(2*time.Minute/(mostPageTimeout+retryPause))-1)
+	require.GreaterOrEqual(t, log.failed, int(2*time.Minute/(maxPageTimeout+retryInterval))-1)
 }
 
-// The pages are no snapshot: what a later one tells may be newer than the end of the
-// first, from which reading goes on.
+// The pages are not a consistent snapshot: a later page may have records after the end of the
+// first page, from which the follower continues.
 func TestRecordsReadAheadAreNotReplacedByOlderOnes(t *testing.T) {
 	log := &pagedLog{
 		keys: []KeyedRecord{{Key: "a", Offset: 1}, {Key: "b", Value: []byte("draining"), Offset: 8}}, end: 5,
@@ -104,25 +105,26 @@
 			{Key: "b", Value: []byte("draining"), Offset: 8}, {Key: "b", Value: []byte("gone"), Offset: 9},
 		},
 	}
-	_, applied := followPages(t, log, 5*time.Second)
+	_, applied := runKeyedFollower(t, log, 5*time.Second)
 	require.Equal(t, log.later[1:], applied)
 }
 
-// A node that started among 3,000 samplers knew none of them for 2.2 s.
-func TestRecordsReadSoFarAreToldWhileTheFirstPagesCome(t *testing.T) {
+// Guards against delivering records only after the last page: a node that started among 3,000
+// samplers knew none of them for 2.2 s.
+func TestRecordsReadSoFarAreReportedDuringTheInitialRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		log := &pagedLog{takes: 10 * time.Millisecond}
+		log := &pagedLog{latency: 10 * time.Millisecond}
 		for _, key := range []string{"a", "b", "c", "d", "e"} {
 			log.keys = append(log.keys, KeyedRecord{Key: key})
 		}
 		ctx, cancel := context.WithCancel(t.Context())
-		var told []int
+		var counts []int
 		follower := &KeyedFollower{
 			Log: log, Apply: func([]KeyedRecord, uint64) {},
-			Early: func(records []KeyedRecord) { told = append(told, len(records)) },
+			Early: func(records []KeyedRecord) { counts = append(counts, len(records)) },
 			Reset: func([]KeyedRecord, uint64) { cancel() },
 		}
 		follower.Run(ctx)
-		require.Equal(t, []int{1, 2, 4}, told, "each record is handled about twice in all")
+		require.Equal(t, []int{1, 2, 4}, counts, "each record is passed about twice in total")
 	})
 }
--- a/internal/sharedlog/measured.go
+++ b/internal/sharedlog/measured.go
@@ -11,175 +11,180 @@
 )
 
 const (
-	// nextDoor is the time-out of a log service next door, which answers in some 5 ms on
-	// machines whose processor is shared out in slices of a tenth of a second. All
-	// constants that are bounds of calls to it were chosen for that distance.
-	nextDoor = 100 * time.Millisecond
-	// farthest bounds the time-out. A region on the other side of the earth is 300 ms
-	// away and back, a call on a new connection takes the way twice (chosen).
-	farthest = 800 * time.Millisecond
+	// minTimeout is the lower limit of the estimated timeout. It suits a log service in the
+	// same data center, which responds in about 5 ms, on machines whose processor time is
+	// shared in slices of 100 ms. All constant timeouts of calls to the log service assume
+	// that distance.
+	minTimeout = 100 * time.Millisecond
+	// maxTimeout is the upper limit of the estimated timeout. The round trip to a region on
+	// the other side of the earth takes 300 ms, and a call on a new connection takes two.
+	maxTimeout = 800 * time.Millisecond
 )
 
-// Measured is a log service, and the time that it takes to answer. It implements Log and
-// Group. One of it serves a node, so that all that speaks to the service knows how far
-// away it is.
+// Measured wraps a log service and estimates its latency. It implements Log and Group. A
+// node uses a single instance, so that all clients of the service on the node share the
+// estimate. It is safe for concurrent use if the service is.
 type Measured struct {
 	log   Log
 	group Group
-	// way is estimated from calls that are answered at once, appends from those that
-	// take turns in a partition.
-	way     *roundtrip.Estimator
-	appends *roundtrip.Estimator
-	// answeredAt is when the last call was answered.
-	answeredAt atomic.Pointer[clock.Moment]
+	// roundTrip is estimated from calls that the service answers immediately.
+	roundTrip *roundtrip.Estimator
+	// appendTime is estimated from appends, which a partition processes one at a time.
+	appendTime *roundtrip.Estimator
+	// lastResponseAt is the time of the last successful response.
+	lastResponseAt atomic.Pointer[clock.Moment]
 }
 
-// Measure returns a log service whose answers are timed.
+// Measure returns a wrapper of a log service and a group that measures their latency.
 func Measure(log Log, group Group) *Measured {
-	bounds := roundtrip.Bounds{Floor: nextDoor, Ceiling: farthest}
-	m := &Measured{log: log, group: group, way: roundtrip.New(bounds), appends: roundtrip.New(bounds)}
-	m.noteAnswer(nil)
+	bounds := roundtrip.Bounds{Floor: minTimeout, Ceiling: maxTimeout}
+	m := &Measured{log: log, group: group, roundTrip: roundtrip.New(bounds), appendTime: roundtrip.New(bounds)}
+	m.recordResponse(nil)
 	return m
 }
 
-// Way estimates how far away the service is.
-func (m *Measured) Way() *roundtrip.Estimator { return m.way }
+// Way returns the estimator of the round-trip time to the service.
+func (m *Measured) Way() *roundtrip.Estimator { return m.roundTrip }
 
-// Appends estimates how soon the service answers appends, of which a partition takes one
-// after the other.
-func (m *Measured) Appends() *roundtrip.Estimator { return m.appends }
+// Appends returns the estimator of the response time of appends, which a partition processes
+// one at a time.
+func (m *Measured) Appends() *roundtrip.Estimator { return m.appendTime }
 
-// Quiet is how long ago the service answered the last call that it answered, at first when
-// this was made, suspension of the machine included.
-func (m *Measured) Quiet() time.Duration { return m.answeredAt.Load().Age() }
+// Quiet returns the time since the last successful response, or since m was created if there
+// was none. It includes time for which the machine was suspended.
+func (m *Measured) Quiet() time.Duration { return m.lastResponseAt.Load().Age() }
 
-// noteAnswer notes the end of a call.
-func (m *Measured) noteAnswer(err error) {
+// recordResponse records the time of a response if the call succeeded.
+func (m *Measured) recordResponse(err error) {
 	if err == nil {
 		now := clock.Mark()
-		m.answeredAt.Store(&now)
+		m.lastResponseAt.Store(&now)
 	}
 }
 
-// passage is how a call reached the service.
-type passage struct {
-	around atomic.Bool
+// route records how a call reached the service.
+type route struct {
+	indirect atomic.Bool
 }
 
-type passageKey struct{}
+// routeKey is the context key of the *route of a call.
+type routeKey struct{}
 
-// WentAround notes that the call of ctx reached the service by another way than its own,
-// such as through another node, or after it had tried one: how long it took tells nothing
-// of the way.
+// WentAround marks the call of ctx as one that did not reach the service directly, for
+// example because it was relayed by another node, or that tried a relay first. The duration
+// of such a call says nothing about the round-trip time and is not measured.
 func WentAround(ctx context.Context) {
-	if passed, ok := ctx.Value(passageKey{}).(*passage); ok {
-		passed.around.Store(true)
+	if taken, ok := ctx.Value(routeKey{}).(*route); ok {
+		taken.indirect.Store(true)
 	}
 }
 
-// timed makes a call and tells an estimator how it ended. A call that its caller did not
-// want any more tells nothing.
+// timed makes a call and reports its outcome to an estimator. A call that its caller
+// canceled is not reported.
 func (m *Measured) timed(ctx context.Context, estimator *roundtrip.Estimator, call func(context.Context) error) error {
-	passed := &passage{}
+	taken := &route{}
 	began := time.Now()
-	err := call(context.WithValue(ctx, passageKey{}, passed))
-	m.noteAnswer(err)
+	err := call(context.WithValue(ctx, routeKey{}, taken))
+	m.recordResponse(err)
 	now := time.Now()
 	switch {
-	case err == nil && passed.around.Load():
+	case err == nil && taken.indirect.Load():
 		estimator.Reached(now)
 	case err == nil:
 		estimator.Answered(now.Sub(began), now)
-	case errors.Is(err, context.DeadlineExceeded) && !passed.around.Load():
+	case errors.Is(err, context.DeadlineExceeded) && !taken.indirect.Load():
 		estimator.GivenUp(now.Sub(began), now)
 	}
 	return err
 }
 
-// Beyond is how much longer the service's answers take than those of one next door.
-func (m *Measured) Beyond() time.Duration { return m.way.Beyond() }
+// Beyond returns how much longer the service's responses take than those of a service in
+// the same data center.
+func (m *Measured) Beyond() time.Duration { return m.roundTrip.Beyond() }
 
-// Away is the round trip to the service, 0 before its first answer.
-func (m *Measured) Away() time.Duration { return m.way.Read().Smoothed }
+// Away returns the round-trip time to the service, 0 before its first response.
+func (m *Measured) Away() time.Duration { return m.roundTrip.Read().Smoothed }
 
-// appendMemory is how long an answered append tells that the service answers: it may have
-// gone since (chosen).
-const appendMemory = 3 * time.Second
+// recentAppendWindow is how long a successful append indicates that the service processes
+// appends. The service may have become unavailable since.
+const recentAppendWindow = 3 * time.Second
 
-// OverdueAppend returns after how long an append counts as lost, at most a time that was
-// chosen for a service next door, lengthened by the distance; and whether the service
-// answered appends of late. If it did not, that time is all that is known.
-func (m *Measured) OverdueAppend(most time.Duration) (after time.Duration, answers bool) {
-	most += m.appends.Beyond()
-	if !m.appends.AnsweredSince(time.Now().Add(-appendMemory)) {
-		return most, false
+// OverdueAppend returns the time after which an append counts as lost, and whether the
+// service responded to an append within recentAppendWindow. limit is the maximum for a
+// service in the same data center; it is extended by the extra latency of appends, and is
+// returned if there is no recent response.
+func (m *Measured) OverdueAppend(limit time.Duration) (after time.Duration, responsive bool) {
+	limit += m.appendTime.Beyond()
+	if !m.appendTime.AnsweredSince(time.Now().Add(-recentAppendWindow)) {
+		return limit, false
 	}
-	return min(m.appends.Read().Timeout, most), true
+	return min(m.appendTime.Read().Timeout, limit), true
 }
 
 // Append implements Log.
 func (m *Measured) Append(ctx context.Context, partition Partition, records [][]byte) (offset uint64, err error) {
-	err = m.timed(ctx, m.appends, func(ctx context.Context) (failed error) {
-		offset, failed = m.log.Append(ctx, partition, records)
-		return failed
+	err = m.timed(ctx, m.appendTime, func(ctx context.Context) (callErr error) {
+		offset, callErr = m.log.Append(ctx, partition, records)
+		return callErr
 	})
 	return offset, err
 }
 
 // AppendKeyed implements Log.
 func (m *Measured) AppendKeyed(ctx context.Context, partition Partition, records []KeyedRecord) error {
-	return m.timed(ctx, m.appends, func(ctx context.Context) error { return m.log.AppendKeyed(ctx, partition, records) })
+	return m.timed(ctx, m.appendTime, func(ctx context.Context) error { return m.log.AppendKeyed(ctx, partition, records) })
 }
 
-// Read implements Log. One that the service may hold tells nothing of the way.
+// Read implements Log. A read that may wait at the service is not measured.
 func (m *Measured) Read(ctx context.Context, partition Partition, from uint64, wait time.Duration) (batch Batch, err error) {
 	if wait > 0 {
 		batch, err = m.log.Read(ctx, partition, from, wait)
-		m.noteAnswer(err)
+		m.recordResponse(err)
 		return batch, err
 	}
-	err = m.timed(ctx, m.way, func(ctx context.Context) (failed error) {
-		batch, failed = m.log.Read(ctx, partition, from, wait)
-		return failed
+	err = m.timed(ctx, m.roundTrip, func(ctx context.Context) (callErr error) {
+		batch, callErr = m.log.Read(ctx, partition, from, wait)
+		return callErr
 	})
 	return batch, err
 }
 
 // ReadPart implements Log.
 func (m *Measured) ReadPart(ctx context.Context, partition Partition, from uint64, maxBytes int) (batch Batch, err error) {
-	err = m.timed(ctx, m.way, func(ctx context.Context) (failed error) {
-		batch, failed = m.log.ReadPart(ctx, partition, from, maxBytes)
-		return failed
+	err = m.timed(ctx, m.roundTrip, func(ctx context.Context) (callErr error) {
+		batch, callErr = m.log.ReadPart(ctx, partition, from, maxBytes)
+		return callErr
 	})
 	return batch, err
 }
 
-// ReadKeyed implements Log. One that the service may hold tells nothing of the way.
+// ReadKeyed implements Log. A read that may wait at the service is not measured.
 func (m *Measured) ReadKeyed(ctx context.Context, partition Partition, from uint64, wait time.Duration) (batch KeyedBatch, err error) {
 	if wait > 0 {
 		batch, err = m.log.ReadKeyed(ctx, partition, from, wait)
-		m.noteAnswer(err)
+		m.recordResponse(err)
 		return batch, err
 	}
-	err = m.timed(ctx, m.way, func(ctx context.Context) (failed error) {
-		batch, failed = m.log.ReadKeyed(ctx, partition, from, wait)
-		return failed
+	err = m.timed(ctx, m.roundTrip, func(ctx context.Context) (callErr error) {
+		batch, callErr = m.log.ReadKeyed(ctx, partition, from, wait)
+		return callErr
 	})
 	return batch, err
 }
 
-// Newest implements Log. A page is large: its time tells more of its transfer.
+// Newest implements Log. It is not measured, because pages are large and their duration
+// depends mostly on the transfer.
 func (m *Measured) Newest(ctx context.Context, partition Partition, after string) (KeyedPage, error) {
 	page, err := m.log.Newest(ctx, partition, after)
-	m.noteAnswer(err)
+	m.recordResponse(err)
 	return page, err
 }
 
 // Join implements Group.
 func (m *Measured) Join(ctx context.Context, group, member, topic string, ttl time.Duration, generation uint64) (share Share, err error) {
-	err = m.timed(ctx, m.way, func(ctx context.Context) (failed error) {
-		share, failed = m.group.Join(ctx, group, member, topic, ttl, generation)
-		return failed
+	err = m.timed(ctx, m.roundTrip, func(ctx context.Context) (callErr error) {
+		share, callErr = m.group.Join(ctx, group, member, topic, ttl, generation)
+		return callErr
 	})
 	return share, err
 }
@@ -187,15 +192,15 @@
 // Leave implements Group.
 func (m *Measured) Leave(ctx context.Context, group, member string) error {
 	err := m.group.Leave(ctx, group, member)
-	m.noteAnswer(err)
+	m.recordResponse(err)
 	return err
 }
 
 // Owners implements Group.
 func (m *Measured) Owners(ctx context.Context, group string) (owners []Owner, err error) {
-	err = m.timed(ctx, m.way, func(ctx context.Context) (failed error) {
-		owners, failed = m.group.Owners(ctx, group)
-		return failed
+	err = m.timed(ctx, m.roundTrip, func(ctx context.Context) (callErr error) {
+		owners, callErr = m.group.Owners(ctx, group)
+		return callErr
 	})
 	return owners, err
 }
--- a/internal/sharedlog/measured_test.go
+++ b/internal/sharedlog/measured_test.go
@@ -11,39 +11,39 @@
 	"github.com/pathbend/pathbend/internal/result"
 )
 
-// distantLog answers each call after a while, or not before its time is over.
-type distantLog struct {
+// slowLog responds to each call after a latency, or not until the call's context is done.
+type slowLog struct {
 	Log
 	Group
 
-	takes  time.Duration
-	silent bool
+	latency      time.Duration
+	unresponsive bool
 }
 
-func (l *distantLog) answer(ctx context.Context) error {
-	answered := time.After(l.takes)
-	if l.silent {
-		answered = nil
+func (l *slowLog) respond(ctx context.Context) error {
+	responded := time.After(l.latency)
+	if l.unresponsive {
+		responded = nil
 	}
 	select {
-	case <-answered:
+	case <-responded:
 		return nil
 	case <-ctx.Done():
-		return result.Wrap(result.LogUnknown, ctx.Err(), "await the log's answer")
+		return result.Wrap(result.LogUnknown, ctx.Err(), "await the log's response")
 	}
 }
 
-func (l *distantLog) Append(ctx context.Context, _ Partition, _ [][]byte) (uint64, error) {
-	return 0, l.answer(ctx)
+func (l *slowLog) Append(ctx context.Context, _ Partition, _ [][]byte) (uint64, error) {
+	return 0, l.respond(ctx)
 }
 
-func (l *distantLog) Read(ctx context.Context, _ Partition, _ uint64, wait time.Duration) (Batch, error) {
+func (l *slowLog) Read(ctx context.Context, _ Partition, _ uint64, wait time.Duration) (Batch, error) {
 	time.Sleep(wait)
-	return Batch{}, l.answer(ctx)
+	return Batch{}, l.respond(ctx)
 }
 
-func (l *distantLog) Owners(ctx context.Context, _ string) ([]Owner, error) {
-	return nil, l.answer(ctx)
+func (l *slowLog) Owners(ctx context.Context, _ string) ([]Owner, error) {
+	return nil, l.respond(ctx)
 }
 
 func appendTo(t *testing.T, log *Measured, count int) {
@@ -54,36 +54,36 @@
 	}
 }
 
-func TestAppendIsOverdueByWhatIsUsual(t *testing.T) {
+func TestAppendIsOverdueAccordingToObservedLatency(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const most = 250 * time.Millisecond
-		distant := &distantLog{takes: 5 * time.Millisecond}
-		log := Measure(distant, distant)
-		after, answers := log.OverdueAppend(most)
-		require.False(t, answers)
-		require.Equal(t, most, after)
+		const limit = 250 * time.Millisecond
+		slow := &slowLog{latency: 5 * time.Millisecond}
+		log := Measure(slow, slow)
+		after, responsive := log.OverdueAppend(limit)
+		require.False(t, responsive)
+		require.Equal(t, limit, after)
 		appendTo(t, log, 20)
-		after, answers = log.OverdueAppend(most)
-		require.True(t, answers)
-		require.Equal(t, nextDoor, after)
-		distant.takes = most
+		after, responsive = log.OverdueAppend(limit)
+		require.True(t, responsive)
+		require.Equal(t, minTimeout, after)
+		slow.latency = limit
 		appendTo(t, log, 40)
-		after, _ = log.OverdueAppend(most)
-		require.Greater(t, after, most, "a slow log loses nothing")
-		time.Sleep(appendMemory + time.Millisecond)
-		_, answers = log.OverdueAppend(most)
-		require.False(t, answers, "it answered nothing of late")
+		after, _ = log.OverdueAppend(limit)
+		require.Greater(t, after, limit, "appends to a slow log do not count as lost")
+		time.Sleep(recentAppendWindow + time.Millisecond)
+		_, responsive = log.OverdueAppend(limit)
+		require.False(t, responsive, "there was no recent response")
 	})
 }
 
-func TestDistanceIsThatOfCallsAnsweredAtOnce(t *testing.T) {
+func TestRoundTripIsThatOfCallsAnsweredImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		distant := &distantLog{takes: 94 * time.Millisecond}
-		log := Measure(distant, distant)
+		slow := &slowLog{latency: 94 * time.Millisecond}
+		log := Measure(slow, slow)
 		for range 60 {
 			_, err := log.Owners(t.Context(), "")
 			require.NoError(t, err)
-			// The service holds this one.
+			// The service waits for records in this read.
 			_, err = log.Read(t.Context(), Partition{}, 0, pollWait)
 			require.NoError(t, err)
 		}
@@ -94,12 +94,11 @@
 	})
 }
 
-// A call whose time was over tells that its answer is lost, one that was not wanted any
-// more does not.
-func TestCallThatWasNotWantedIsNotLost(t *testing.T) {
+// A call that times out counts as a lost response, a call that its caller cancels does not.
+func TestCanceledCallDoesNotCountAsLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		distant := &distantLog{silent: true}
-		log := Measure(distant, distant)
+		slow := &slowLog{unresponsive: true}
+		log := Measure(slow, slow)
 		before := log.Way().Read().Timeout
 		ctx, cancel := context.WithCancel(t.Context())
 		time.AfterFunc(time.Second, cancel)
@@ -114,12 +113,13 @@
 	})
 }
 
-// A region was 120 ms away: each hedge and time-out was chosen for a log next door, and a
-// follower that heard nothing counted as current for longer than nodes may be.
-func TestFollowerOfAFarLogStaysCurrent(t *testing.T) {
+// Guards against constant timeouts for a distant log. With a region at a latency of 120 ms, the
+// hedging delays and timeouts for a log in the same data center were too short, and a follower
+// that received no records was out of date for longer than nodes may be.
+func TestFollowerOfADistantLogStaysCurrent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		distant := &distantLog{takes: 244 * time.Millisecond}
-		log := Measure(distant, distant)
+		slow := &slowLog{latency: 244 * time.Millisecond}
+		log := Measure(slow, slow)
 		ctx, cancel := context.WithCancel(t.Context())
 		follower := &Follower{Log: log, Apply: func(uint64, [][]byte) {}, Beyond: log.Beyond}
 		ended := make(chan struct{})
@@ -133,21 +133,21 @@
 			time.Sleep(time.Millisecond)
 			oldest = max(oldest, time.Since(follower.Health.CurrentAt()))
 		}
-		require.Less(t, oldest, pollWait+244*time.Millisecond+lengthened(0, log.Beyond))
+		require.Less(t, oldest, pollWait+244*time.Millisecond+withExtraLatency(0, log.Beyond))
 		cancel()
 		<-ended
 	})
 }
 
-func TestTimesAreThoseOfALogNextDoorUnlessItIsFar(t *testing.T) {
+func TestTimeoutsIncludeTheExtraLatencyOfADistantLog(t *testing.T) {
 	near := func() time.Duration { return 0 }
 	far := func() time.Duration { return 150 * time.Millisecond }
 	farther := func() time.Duration { return 700 * time.Millisecond }
-	require.Equal(t, probeTimeout, lengthened(probeTimeout, nil))
-	require.Equal(t, probeTimeout, lengthened(probeTimeout, near))
-	require.Equal(t, probeTimeout+150*time.Millisecond, lengthened(probeTimeout, far))
-	require.Equal(t, pollWait, pollFor(nil))
-	require.Equal(t, pollWait, pollFor(near))
-	require.Equal(t, pollWait-150*time.Millisecond, pollFor(far))
-	require.Equal(t, leastPollWait, pollFor(farther))
+	require.Equal(t, probeTimeout, withExtraLatency(probeTimeout, nil))
+	require.Equal(t, probeTimeout, withExtraLatency(probeTimeout, near))
+	require.Equal(t, probeTimeout+150*time.Millisecond, withExtraLatency(probeTimeout, far))
+	require.Equal(t, pollWait, pollWaitFor(nil))
+	require.Equal(t, pollWait, pollWaitFor(near))
+	require.Equal(t, pollWait-150*time.Millisecond, pollWaitFor(far))
+	require.Equal(t, minPollWait, pollWaitFor(farther))
 }
--- a/internal/sharedlog/probe_test.go
+++ b/internal/sharedlog/probe_test.go
@@ -13,21 +13,21 @@
 	"github.com/pathbend/pathbend/internal/result"
 )
 
-// quietLog is empty. While it is silent it answers nothing; else each answer takes
-// its time.
-type quietLog struct {
+// emptyLog has no records. While it is unresponsive it does not respond; otherwise each
+// response takes latency in addition to the requested wait.
+type emptyLog struct {
 	Log
 
-	silent atomic.Bool
-	takes  time.Duration
+	unresponsive atomic.Bool
+	latency      time.Duration
 }
 
-func (l *quietLog) Read(ctx context.Context, _ Partition, _ uint64, wait time.Duration) (Batch, error) {
-	if l.silent.Load() {
+func (l *emptyLog) Read(ctx context.Context, _ Partition, _ uint64, wait time.Duration) (Batch, error) {
+	if l.unresponsive.Load() {
 		<-ctx.Done()
-		return Batch{}, result.New(result.LogUnknown, "silent")
+		return Batch{}, result.New(result.LogUnknown, "unresponsive")
 	}
-	timer := time.NewTimer(wait + l.takes)
+	timer := time.NewTimer(wait + l.latency)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -37,11 +37,11 @@
 	}
 }
 
-func follow(t *testing.T, log *quietLog, test func(f *Follower)) {
+func runFollower(t *testing.T, log *emptyLog, test func(f *Follower)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		f := &Follower{Log: log, Observer: &silentObserver{}, Apply: func(uint64, [][]byte) {}, Pause: shortPause}
+		f := &Follower{Log: log, Observer: &countingObserver{}, Apply: func(uint64, [][]byte) {}, Pause: oneMillisecond}
 		done := make(chan struct{})
 		go func() { defer close(done); f.Run(ctx) }()
 		test(f)
@@ -50,51 +50,52 @@
 	})
 }
 
-// Reads that were sent to a silent log are never answered: nodes heard of a version up
-// to 1.3 s after the log was back.
-func TestFollowerIsBackSoonAfterASilentLog(t *testing.T) {
-	log := &quietLog{}
-	follow(t, log, func(f *Follower) {
+// Guards against a slow recovery after an outage. Reads that were sent to an unresponsive log
+// never have a response, so that nodes learned of a version up to 1.3 s after the log had
+// recovered.
+func TestFollowerRecoversSoonFromAnUnresponsiveLog(t *testing.T) {
+	log := &emptyLog{}
+	runFollower(t, log, func(f *Follower) {
 		const outages = 40
-		var away time.Duration
+		var total time.Duration
 		for outage := range outages {
 			time.Sleep(5 * time.Second)
-			log.silent.Store(true)
+			log.unresponsive.Store(true)
 			time.Sleep(3*time.Second + time.Duration(outage)*73*time.Millisecond)
 			require.True(t, f.Health.Lost())
-			log.silent.Store(false)
+			log.unresponsive.Store(false)
 			began := time.Now()
 			for f.Health.Lost() {
 				time.Sleep(time.Millisecond)
 			}
-			away += time.Since(began)
+			total += time.Since(began)
 		}
-		require.Less(t, away/outages, 600*time.Millisecond, "it is 1.3 s without probes")
+		require.Less(t, total/outages, 600*time.Millisecond, "the recovery takes 1.3 s without probes")
 	})
 }
 
-func TestThreeOfFourReadsOfALostLogAreProbes(t *testing.T) {
+func TestThreeOfFourReadsAfterAFailureAreProbes(t *testing.T) {
 	var health Health
-	require.False(t, health.probes())
+	require.False(t, health.nextIsProbe())
 	probes := 0
-	for range 4 * probesPerRead {
-		health.failed()
-		if health.probes() {
+	for range 4 * readsPerProbeCycle {
+		health.recordFailure()
+		if health.nextIsProbe() {
 			probes++
 		}
 	}
-	require.Equal(t, 4*(probesPerRead-1), probes)
-	health.answered(clock.Mark())
-	require.False(t, health.probes())
+	require.Equal(t, 4*(readsPerProbeCycle-1), probes)
+	health.recordSuccess(clock.Mark())
+	require.False(t, health.nextIsProbe())
 }
 
-// A log that answers later than a probe waits must not stay lost.
-func TestSlowLogIsFollowedAllTheSame(t *testing.T) {
-	log := &quietLog{takes: probeTimeout + 100*time.Millisecond}
-	follow(t, log, func(f *Follower) {
-		log.silent.Store(true)
+// Contact with a log whose responses take longer than the timeout of a probe must be regained.
+func TestFollowerRecoversWhenTheLogIsSlow(t *testing.T) {
+	log := &emptyLog{latency: probeTimeout + 100*time.Millisecond}
+	runFollower(t, log, func(f *Follower) {
+		log.unresponsive.Store(true)
 		time.Sleep(4 * time.Second)
-		log.silent.Store(false)
+		log.unresponsive.Store(false)
 		time.Sleep(4 * time.Second)
 		require.False(t, f.Health.Lost())
 	})
--- a/internal/sharedlog/sharedlogtest/kept.go
+++ b/internal/sharedlog/sharedlogtest/kept.go
@@ -1,4 +1,4 @@
-// Package sharedlogtest has a stand-in of a log for tests of what follows one.
+// Package sharedlogtest provides an in-memory log for tests of code that follows one.
 package sharedlogtest
 
 import (
@@ -9,27 +9,27 @@
 	"github.com/pathbend/pathbend/internal/sharedlog"
 )
 
-// Kept is a log with one keyed topic, which keeps what is appended. Reads of parts and appends
-// without keys are not implemented.
+// Kept is an in-memory log with one keyed topic. ReadPart and Append are not implemented and
+// panic.
 type Kept struct {
 	sharedlog.Log
 
 	mutex   sync.Mutex
-	entries []sharedlog.KeyedRecord
+	records []sharedlog.KeyedRecord
 }
 
 // AppendKeyed implements sharedlog.Log.
 func (l *Kept) AppendKeyed(_ context.Context, _ sharedlog.Partition, records []sharedlog.KeyedRecord) error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.entries = append(l.entries, records...)
+	l.records = append(l.records, records...)
 	return nil
 }
 
 func (l *Kept) count() uint64 {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return uint64(len(l.entries))
+	return uint64(len(l.records))
 }
 
 // ReadKeyed implements sharedlog.Log.
@@ -39,8 +39,8 @@
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	read := sharedlog.KeyedBatch{End: uint64(len(l.entries))}
-	for offset, entry := range l.entries[min(int(from), len(l.entries)):] {
+	read := sharedlog.KeyedBatch{End: uint64(len(l.records))}
+	for offset, entry := range l.records[min(int(from), len(l.records)):] {
 		entry.Offset = from + uint64(offset)
 		read.Records = append(read.Records, entry)
 		read.Next = entry.Offset + 1
@@ -48,13 +48,15 @@
 	return read, nil
 }
 
-// Read implements sharedlog.Log: other topics are empty.
+// Read implements sharedlog.Log. It returns no records after wait: topics without keys are
+// empty.
 func (l *Kept) Read(_ context.Context, _ sharedlog.Partition, _ uint64, wait time.Duration) (sharedlog.Batch, error) {
 	time.Sleep(wait)
 	return sharedlog.Batch{}, nil
 }
 
-// Newest implements sharedlog.Log: what was appended before is read on.
+// Newest implements sharedlog.Log. It returns an empty page; followers read all records with
+// ReadKeyed.
 func (l *Kept) Newest(context.Context, sharedlog.Partition, string) (sharedlog.KeyedPage, error) {
 	return sharedlog.KeyedPage{}, nil
 }
