--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -18,72 +18,81 @@
 )
 
 const (
-	// AnnounceInterval is how often a node repeats what it says of its machine, AnnounceSpread
-	// is drawn on top, so that nodes do not announce together.
+	// AnnounceInterval is the interval at which a node repeats its announcement.
+	// AnnounceSpread is the maximum random jitter that is added to it, so that nodes do not
+	// announce themselves simultaneously.
 	AnnounceInterval = 45 * time.Second
 	AnnounceSpread   = 10 * time.Second
-	// AnnouncedFor is how long an entry counts: two announcements may be missed.
-	AnnouncedFor = 3 * (AnnounceInterval + AnnounceSpread)
-	// longestPause is the pause between two reads of a directory that stays as it is. A node
-	// that is missing for so long only counts less in shares of reads (chosen).
-	longestPause = 5 * time.Second
-	// emptyPause is that pause while the directory is empty: all nodes of a new deployment
-	// announce themselves within a moment (chosen).
-	emptyPause = 100 * time.Millisecond
-	// growingPause is that pause if the directory grew at the last read; it doubles from there. All nodes of a new deployment announce themselves at once, and
-	// their entries take turns in a partition: 985 need 4 s. That is as long as no node can
-	// tell who reads for whom (chosen; 985 nodes make 2,500 reads a second of 16,000).
-	growingPause = 400 * time.Millisecond
-	// settledAfter is how long the directory must not grow to count as whole, and
-	// settlePatience how long a node waits for that. A process that finds its machine's entry
-	// has started again, among nodes that are all there (chosen: a read and a half).
-	settledAfter   = 600 * time.Millisecond
-	settlePatience = 6 * time.Second
+	// entryTTL is how long an entry is valid. Two announcements in a row may be missed.
+	entryTTL = 3 * (AnnounceInterval + AnnounceSpread)
+	// maxReadPause is the maximum pause between two reads, which applies while the directory
+	// does not change. Missing a node for that long only makes the division of reads among
+	// the nodes less even.
+	maxReadPause = 5 * time.Second
+	// emptyReadPause is the pause between two reads while the directory is empty, because all
+	// nodes of a new deployment announce themselves within a short time.
+	emptyReadPause = 100 * time.Millisecond
+	// minReadPause is the pause after a read that found changes; it doubles with each further
+	// read. All nodes of a new deployment announce themselves at once, and the partition
+	// processes their appends one at a time: 985 entries take 4 s, during which no node can
+	// tell which nodes read for which others. With this pause 985 nodes make 2,500 of the
+	// 16,000 reads a second that the log supports.
+	minReadPause = 400 * time.Millisecond
+	// settlePeriod is how long the directory must not change to count as complete, one and a
+	// half times minReadPause. After settleTimeout it counts as complete in any case. If the
+	// node's own entry is found at first, its process was restarted, and the entries of the
+	// other nodes are present already.
+	settlePeriod  = 600 * time.Millisecond
+	settleTimeout = 6 * time.Second
 )
 
-// Entry is what a node announces of its machine.
+// Entry is the announcement of a node.
 type Entry struct {
-	// Millicores is the processor time a second that it may use.
+	// Millicores is the processor time that the node may use, in thousandths of a core.
 	Millicores uint64
 	Zone       string
-	// Address is where it makes calls for others, Worker where it takes their questions and
-	// runs to carry; both are empty where it does not.
+	// Address is where the node relays calls to the log for other nodes, empty if it does
+	// not.
 	Address string
-	Worker  string
+	// Worker is where the node answers requests and executes runs for other nodes, empty if
+	// it does not.
+	Worker string
 }
 
-// Directory is what nodes announced of their machines: the newest entry of each, in
-// a keyed topic of its own. A node that starts reads it before the ledger, which is
-// larger, and knows from it whether the ledger is for it to read at once. It is safe for
-// concurrent use.
+// Directory holds the newest announcement of each node, from a keyed topic of its own. A
+// starting node reads it before the ledger, which is larger, and derives from it whether it
+// needs to read the ledger immediately. It is safe for concurrent use.
 type Directory struct {
 	follower *sharedlog.KeyedFollower
 	logger   *event.Logger
 
 	mutex sync.Mutex
 	nodes map[string]announcedNode
-	// changes counts entries of new nodes and those that say something else than before.
+	// changes is the number of entries that were new or differed from the previous one.
 	changes uint64
-	// began is when this process began to read, grownAt when an entry came last, and resting
-	// the pause before the next read. found is set if the machine's entry stood there at first.
-	began   time.Time
-	grownAt time.Time
-	resting time.Duration
-	found   bool
+	// createdAt is when the directory was created.
+	createdAt time.Time
+	// changedAt is when the last change was read.
+	changedAt time.Time
+	// readPause is the pause after the next read.
+	readPause time.Duration
+	// selfFound is set if the initial read found an entry of this node.
+	selfFound bool
 	// self is this node's name.
 	self string
 }
 
-// announcedNode is what a node announced last.
+// announcedNode is the last announcement of a node.
 type announcedNode struct {
 	Entry
-	// readAt is when this process read of it.
+	// readAt is when this process read the announcement.
 	readAt time.Time
 }
 
-// New returns a directory that has read nothing. self is this node's name.
+// New returns a directory that has read nothing. self is this node's name. observer is
+// notified when reads fail and recover.
 func New(log *sharedlog.Measured, topic, self string, observer sharedlog.Observer, logger *event.Logger) *Directory {
-	d := &Directory{logger: logger, nodes: make(map[string]announcedNode), began: time.Now(), self: self}
+	d := &Directory{logger: logger, nodes: make(map[string]announcedNode), createdAt: time.Now(), self: self}
 	d.follower = &sharedlog.KeyedFollower{
 		Log: log, Partition: sharedlog.Partition{Topic: topic}, Observer: observer,
 		Reset: d.reset, Apply: d.Apply, Pause: d.pause, Beyond: log.Beyond,
@@ -91,7 +100,8 @@
 	return d
 }
 
-// Apply applies records. Entries that a Reset lacks are left to grow old.
+// Apply applies records of the topic. Entries that are missing from a reset are not removed
+// but expire.
 func (d *Directory) Apply(records []sharedlog.KeyedRecord, _ uint64) {
 	now := time.Now()
 	d.mutex.Lock()
@@ -109,21 +119,21 @@
 		entry := announcedNode{readAt: now, Entry: Entry{
 			Millicores: announced.Millicores, Zone: announced.Zone, Address: announced.Address, Worker: announced.WorkerAddress,
 		}}
-		before := d.nodes[record.Key]
-		if before.readAt = now; before != entry {
+		previous := d.nodes[record.Key]
+		if previous.readAt = now; previous != entry {
 			d.changes++
-			d.grownAt, d.resting = now, growingPause
+			d.changedAt, d.readPause = now, minReadPause
 		}
 		d.nodes[record.Key] = entry
 	}
 }
 
-// skip passes over a record that cannot be read.
+// skip logs a record that cannot be decoded.
 func (d *Directory) skip(record sharedlog.KeyedRecord, detail string) {
 	d.logger.Log(event.RecordSkipped, "topic", d.follower.Partition.Topic, "offset", record.Offset, "detail", detail)
 }
 
-// Announced implements ownership.Capacities.
+// Announced implements ownership.Capacities. It also removes expired entries.
 func (d *Directory) Announced() (ownership.Announcements, bool) {
 	if d.follower.Health.CurrentAt().IsZero() {
 		return ownership.Announcements{}, false
@@ -133,7 +143,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for name, node := range d.nodes {
-		if now.Sub(node.readAt) > AnnouncedFor {
+		if now.Sub(node.readAt) > entryTTL {
 			delete(d.nodes, name)
 			continue
 		}
@@ -143,29 +153,30 @@
 	return announced, true
 }
 
-// reset applies the first reading, and those after a truncation.
+// reset applies the records of the initial read, and of those after a truncation.
 func (d *Directory) reset(records []sharedlog.KeyedRecord, next uint64) {
 	d.Apply(records, next)
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.follower.Health.CurrentAt().IsZero() {
-		_, d.found = d.nodes[d.self]
+		_, d.selfFound = d.nodes[d.self]
 	}
 }
 
-// pause is the pause between two reads.
+// pause returns the pause after a read. It doubles with each call until the directory
+// changes.
 func (d *Directory) pause() time.Duration {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if len(d.nodes) == 0 {
-		return emptyPause
+		return emptyReadPause
 	}
-	rests := max(d.resting, growingPause)
-	d.resting = min(2*rests, longestPause)
-	return rests
+	current := max(d.readPause, minReadPause)
+	d.readPause = min(2*current, maxReadPause)
+	return current
 }
 
-// Settled reports whether the directory is likely to hold all nodes that there are.
+// Settled reports whether the directory is likely to contain all nodes.
 func (d *Directory) Settled() bool {
 	if d.follower.Health.CurrentAt().IsZero() {
 		return false
@@ -173,66 +184,66 @@
 	now := time.Now()
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.found || now.Sub(d.began) > settlePatience || !d.grownAt.IsZero() && now.Sub(d.grownAt) > settledAfter
+	return d.selfFound || now.Sub(d.createdAt) > settleTimeout || !d.changedAt.IsZero() && now.Sub(d.changedAt) > settlePeriod
 }
 
-// Names returns the names of the nodes that announced themselves of late.
+// Names returns the names of the nodes whose entries have not expired.
 func (d *Directory) Names() []string {
 	now := time.Now()
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	names := make([]string, 0, len(d.nodes))
 	for name, node := range d.nodes {
-		if now.Sub(node.readAt) <= AnnouncedFor {
+		if now.Sub(node.readAt) <= entryTTL {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// millicores returns what a node announced, 0 if nothing is known of it.
+// millicores returns the announced capacity of a node, 0 if the node is unknown.
 func (d *Directory) millicores(node string) uint64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.nodes[node].Millicores
 }
 
-// Peers lists the nodes that make calls for others.
+// Peers returns the nodes that relay calls to the log for other nodes.
 func (d *Directory) Peers() []relay.Peer {
 	now := time.Now()
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	var peers []relay.Peer
 	for name, node := range d.nodes {
-		if node.Address != "" && now.Sub(node.readAt) <= AnnouncedFor {
+		if node.Address != "" && now.Sub(node.readAt) <= entryTTL {
 			peers = append(peers, relay.Peer{Name: name, Zone: node.Zone, Address: node.Address})
 		}
 	}
 	return peers
 }
 
-// Workers lists the nodes that carry runs for others.
+// Workers returns the nodes that execute runs for other nodes.
 func (d *Directory) Workers() []carry.Node {
 	now := time.Now()
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	var workers []carry.Node
 	for name, node := range d.nodes {
-		if node.Worker != "" && now.Sub(node.readAt) <= AnnouncedFor {
+		if node.Worker != "" && now.Sub(node.readAt) <= entryTTL {
 			workers = append(workers, carry.Node{Name: name, Zone: node.Zone, Address: node.Worker, Millicores: node.Millicores})
 		}
 	}
 	return workers
 }
 
-// Says reports whether a node's entry is this one.
+// Says reports whether the entry of a node equals the given one.
 func (d *Directory) Says(node string, entry Entry) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.nodes[node].Entry == entry
 }
 
-// Announce writes an entry of this node.
+// Announce appends an entry for this node to the topic.
 func (d *Directory) Announce(ctx context.Context, entry Entry) error {
 	value, err := proto.Marshal(&pathbendv1.NodeCapacity{
 		Node: d.self, Millicores: entry.Millicores, Zone: entry.Zone, Address: entry.Address, WorkerAddress: entry.Worker,
@@ -247,7 +258,7 @@
 // Run follows the topic until ctx ends.
 func (d *Directory) Run(ctx context.Context) { d.follower.Run(ctx) }
 
-// Answering lists the nodes that take questions of others.
+// Answering returns the nodes that answer requests of other nodes.
 func (d *Directory) Answering() []fanout.Node {
 	now := time.Now()
 	d.mutex.Lock()
@@ -259,14 +270,15 @@
 	view := election.View{Largest: largest}
 	var answering []fanout.Node
 	for name, node := range d.nodes {
-		if node.Worker != "" && now.Sub(node.readAt) <= AnnouncedFor {
+		if node.Worker != "" && now.Sub(node.readAt) <= entryTTL {
 			answering = append(answering, fanout.Node{Name: name, Zone: node.Zone, Address: node.Worker, Large: view.Regular(node.Millicores)})
 		}
 	}
 	return answering
 }
 
-// Changes counts the changes of the directory.
+// Changes returns the number of changes to the directory so far. It increases when a node is
+// added or an entry differs from the previous one.
 func (d *Directory) Changes() uint64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -16,7 +16,7 @@
 	"github.com/pathbend/pathbend/internal/sharedlog/sharedlogtest"
 )
 
-func entryOf(t *testing.T, node string, millicores uint64) sharedlog.KeyedRecord {
+func newEntryRecord(t *testing.T, node string, millicores uint64) sharedlog.KeyedRecord {
 	t.Helper()
 	value, err := proto.Marshal(&pathbendv1.NodeCapacity{Node: node, Millicores: millicores})
 	require.NoError(t, err)
@@ -25,10 +25,10 @@
 
 func announceAs(t *testing.T, d *Directory, node string, millicores uint64) {
 	t.Helper()
-	d.Apply([]sharedlog.KeyedRecord{entryOf(t, node, millicores)}, 1)
+	d.Apply([]sharedlog.KeyedRecord{newEntryRecord(t, node, millicores)}, 1)
 }
 
-func TestAnnouncedCapacitiesAreKnownUntilTheyAreOld(t *testing.T) {
+func TestAnnouncedCapacitiesAreKnownUntilTheyExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := New(sharedlog.Measure(&sharedlogtest.Kept{}, nil), "nodes", "self", nil, event.Discard())
 		_, ok := d.Announced()
@@ -41,14 +41,14 @@
 		announceAs(t, d, "small", 192)
 		announceAs(t, d, "large", 800)
 		announceAs(t, d, "large", 700)
-		d.Apply([]sharedlog.KeyedRecord{{Key: "mad", Value: []byte{0xff}}}, 1)
+		d.Apply([]sharedlog.KeyedRecord{{Key: "malformed", Value: []byte{0xff}}}, 1)
 		known, ok := d.Announced()
 		require.True(t, ok)
 		require.EqualValues(t, 700, known.Largest)
 		require.Equal(t, 2, known.Nodes)
 		require.EqualValues(t, 192, known.Of("small"))
 		require.Zero(t, known.Of("other"))
-		time.Sleep(AnnouncedFor + time.Second)
+		time.Sleep(entryTTL + time.Second)
 		known, _ = d.Announced()
 		require.Zero(t, known.Largest)
 		require.Zero(t, known.Nodes)
@@ -57,10 +57,10 @@
 	})
 }
 
-// At the start of all, nodes announce themselves one after the other: the directory is whole
-// once it has not grown for a while. A process that finds its machine's entry has started
-// again, and knows the others at once.
-func TestDirectoryIsWholeOnceItDoesNotGrow(t *testing.T) {
+// The nodes of a new deployment announce themselves one after the other: the directory counts
+// as complete once it has not changed for settlePeriod. A process that finds the entry of its
+// node was restarted, and the entries of the other nodes are present from the start.
+func TestDirectoryIsSettledOnceItDoesNotChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := &sharedlogtest.Kept{}
 		d := New(sharedlog.Measure(log, nil), "nodes", "self", nil, event.Discard())
@@ -71,18 +71,18 @@
 			d.Run(ctx)
 		}()
 		for i := range 20 {
-			require.NoError(t, log.AppendKeyed(ctx, d.follower.Partition, []sharedlog.KeyedRecord{entryOf(t, fmt.Sprint("n", i), 800)}))
+			require.NoError(t, log.AppendKeyed(ctx, d.follower.Partition, []sharedlog.KeyedRecord{newEntryRecord(t, fmt.Sprint("n", i), 800)}))
 			time.Sleep(100 * time.Millisecond)
 			require.False(t, d.Settled())
 		}
-		time.Sleep(settledAfter + 2*growingPause)
+		time.Sleep(settlePeriod + 2*minReadPause)
 		require.True(t, d.Settled())
 		cancel()
 		<-done
-		again := New(sharedlog.Measure(log, nil), "nodes", "n3", nil, event.Discard())
-		again.reset([]sharedlog.KeyedRecord{entryOf(t, "n3", 800)}, 1)
-		require.True(t, again.found)
-		alone := New(sharedlog.Measure(log, nil), "nodes", "self", nil, event.Discard())
-		require.False(t, alone.Settled(), "nothing was read")
+		restarted := New(sharedlog.Measure(log, nil), "nodes", "n3", nil, event.Discard())
+		restarted.reset([]sharedlog.KeyedRecord{newEntryRecord(t, "n3", 800)}, 1)
+		require.True(t, restarted.selfFound)
+		unread := New(sharedlog.Measure(log, nil), "nodes", "self", nil, event.Discard())
+		require.False(t, unread.Settled(), "nothing was read")
 	})
 }
--- a/internal/directory/doc.go
+++ b/internal/directory/doc.go
@@ -1,7 +1,9 @@
-// Package directory is what nodes announced of their machines, in a keyed topic of the log.
+// Package directory is the directory of nodes: the capacities and addresses that nodes
+// announce in a keyed topic of the log.
 //
-// State: the newest entry of each node, and when it was read. One goroutine, in Run, follows
-// the topic, often while it grows; all else reads the state under a lock: who votes with which
-// capacity, who calls the log for others, carries runs or answers questions, and whether the
-// directory is likely to be whole. It writes the node's own entry when it is told to.
+// The state is the newest entry of each node and the time at which it was read. One
+// goroutine, in Run, follows the topic, with short pauses while the directory grows; other
+// goroutines read the state under a mutex. The directory tells which capacity a node has in
+// an election, which nodes relay calls to the log, execute runs or answer requests for other
+// nodes, and whether it is likely to be complete. Announce writes the node's own entry.
 package directory
