--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,13 +1,13 @@
-// Package registry keeps what samplers write of themselves in a keyed topic: the newest
-// entry of each id, by incarnation.
+// Package registry is the registry of samplers. It holds the newest entry of each sampler id
+// from the keyed topic in which samplers register themselves.
 //
-// A sampler may start again under its id. Its start, in Unix milliseconds, tells one
-// incarnation from another and is compared with other starts of the same id only, so that
-// clocks of two machines are never compared. The entry of a former incarnation never takes
-// the place of a newer one's, however late it comes. An entry that cannot be read names no
-// sampler to use, also where a good one stood before.
+// A sampler may be restarted under the same id. Its start time, in Unix milliseconds,
+// identifies the incarnation and is compared only with other start times of the same id, so
+// that the clocks of two machines are never compared. The entry of an earlier incarnation
+// never replaces that of a later one, however late it arrives. While the newest entry of an
+// id cannot be decoded, the id has no usable sampler, even if an earlier entry was valid.
 //
-// The package is pure: it takes the time as an argument and makes no calls.
+// The package does no I/O and takes the time as an argument.
 package registry
 
 import (
@@ -17,120 +17,124 @@
 	"github.com/pathbend/pathbend/internal/schedule"
 )
 
-// formerMemory is how long the newest start of an id is remembered after its entry went.
-// What was written before may be handed over again by a log that lost its place; the users'
-// store rewinds by seconds, and ids that never return would be kept forever (chosen).
-const formerMemory = 10 * time.Minute
+// startTimeRetention is how long the newest start time of an id is retained after its entry
+// was removed. A log that rewinds delivers earlier entries again; the users' log service
+// rewinds by seconds. Without a limit, ids that never return would be retained forever.
+const startTimeRetention = 10 * time.Minute
 
 // Registry is the list of samplers by id. It is not safe for concurrent use.
 type Registry struct {
 	samplers map[string]schedule.Sampler
-	// ids are those of the samplers, ordered.
+	// ids are the ids of samplers in ascending order.
 	ids []string
-	// revision numbers the entries that were taken.
+	// revision is the number of entries that were accepted so far.
 	revision uint64
-	// former holds the newest start of ids that have no entry.
-	former map[string]departed
-	// unusable holds the ids whose newest entry cannot be read.
+	// removed maps ids without an entry to their newest start time.
+	removed map[string]removedEntry
+	// unusable is the set of ids whose newest entry cannot be decoded.
 	unusable map[string]struct{}
 }
 
-// departed is an id whose entry went, or turned unusable.
-type departed struct {
-	born int64
-	at   time.Time
+// removedEntry is an entry that was removed, or replaced by one that cannot be decoded.
+type removedEntry struct {
+	startUnixMilli int64
+	removedAt      time.Time
 }
 
-// New returns an empty list.
+// New returns an empty registry.
 func New() *Registry {
 	return &Registry{
-		samplers: make(map[string]schedule.Sampler), former: make(map[string]departed), unusable: make(map[string]struct{}),
+		samplers: make(map[string]schedule.Sampler), removed: make(map[string]removedEntry), unusable: make(map[string]struct{}),
 	}
 }
 
-// Put takes an entry. It reports false if the entry is of a former incarnation, and is
-// passed over.
+// Put adds or replaces the entry of a sampler and assigns its revision. It returns false,
+// and ignores the entry, if it is from an earlier incarnation.
 func (r *Registry) Put(sampler schedule.Sampler) bool {
 	if sampler.Born < r.newestStart(sampler.ID) {
 		return false
 	}
 	delete(r.unusable, sampler.ID)
-	delete(r.former, sampler.ID)
+	delete(r.removed, sampler.ID)
 	r.revision++
 	sampler.Revision = r.revision
-	if place, listed := slices.BinarySearch(r.ids, sampler.ID); !listed {
-		r.ids = slices.Insert(r.ids, place, sampler.ID)
+	if index, found := slices.BinarySearch(r.ids, sampler.ID); !found {
+		r.ids = slices.Insert(r.ids, index, sampler.ID)
 	}
 	r.samplers[sampler.ID] = sampler
 	return true
 }
 
-// Drop takes the end of an entry.
+// Drop removes the entry of an id.
 func (r *Registry) Drop(id string, now time.Time) {
 	delete(r.unusable, id)
-	r.forget(id, now)
+	r.remove(id, now)
 }
 
-// Reject takes an entry that cannot be read: its id names no sampler until a good one
-// comes. It reports whether the id was usable before, or not known.
+// Reject records that the newest entry of an id cannot be decoded: the id has no sampler
+// until a valid entry arrives. It returns false if that was also so before the call.
 func (r *Registry) Reject(id string, now time.Time) (first bool) {
 	_, known := r.unusable[id]
 	r.unusable[id] = struct{}{}
-	r.forget(id, now)
+	r.remove(id, now)
 	return !known
 }
 
-// newestStart returns the newest start known of an id, 0 if none is, or samplers tell none.
+// newestStart returns the newest known start time of an id in Unix milliseconds. It is 0 if
+// the id is unknown or its entries have no start time.
 func (r *Registry) newestStart(id string) int64 {
-	if sampler, listed := r.samplers[id]; listed {
+	if sampler, found := r.samplers[id]; found {
 		return sampler.Born
 	}
-	return r.former[id].born
+	return r.removed[id].startUnixMilli
 }
 
-// TellsStart reports whether an entry of an id told its start before. One that does not
-// tell it then is not the sampler's.
+// TellsStart reports whether an earlier entry of an id had a start time. An entry without
+// one is not valid for such an id.
 func (r *Registry) TellsStart(id string) bool { return r.newestStart(id) > 0 }
 
-// Clear drops all entries, before the newest of each id are read anew.
+// Clear removes all entries, so that the newest entry of each id can be read again. Their
+// start times are retained.
 func (r *Registry) Clear(now time.Time) {
 	for _, id := range slices.Backward(slices.Clone(r.ids)) {
-		r.forget(id, now)
+		r.remove(id, now)
 	}
 	clear(r.unusable)
 }
 
-func (r *Registry) forget(id string, now time.Time) {
-	sampler, listed := r.samplers[id]
-	if !listed {
+// remove removes an entry and retains its start time.
+func (r *Registry) remove(id string, now time.Time) {
+	sampler, found := r.samplers[id]
+	if !found {
 		return
 	}
 	if sampler.Born > 0 {
-		r.former[id] = departed{born: sampler.Born, at: now}
+		r.removed[id] = removedEntry{startUnixMilli: sampler.Born, removedAt: now}
 	}
 	delete(r.samplers, id)
-	if place, found := slices.BinarySearch(r.ids, id); found {
-		r.ids = slices.Delete(r.ids, place, place+1)
+	if index, found := slices.BinarySearch(r.ids, id); found {
+		r.ids = slices.Delete(r.ids, index, index+1)
 	}
 }
 
-// Expire forgets the starts of ids that went long ago.
+// Expire drops the start times of ids whose entry was removed longer than startTimeRetention
+// ago.
 func (r *Registry) Expire(now time.Time) {
-	for id, gone := range r.former {
-		if now.Sub(gone.at) > formerMemory {
-			delete(r.former, id)
+	for id, entry := range r.removed {
+		if now.Sub(entry.removedAt) > startTimeRetention {
+			delete(r.removed, id)
 		}
 	}
 }
 
-// Unusable counts the ids whose newest entry cannot be read.
+// Unusable returns the number of ids whose newest entry cannot be decoded.
 func (r *Registry) Unusable() int { return len(r.unusable) }
 
-// All returns the samplers by id.
+// All returns the samplers in ascending order of their ids.
 func (r *Registry) All() []schedule.Sampler {
-	listed := make([]schedule.Sampler, 0, len(r.samplers))
+	samplers := make([]schedule.Sampler, 0, len(r.samplers))
 	for _, id := range r.ids {
-		listed = append(listed, r.samplers[id])
+		samplers = append(samplers, r.samplers[id])
 	}
-	return listed
+	return samplers
 }
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -11,73 +11,73 @@
 
 var now = time.Unix(1_000, 0)
 
-func entry(id string, born int64, address string) schedule.Sampler {
-	return schedule.Sampler{ID: id, Born: born, Address: address}
+func entry(id string, startUnixMilli int64, address string) schedule.Sampler {
+	return schedule.Sampler{ID: id, Born: startUnixMilli, Address: address}
 }
 
 func TestEntryOfAFormerIncarnationNeverReplacesANewer(t *testing.T) {
-	list := New()
-	require.True(t, list.Put(entry("s", 20, "new")))
-	require.False(t, list.Put(entry("s", 10, "former")))
-	require.Equal(t, "new", list.All()[0].Address)
-	require.True(t, list.Put(entry("s", 20, "changed")), "the same incarnation may change")
-	require.True(t, list.Put(entry("s", 30, "reborn")))
-	require.Equal(t, "reborn", list.All()[0].Address)
+	registry := New()
+	require.True(t, registry.Put(entry("s", 20, "new")))
+	require.False(t, registry.Put(entry("s", 10, "earlier")))
+	require.Equal(t, "new", registry.All()[0].Address)
+	require.True(t, registry.Put(entry("s", 20, "changed")), "the same incarnation may change")
+	require.True(t, registry.Put(entry("s", 30, "restarted")))
+	require.Equal(t, "restarted", registry.All()[0].Address)
 }
 
-func TestFormerIncarnationStaysFormerAfterTheEntryWent(t *testing.T) {
-	list := New()
-	list.Put(entry("s", 20, "new"))
-	list.Drop("s", now)
-	require.False(t, list.Put(entry("s", 10, "former")))
-	require.Empty(t, list.All())
-	list.Put(entry("s", 20, "back"))
-	list.Clear(now)
-	require.False(t, list.Put(entry("s", 10, "former")), "also when all entries are read anew")
-	list.Expire(now.Add(formerMemory + time.Second))
-	require.True(t, list.Put(entry("s", 10, "long ago")), "ids that went are not remembered forever")
+func TestStartTimeIsRetainedAfterTheEntryIsRemoved(t *testing.T) {
+	registry := New()
+	registry.Put(entry("s", 20, "new"))
+	registry.Drop("s", now)
+	require.False(t, registry.Put(entry("s", 10, "earlier")))
+	require.Empty(t, registry.All())
+	registry.Put(entry("s", 20, "returned"))
+	registry.Clear(now)
+	require.False(t, registry.Put(entry("s", 10, "earlier")), "the start time is retained when all entries are read again")
+	registry.Expire(now.Add(startTimeRetention + time.Second))
+	require.True(t, registry.Put(entry("s", 10, "long ago")), "start times of removed entries must expire")
 }
 
-func TestEntryThatCannotBeReadNamesNoSampler(t *testing.T) {
-	list := New()
-	list.Put(entry("good", 20, "a"))
-	list.Put(entry("turns", 20, "b"))
-	require.True(t, list.Reject("turns", now))
-	require.False(t, list.Reject("turns", now), "told once")
-	require.True(t, list.Reject("never good", now))
-	require.Equal(t, 2, list.Unusable())
-	require.Len(t, list.All(), 1, "the others hold")
-	require.Equal(t, "good", list.All()[0].ID)
-	require.False(t, list.Put(entry("turns", 10, "former")))
-	require.True(t, list.Put(entry("turns", 20, "b")))
-	require.Len(t, list.All(), 2)
-	list.Drop("never good", now)
-	require.Zero(t, list.Unusable())
+func TestMalformedEntryMakesTheIDUnusable(t *testing.T) {
+	registry := New()
+	registry.Put(entry("valid", 20, "a"))
+	registry.Put(entry("turns malformed", 20, "b"))
+	require.True(t, registry.Reject("turns malformed", now))
+	require.False(t, registry.Reject("turns malformed", now), "a further malformed entry is not the first")
+	require.True(t, registry.Reject("never valid", now))
+	require.Equal(t, 2, registry.Unusable())
+	require.Len(t, registry.All(), 1, "other entries are not affected")
+	require.Equal(t, "valid", registry.All()[0].ID)
+	require.False(t, registry.Put(entry("turns malformed", 10, "earlier")))
+	require.True(t, registry.Put(entry("turns malformed", 20, "b")))
+	require.Len(t, registry.All(), 2)
+	registry.Drop("never valid", now)
+	require.Zero(t, registry.Unusable())
 }
 
-func TestSamplersThatTellNoStartAreOneIncarnation(t *testing.T) {
-	list := New()
-	require.True(t, list.Put(entry("s", 0, "a")))
-	require.False(t, list.TellsStart("s"))
-	require.True(t, list.Put(entry("s", 0, "b")))
-	list.Drop("s", now)
-	require.True(t, list.Put(entry("s", 0, "c")))
+func TestEntriesWithoutStartTimeAreOneIncarnation(t *testing.T) {
+	registry := New()
+	require.True(t, registry.Put(entry("s", 0, "a")))
+	require.False(t, registry.TellsStart("s"))
+	require.True(t, registry.Put(entry("s", 0, "b")))
+	registry.Drop("s", now)
+	require.True(t, registry.Put(entry("s", 0, "c")))
 }
 
-// The list is ordered, and an entry that is written again has another revision.
-func TestListIsOrderedAndTellsRevisions(t *testing.T) {
-	list := New()
+// Guards the order of All, and that an entry that is written again gets a new revision.
+func TestAllIsOrderedAndEntriesHaveRevisions(t *testing.T) {
+	registry := New()
 	for _, id := range []string{"c", "a", "b", "a"} {
-		list.Put(entry(id, 1, "x"))
+		registry.Put(entry(id, 1, "x"))
 	}
-	before := list.All()
+	before := registry.All()
 	require.Equal(t, []string{"a", "b", "c"}, []string{before[0].ID, before[1].ID, before[2].ID})
-	list.Put(entry("b", 1, "y"))
-	after := list.All()
+	registry.Put(entry("b", 1, "y"))
+	after := registry.All()
 	require.Equal(t, before[0].Revision, after[0].Revision)
 	require.NotEqual(t, before[1].Revision, after[1].Revision)
-	list.Drop("a", now)
-	require.Equal(t, "b", list.All()[0].ID)
-	list.Clear(now)
-	require.Empty(t, list.All())
+	registry.Drop("a", now)
+	require.Equal(t, "b", registry.All()[0].ID)
+	registry.Clear(now)
+	require.Empty(t, registry.All())
 }
