--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -32,14 +32,14 @@
 	// emptyReadPause is the pause between two reads while the directory is empty, because all
 	// nodes of a new deployment announce themselves within a short time.
 	emptyReadPause = 100 * time.Millisecond
-	// minReadPause is the pause after a read that found changes; it doubles with each further
+	// baseReadPause is the pause after a read that found changes. It doubles with each further
 	// read. All nodes of a new deployment announce themselves at once, and the partition
 	// processes their appends one at a time: 985 entries take 4 s, during which no node can
 	// tell which nodes read for which others. With this pause 985 nodes make 2,500 of the
 	// 16,000 reads a second that the log supports.
-	minReadPause = 400 * time.Millisecond
+	baseReadPause = 400 * time.Millisecond
 	// settlePeriod is how long the directory must not change to count as complete, one and a
-	// half times minReadPause. After settleTimeout it counts as complete in any case. If the
+	// half times baseReadPause. After settleTimeout it counts as complete in any case. If the
 	// node's own entry is found at first, its process was restarted, and the entries of the
 	// other nodes are present already.
 	settlePeriod  = 600 * time.Millisecond
@@ -122,7 +122,7 @@
 		previous := d.nodes[record.Key]
 		if previous.readAt = now; previous != entry {
 			d.changes++
-			d.changedAt, d.readPause = now, minReadPause
+			d.changedAt, d.readPause = now, baseReadPause
 		}
 		d.nodes[record.Key] = entry
 	}
@@ -171,7 +171,7 @@
 	if len(d.nodes) == 0 {
 		return emptyReadPause
 	}
-	current := max(d.readPause, minReadPause)
+	current := max(d.readPause, baseReadPause)
 	d.readPause = min(2*current, maxReadPause)
 	return current
 }
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -75,7 +75,7 @@
 			time.Sleep(100 * time.Millisecond)
 			require.False(t, d.Settled())
 		}
-		time.Sleep(settlePeriod + 2*minReadPause)
+		time.Sleep(settlePeriod + 2*baseReadPause)
 		require.True(t, d.Settled())
 		cancel()
 		<-done
--- a/internal/sharedlog/follow.go
+++ b/internal/sharedlog/follow.go
@@ -34,9 +34,9 @@
 // Health is the health of a follower. The zero value has read nothing. It is safe for
 // concurrent use.
 type Health struct {
-	mutex     sync.Mutex
-	currentAt clock.Moment
-	lost      bool
+	mutex          sync.Mutex
+	currentAt      clock.Moment
+	lastReadFailed bool
 	// failures is the number of consecutive failed reads.
 	failures int
 }
@@ -62,7 +62,7 @@
 func (h *Health) Lost() bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	return h.lost
+	return h.lastReadFailed
 }
 
 // recordSuccess records a successful read that is current as of a given time. It reports
@@ -70,20 +70,21 @@
 func (h *Health) recordSuccess(asOf clock.Moment) (recovered bool, after time.Duration) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	recovered, after = h.lost, h.currentAt.Age()-asOf.Age()
-	h.lost, h.failures = false, 0
+	recovered, after = h.lastReadFailed, h.currentAt.Age()-asOf.Age()
+	h.lastReadFailed, h.failures = false, 0
 	if asOf.Time().After(h.currentAt.Time()) {
 		h.currentAt = asOf
 	}
 	return recovered, after
 }
 
-// recordFailure records a failed read. It reports whether the previous read succeeded.
+// recordFailure records a failed read and reports whether it is the first of consecutive
+// failed reads.
 func (h *Health) recordFailure() bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	first := !h.lost
-	h.lost = true
+	first := !h.lastReadFailed
+	h.lastReadFailed = true
 	h.failures++
 	return first
 }
