--- a/internal/platformsim/mutants_test.go
+++ b/internal/platformsim/mutants_test.go
@@ -44,7 +44,7 @@
 		mutation.Replace("platform/protocol.go", "echoed != \"\" && echoed != requestID {", "false && echoed != requestID {"),
 	}},
 	{Promise: "REFUSED: a lost append is not called not done", Test: "TestOnlyARefusedAppendIsCalledNotDone", Package: "./platform", Edits: []mutation.Edit{
-		mutation.Replace("platform/store.go", "return result.Wrap(result.LogUnknown, err, \"await the log's answer\")", "return result.Wrap(result.LogUnavailable, err, \"await the log's answer\")"),
+		mutation.Replace("platform/store.go", "return result.Wrap(result.LogUnknown, err, \"wait for the log's response\")", "return result.Wrap(result.LogUnavailable, err, \"wait for the log's response\")"),
 	}},
 	{Promise: "DRAIN: leaving samplers get nothing new", Edits: []mutation.Edit{
 		mutation.Replace("internal/routing/not_leaving.go", "return !endpoint.Leaving", "return true"),
@@ -57,7 +57,7 @@
 		mutation.Replace("internal/schedule/samplers.go", "case known && sampler.Born > state.Born:", "case false:"),
 	}},
 	{Promise: "DRAIN: an entry that turns bad names no sampler", Test: "TestEntriesOfAnotherWriterNameNoSampler", Edits: []mutation.Edit{
-		mutation.Replace("platform/follow.go", "e.list.Reject(record.Key, now)", "false"),
+		mutation.Replace("platform/follow.go", "u.registry.Reject(record.Key, now)", "false"),
 	}},
 	{Promise: "DRAIN: a bad record stops no follower", Test: "TestRecordsThatCannotBeReadKeepTheirPlaces", Package: "./platform", Edits: []mutation.Edit{
 		mutation.Replace("platform/store.go", "			decoded.Malformed = err.Error()\n", "			return page, err\n"),
@@ -72,7 +72,7 @@
 		mutation.Replace("internal/hosted/weights.go", "if !load.Evacuated {", "if true {"),
 	}},
 	{Promise: "EVAC: evacuations are known before routes", Test: "TestEvacuationsAreInForceBeforeTheRoutes", Package: "./platform", Edits: []mutation.Edit{
-		mutation.Replace("platform/follow.go", "\t\tnode.TakeEvacuations(evacuated.zones())\n\t\tfor _, record := range documents {\n\t\t\ttakeDocument(node, record)\n\t\t}\n", "\t\tfor _, record := range documents {\n\t\t\ttakeDocument(node, record)\n\t\t}\n\t\tnode.TakeEvacuations(evacuated.zones())\n"),
+		mutation.Replace("platform/follow.go", "\t\tnode.TakeEvacuations(evacuated.sorted())\n\t\tfor _, record := range documents {\n\t\t\tapplyDocument(node, record)\n\t\t}\n", "\t\tfor _, record := range documents {\n\t\t\tapplyDocument(node, record)\n\t\t}\n\t\tnode.TakeEvacuations(evacuated.sorted())\n"),
 	}},
 	{Promise: "ROUTE: only keys of tenants are admitted", Test: "TestOnlyKeysOfTenantsAreAdmitted", Package: "./internal/catalog", Edits: []mutation.Edit{
 		mutation.Replace("internal/catalog/admission.go", "if err != nil && route.Public {", "if err != nil {"),
@@ -130,7 +130,7 @@
 	}},
 	{Promise: "MIXED: a cut event is no event", Edits: []mutation.Edit{
 		mutation.Replace("platform/events.go", "return 0, nil, io.ErrUnexpectedEOF", "return len(data), data, nil"),
-		mutation.Replace("platform/events.go", "	if err := r.scanner.Err(); err != nil {\n\t\treturn made, err\n\t}\n\tif started {\n\t\treturn made, io.ErrUnexpectedEOF\n\t}\n", "	if started {\n\t\treturn r.finish(made, hasData)\n\t}\n"),
+		mutation.Replace("platform/events.go", "	if err := r.scanner.Err(); err != nil {\n\t\treturn event, err\n\t}\n\tif inEvent {\n\t\treturn event, io.ErrUnexpectedEOF\n\t}\n", "	if inEvent {\n\t\treturn r.accept(event, hasData)\n\t}\n"),
 	}},
 }
 
