--- a/internal/platformsim/mutants_test.go
+++ b/internal/platformsim/mutants_test.go
@@ -43,7 +43,7 @@
 	{Promise: "MIXED: an answer belongs to its request", Edits: []mutation.Edit{
 		mutation.Replace("platform/protocol.go", "echoed != \"\" && echoed != requestID {", "false && echoed != requestID {"),
 	}},
-	{Promise: "REFUSED: a lost append is not called not done", Test: "TestOnlyARefusedAppendIsCalledNotDone", Package: "./platform", Edits: []mutation.Edit{
+	{Promise: "REFUSED: a lost append is not called not done", Test: "TestOnlyARefusedAppendIsLogUnavailable", Package: "./platform", Edits: []mutation.Edit{
 		mutation.Replace("platform/store.go", "return result.Wrap(result.LogUnknown, err, \"wait for the log's response\")", "return result.Wrap(result.LogUnavailable, err, \"wait for the log's response\")"),
 	}},
 	{Promise: "DRAIN: leaving samplers get nothing new", Edits: []mutation.Edit{
@@ -59,7 +59,7 @@
 	{Promise: "DRAIN: an entry that turns bad names no sampler", Test: "TestEntriesOfAnotherWriterNameNoSampler", Edits: []mutation.Edit{
 		mutation.Replace("platform/follow.go", "u.registry.Reject(record.Key, now)", "false"),
 	}},
-	{Promise: "DRAIN: a bad record stops no follower", Test: "TestRecordsThatCannotBeReadKeepTheirPlaces", Package: "./platform", Edits: []mutation.Edit{
+	{Promise: "DRAIN: a bad record stops no follower", Test: "TestMalformedRecordsStayInThePage", Package: "./platform", Edits: []mutation.Edit{
 		mutation.Replace("platform/store.go", "			decoded.Malformed = err.Error()\n", "			return page, err\n"),
 	}},
 	{Promise: "EVAC: further attempts ask too", Test: "TestFailedRequestsStayOutOfAnEvacuatedZone", Package: "./internal/platformsim", Edits: []mutation.Edit{
@@ -71,7 +71,7 @@
 	{Promise: "EVAC: evacuated samplers get no order", Test: "TestEvacuatedSamplersAreNoReplicas", Package: "./internal/hosted", Edits: []mutation.Edit{
 		mutation.Replace("internal/hosted/weights.go", "if !load.Evacuated {", "if true {"),
 	}},
-	{Promise: "EVAC: evacuations are known before routes", Test: "TestEvacuationsAreInForceBeforeTheRoutes", Package: "./platform", Edits: []mutation.Edit{
+	{Promise: "EVAC: evacuations are known before routes", Test: "TestEvacuationsAreAppliedBeforeTheRoutes", Package: "./platform", Edits: []mutation.Edit{
 		mutation.Replace("platform/follow.go", "\t\tnode.TakeEvacuations(evacuated.sorted())\n\t\tfor _, record := range documents {\n\t\t\tapplyDocument(node, record)\n\t\t}\n", "\t\tfor _, record := range documents {\n\t\t\tapplyDocument(node, record)\n\t\t}\n\t\tnode.TakeEvacuations(evacuated.sorted())\n"),
 	}},
 	{Promise: "ROUTE: only keys of tenants are admitted", Test: "TestOnlyKeysOfTenantsAreAdmitted", Package: "./internal/catalog", Edits: []mutation.Edit{
