--- a/internal/event/bounded.go
+++ b/internal/event/bounded.go
@@ -8,35 +8,38 @@
 )
 
 const (
-	// queuedLines bounds the log lines that wait to be written.
-	queuedLines = 2048
-	writeBuffer = 16 << 10
+	// maxQueuedLines is the maximum number of log lines that wait to be written.
+	maxQueuedLines   = 2048
+	writeBufferBytes = 16 << 10
 )
 
-// BoundedWriter writes lines in the background and never blocks its callers:
-// while the output does not keep up and the queue is full, lines are dropped
-// and counted. A line must come in one call of Write.
+// BoundedWriter queues log lines and writes them in the background, so that a slow
+// output never blocks its callers. Lines that arrive while the queue is full are
+// dropped and counted. Each call of Write must pass a whole line.
 type BoundedWriter struct {
 	output  io.Writer
 	lines   chan []byte
 	dropped atomic.Int64
 	done    chan struct{}
 
-	closing sync.RWMutex
-	closed  bool
+	// mutex guards closed, and keeps Close from closing lines during a Write.
+	mutex  sync.RWMutex
+	closed bool
 }
 
-// NewBoundedWriter returns a writer before an output.
+// NewBoundedWriter returns a writer that forwards lines to output. It runs a
+// goroutine until Close is called.
 func NewBoundedWriter(output io.Writer) *BoundedWriter {
-	w := &BoundedWriter{output: output, lines: make(chan []byte, queuedLines), done: make(chan struct{})}
+	w := &BoundedWriter{output: output, lines: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Write implements io.Writer. It reports success also for a dropped line.
+// Write implements io.Writer. It never fails: dropped lines, and lines after Close,
+// are reported as written.
 func (w *BoundedWriter) Write(line []byte) (int, error) {
-	w.closing.RLock()
-	defer w.closing.RUnlock()
+	w.mutex.RLock()
+	defer w.mutex.RUnlock()
 	if w.closed {
 		return len(line), nil
 	}
@@ -48,16 +51,17 @@
 	return len(line), nil
 }
 
-// Dropped counts the lines dropped so far.
+// Dropped returns the number of lines dropped because the queue was full.
 func (w *BoundedWriter) Dropped() int64 { return w.dropped.Load() }
 
-// Close writes what waits and ends the writer.
+// Close writes the queued lines and waits until the background goroutine has ended.
+// It may be called more than once.
 func (w *BoundedWriter) Close() {
-	w.closing.Lock()
-	already := w.closed
+	w.mutex.Lock()
+	alreadyClosed := w.closed
 	w.closed = true
-	w.closing.Unlock()
-	if !already {
+	w.mutex.Unlock()
+	if !alreadyClosed {
 		close(w.lines)
 	}
 	<-w.done
@@ -65,17 +69,17 @@
 
 func (w *BoundedWriter) run() {
 	defer close(w.done)
-	buffer := bufio.NewWriterSize(w.output, writeBuffer)
-	told := int64(0)
+	buffer := bufio.NewWriterSize(w.output, writeBufferBytes)
+	reported := int64(0)
 	for line := range w.lines {
-		// An output that fails loses its lines; there is nowhere to tell it.
+		// Write errors are ignored: there is no other output to report them to.
 		_, _ = buffer.Write(line)
 		if len(w.lines) > 0 {
 			continue
 		}
-		if dropped := w.dropped.Load(); dropped != told {
-			NewLogger(buffer, byNumber[LinesDropped].Level).Log(LinesDropped, "total", dropped, "since", dropped-told)
-			told = dropped
+		if dropped := w.dropped.Load(); dropped != reported {
+			NewLogger(buffer, byNumber[LinesDropped].Level).Log(LinesDropped, "total", dropped, "since", dropped-reported)
+			reported = dropped
 		}
 		_ = buffer.Flush()
 	}
--- a/internal/event/bounded_test.go
+++ b/internal/event/bounded_test.go
@@ -9,21 +9,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-// stuckOutput takes nothing until it is released.
-type stuckOutput struct {
+// blockedOutput blocks each write until release is closed.
+type blockedOutput struct {
 	release chan struct{}
 	bytes.Buffer
 }
 
-func (o *stuckOutput) Write(content []byte) (int, error) {
+func (o *blockedOutput) Write(content []byte) (int, error) {
 	<-o.release
 	return o.Buffer.Write(content)
 }
 
-func TestBoundedWriterNeverBlocksAndTellsWhatItDropped(t *testing.T) {
-	output := &stuckOutput{release: make(chan struct{})}
+func TestBoundedWriterNeverBlocksAndReportsDroppedLines(t *testing.T) {
+	output := &blockedOutput{release: make(chan struct{})}
 	writer := NewBoundedWriter(output)
-	const lines = 3 * queuedLines
+	const lines = 3 * maxQueuedLines
 	for i := range lines {
 		n, err := writer.Write(fmt.Appendf(nil, "line %d\n", i))
 		require.NoError(t, err)
--- a/internal/event/event_test.go
+++ b/internal/event/event_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestCatalogueInDocsHoldsExactlyTheDefinitions(t *testing.T) {
+func TestTableInDocsMatchesDefinitions(t *testing.T) {
 	content, err := os.ReadFile("../../docs/EVENTS.md")
 	require.NoError(t, err)
 	var want, got []string
@@ -34,7 +34,7 @@
 	var output bytes.Buffer
 	logger := NewLogger(&output, slog.LevelInfo, "process", "p1")
 	logger.Log(SampleResumed, "hidden", true)
-	require.Zero(t, output.Len(), "debug events stay out at level info")
+	require.Zero(t, output.Len(), "a logger at level info must not write debug events")
 	logger.Log(MemberDead, "member", "n7")
 	var line map[string]any
 	require.NoError(t, json.Unmarshal(output.Bytes(), &line))
--- a/internal/event/limiter.go
+++ b/internal/event/limiter.go
@@ -5,28 +5,29 @@
 	"time"
 )
 
-// mostLines is how many lines of one cause are written in limitWindow: what other writers
-// put into a log is not bounded, and each line costs processor time (chosen).
+// At most maxLinesPerWindow lines of one cause are written in each limitWindow. What
+// other processes write to a log is unbounded, and each line about it costs processor time.
 const (
-	mostLines   = 10
-	limitWindow = 10 * time.Second
+	maxLinesPerWindow = 10
+	limitWindow       = 10 * time.Second
 )
 
-// Limiter bounds the lines of one cause. The zero value is ready for use. It is safe for
-// concurrent use.
+// Limiter limits the rate of log lines with one cause, in fixed windows. The zero value
+// is ready for use. It is safe for concurrent use.
 type Limiter struct {
-	mutex   sync.Mutex
-	began   time.Time
-	written int
+	mutex       sync.Mutex
+	windowStart time.Time
+	// requested counts the calls of Allow in the current window, also the refused ones.
+	requested int
 }
 
-// Allow reports whether one more line may be written now.
+// Allow reports whether a line may be written at the given time, and counts it.
 func (l *Limiter) Allow(now time.Time) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if now.Sub(l.began) >= limitWindow {
-		l.began, l.written = now, 0
+	if now.Sub(l.windowStart) >= limitWindow {
+		l.windowStart, l.requested = now, 0
 	}
-	l.written++
-	return l.written <= mostLines
+	l.requested++
+	return l.requested <= maxLinesPerWindow
 }
--- a/internal/event/limiter_test.go
+++ b/internal/event/limiter_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestLinesOfOneCauseAreBounded(t *testing.T) {
+func TestLimiterAllowsMaxLinesPerWindow(t *testing.T) {
 	var limiter Limiter
 	now := time.Unix(100, 0)
 	written := 0
@@ -16,6 +16,6 @@
 			written++
 		}
 	}
-	require.Equal(t, mostLines, written)
-	require.True(t, limiter.Allow(now.Add(limitWindow)), "a new window begins")
+	require.Equal(t, maxLinesPerWindow, written)
+	require.True(t, limiter.Allow(now.Add(limitWindow)), "the next window must allow lines again")
 }
