--- a/internal/result/result.go
+++ b/internal/result/result.go
@@ -1,10 +1,10 @@
-// Package result defines the numbered result codes that every refusal and
-// failure of pathbend carries, and the typed error that transports them.
+// Package result defines the numbered result codes of refused and failed requests,
+// and the error type that carries them.
 //
-// Each code states whether the request was run. Callers rely on that: NotRun
-// means that repeating the request is always safe, Unknown means that only a
-// repeatable request may be sent again. docs/RESULT_CODES.md lists the codes;
-// a test holds that table and this package together.
+// Each code states whether the request was run, and callers decide by it whether to
+// retry: after NotRun a retry is always safe, after Unknown only an idempotent request
+// may be retried. A test compares the definitions with the table in
+// docs/RESULT_CODES.md.
 package result
 
 import (
@@ -14,17 +14,21 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Run tells whether a request was executed by a back end.
+// Run states whether a back end executed a request.
 type Run string
 
-// The three outcomes of a request. They are never blurred.
+// States of execution. NotRun is reported only if it is certain; in doubt the state is
+// Unknown.
 const (
-	Done    Run = "done"
-	NotRun  Run = "not_run"
+	// Done means that the request was executed.
+	Done Run = "done"
+	// NotRun means that no back end executed the request.
+	NotRun Run = "not_run"
+	// Unknown means that a back end may have executed the request.
 	Unknown Run = "unknown"
 )
 
-// Code is a numbered result. The thousands digit groups codes by cause.
+// Code is the number of a result. The thousands digit groups codes by cause.
 type Code int
 
 // Result codes. Numbers are part of the public interface and never reused.
@@ -48,10 +52,11 @@
 	BackEndUnreached Code = 2008
 	KeyUnavailable   Code = 2009
 	ZoneEvacuated    Code = 2010
-	// RegionUnavailable is told apart from NoBackEnd, which other regions could mend.
+	// RegionUnavailable differs from NoBackEnd in that back ends in other regions cannot
+	// serve the request.
 	RegionUnavailable Code = 2011
 	SamplersCold      Code = 2012
-	// RequestQuarantined is the request's own fault, other requests are served.
+	// RequestQuarantined is caused by the request itself; other requests are served.
 	RequestQuarantined Code = 2013
 
 	AnswerLost       Code = 3001
@@ -76,7 +81,8 @@
 	RecordMalformed Code = 5005
 	LeaseConflict   Code = 5006
 	LogTruncated    Code = 5007
-	// PlatformUnreached and PlatformRefused are of calls that are a duty.
+	// PlatformUnreached and PlatformRefused concern calls that a node makes to the
+	// platform's API as one of its duties.
 	PlatformUnreached Code = 5008
 	PlatformRefused   Code = 5009
 
@@ -88,50 +94,51 @@
 	Internal            Code = 9001
 )
 
-// Definition describes one code.
+// Definition describes a result code.
 type Definition struct {
 	Code Code
 	// Name is the stable lower-case identifier of the code.
 	Name string
-	// HTTPStatus is the status of an HTTP answer that carries the code.
+	// HTTPStatus is the status of HTTP responses that carry the code.
 	HTTPStatus int
-	// Run tells what the code promises about execution.
+	// Run states what the code guarantees about execution.
 	Run Run
-	// Meaning says what happened, Fix what the caller should do.
+	// Meaning states what happened; Fix states what the caller should do.
 	Meaning string
 	Fix     string
 }
 
-// Error is a result code with its circumstances.
+// Error is an error with a result code.
 type Error struct {
 	Code Code
-	// Field names the offending input field, empty if none.
+	// Field is the path of the invalid input field, empty if none.
 	Field string
-	// Detail adds specifics to the meaning of the code.
+	// Detail describes the specific failure.
 	Detail string
-	// RetryAfter is when a repeat is worth trying; 0 means at once or never,
-	// as the code's Fix says.
+	// RetryAfter is the retry delay. Zero means that a retry makes sense at once or
+	// not at all, as the Fix of the code says.
 	RetryAfter time.Duration
 	cause      error
 }
 
-// New returns an error with the code and a formatted detail.
+// New returns an Error with the code and a formatted detail.
 func New(code Code, format string, arguments ...any) *Error {
 	return &Error{Code: code, Detail: fmt.Sprintf(format, arguments...)}
 }
 
-// Wrap returns an error with the code whose detail is the cause.
+// Wrap returns an Error with the code that wraps cause. Its detail is the context
+// followed by the message of the cause.
 func Wrap(code Code, cause error, context string) *Error {
 	return &Error{Code: code, Detail: context + ": " + cause.Error(), cause: cause}
 }
 
-// WithField names the offending field.
+// WithField sets the invalid input field and returns e.
 func (e *Error) WithField(field string) *Error {
 	e.Field = field
 	return e
 }
 
-// WithRetryAfter sets the retry hint.
+// WithRetryAfter sets the retry delay and returns e.
 func (e *Error) WithRetryAfter(delay time.Duration) *Error {
 	e.RetryAfter = delay
 	return e
@@ -147,13 +154,14 @@
 	return text
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the wrapped error, nil if there is none.
 func (e *Error) Unwrap() error { return e.cause }
 
-// Run tells whether the request was executed.
+// Run states whether the request was executed, according to the code.
 func (e *Error) Run() Run { return Lookup(e.Code).Run }
 
-// From finds the result error in a chain, or wraps err as Internal.
+// From returns the first Error in the chain of err, or wraps err as Internal if there
+// is none.
 func From(err error) *Error {
 	var typed *Error
 	if errors.As(err, &typed) {
@@ -162,14 +170,14 @@
 	return Wrap(Internal, err, "unexpected error")
 }
 
-// Is reports whether err carries the code.
+// Is reports whether the first Error in the chain of err has the code.
 func Is(err error, code Code) bool {
 	var typed *Error
 	return errors.As(err, &typed) && typed.Code == code
 }
 
-// Lookup returns the definition of a code. An unlisted code is defined as
-// Internal, which promises nothing about execution.
+// Lookup returns the definition of a code. An undefined code gets the definition of
+// Internal, which guarantees nothing about execution.
 func Lookup(code Code) Definition {
 	if definition, ok := byCode[code]; ok {
 		return definition
@@ -177,7 +185,7 @@
 	return byCode[Internal]
 }
 
-// Definitions lists every code in ascending order.
+// Definitions returns the definitions of all codes in ascending order.
 func Definitions() []Definition { return definitions }
 
 var byCode = indexByCode()
--- a/internal/result/result_test.go
+++ b/internal/result/result_test.go
@@ -12,12 +12,12 @@
 
 const tablePath = "../../docs/RESULT_CODES.md"
 
-// tableRow is the row of docs/RESULT_CODES.md that a definition calls for.
+// tableRow returns the row of docs/RESULT_CODES.md for a definition.
 func tableRow(d Definition) string {
 	return fmt.Sprintf("| %d | `%s` | %d | %s | %s | %s |", d.Code, d.Name, d.HTTPStatus, d.Run, d.Meaning, d.Fix)
 }
 
-func TestTableInDocsHoldsExactlyTheDefinitions(t *testing.T) {
+func TestTableInDocsMatchesDefinitions(t *testing.T) {
 	content, err := os.ReadFile(tablePath)
 	require.NoError(t, err)
 	var want, got []string
@@ -32,7 +32,7 @@
 	require.Equal(t, want, got)
 }
 
-func TestDefinitionsAreOrderedNamedAndComplete(t *testing.T) {
+func TestDefinitionsAreSortedUniqueAndComplete(t *testing.T) {
 	previous := Code(0)
 	names := map[string]bool{}
 	for _, definition := range Definitions() {
@@ -43,14 +43,14 @@
 		require.Contains(t, []Run{Done, NotRun, Unknown}, definition.Run)
 		previous, names[definition.Name] = definition.Code, true
 	}
-	require.Equal(t, Unknown, Lookup(12345).Run, "an unlisted code promises nothing")
+	require.Equal(t, Unknown, Lookup(12345).Run, "an undefined code must not guarantee anything about execution")
 }
 
-func TestErrorKeepsItsCauseAndCode(t *testing.T) {
-	cause := errors.New("wire cut")
-	err := fmt.Errorf("outer: %w", Wrap(AnswerLost, cause, "await answer").WithField("f"))
+func TestErrorKeepsCauseAndCode(t *testing.T) {
+	cause := errors.New("connection reset")
+	err := fmt.Errorf("outer: %w", Wrap(AnswerLost, cause, "await response").WithField("f"))
 	require.True(t, Is(err, AnswerLost))
 	require.ErrorIs(t, err, cause)
-	require.Equal(t, "3001 answer_lost: await answer: wire cut (field f)", From(err).Error())
+	require.Equal(t, "3001 answer_lost: await response: connection reset (field f)", From(err).Error())
 	require.Equal(t, Internal, From(cause).Code)
 }
