--- a/cmd/pathbend-lab/main.go
+++ b/cmd/pathbend-lab/main.go
@@ -1,5 +1,5 @@
-// Command pathbend-lab emulates what surrounds pathbend: engines, back ends,
-// the platform, trainers and callers. It runs the demo, load and experiments.
+// Command pathbend-lab emulates the environment of pathbend: engines, back ends, the
+// platform, trainers and callers. It runs the demo, load tests and experiments.
 package main
 
 import (
--- a/cmd/pathbend/main.go
+++ b/cmd/pathbend/main.go
@@ -1,4 +1,4 @@
-// Command pathbend runs a node and operates a cluster.
+// Command pathbend runs a node of a cluster, and has commands that operate the cluster.
 package main
 
 import (
--- a/examples/examples.go
+++ b/examples/examples.go
@@ -1,10 +1,10 @@
-// Package examples embeds the example declarations, so that the demo runs
-// without files beside it.
+// Package examples embeds the example declarations, so that the demo needs no files
+// besides its program.
 package examples
 
 import "embed"
 
-// Files holds the example templates and tenants.
+// Files contains the declarations of the example templates and tenants.
 //
 //go:embed templates tenants
 var Files embed.FS
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -15,12 +15,12 @@
 
 // run executes a command line and returns its exit code and outputs.
 func run(arguments ...string) (code int, output, errorOutput string) {
-	var out, errOut bytes.Buffer
-	code = Run(arguments, &out, &errOut)
-	return code, out.String(), errOut.String()
+	var outputBuffer, errorBuffer bytes.Buffer
+	code = Run(arguments, &outputBuffer, &errorBuffer)
+	return code, outputBuffer.String(), errorBuffer.String()
 }
 
-func TestConfigCommandsAgainstALog(t *testing.T) {
+func TestConfigCommands(t *testing.T) {
 	server := httptest.NewServer(emulator.NewPlatform(0, 0, 1).Handler())
 	defer server.Close()
 	log := strings.TrimPrefix(server.URL, "http://")
@@ -46,8 +46,8 @@
 }
 
 func TestExitCodesAndMessages(t *testing.T) {
-	bad := filepath.Join(t.TempDir(), "bad.yaml")
-	require.NoError(t, os.WriteFile(bad, []byte("kind: Tenant\nname: shop\nspecs: {}\n"), 0o600))
+	invalid := filepath.Join(t.TempDir(), "bad.yaml")
+	require.NoError(t, os.WriteFile(invalid, []byte("kind: Tenant\nname: shop\nspecs: {}\n"), 0o600))
 	settings := filepath.Join(t.TempDir(), "node.yaml")
 	require.NoError(t, os.WriteFile(settings, []byte("name: a\nzone: z\nlog_address: here\nmachines_address: 127.0.0.1:1\n"), 0o600))
 	cases := []struct {
@@ -55,7 +55,7 @@
 		arguments []string
 		message   string
 	}{
-		{ExitInvalid, []string{"config", "validate", bad}, `bad.yaml:3: specs: unknown field; did you mean "spec"?`},
+		{ExitInvalid, []string{"config", "validate", invalid}, `bad.yaml:3: specs: unknown field; did you mean "spec"?`},
 		{ExitUsage, []string{"config", "validate"}, "accepts 1 arg"},
 		{ExitUsage, []string{"status", "--colour"}, "unknown flag"},
 		{ExitUsage, []string{"status", "--output", "xml"}, "use table or json"},
@@ -84,7 +84,7 @@
 	}
 }
 
-func TestExplainTellsAStoryAndNamesBadInput(t *testing.T) {
+func TestExplainPrintsOutcomeAndRejectsInvalidInput(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "node.log")
 	line := `{"time":"2026-05-01T10:00:00Z","msg":"request_served","node":"a","event":509,"request_id":"r","status":200,"attempts":1,"back_end":"s","took_ms":7}`
 	require.NoError(t, os.WriteFile(path, []byte(line+"\n"), 0o600))
--- a/internal/command/config.go
+++ b/internal/command/config.go
@@ -20,12 +20,12 @@
 	"github.com/pathbend/pathbend/internal/state"
 )
 
-// operationTimeout bounds an operation on the log.
-const operationTimeout = 30 * time.Second
+// logOperationTimeout is the timeout for reading or publishing configuration on the log.
+const logOperationTimeout = 30 * time.Second
 
 func newConfig() *cobra.Command {
 	command := &cobra.Command{
-		Use: "config", Short: "Check, compare and publish declarations",
+		Use: "config", Short: "Validate, compare and publish declarations",
 		Example: "  pathbend config validate examples\n  pathbend config diff examples --log 127.0.0.1:7000",
 	}
 	command.AddCommand(newValidate(), newRender(), newSchema(), newDiff(), newPublish(), newHistory())
@@ -34,7 +34,7 @@
 
 func newValidate() *cobra.Command {
 	return &cobra.Command{
-		Use: "validate PATH", Short: "Check a file or directory of declarations",
+		Use: "validate PATH", Short: "Validate a file or directory of declarations",
 		Example: "  pathbend config validate examples", Args: exactArguments(1),
 		RunE: func(command *cobra.Command, arguments []string) error {
 			document, err := config.LoadPath(arguments[0])
@@ -54,7 +54,7 @@
 	}
 	format := addOutputFlag(command, formatYAML, formatJSON)
 	command.RunE = func(command *cobra.Command, arguments []string) error {
-		if err := checkFormat(*format, formatYAML, formatJSON); err != nil {
+		if err := validateFormat(*format, formatYAML, formatJSON); err != nil {
 			return err
 		}
 		document, err := config.LoadPath(arguments[0])
@@ -76,7 +76,7 @@
 
 func newSchema() *cobra.Command {
 	return &cobra.Command{
-		Use: "schema", Short: "Print the JSON Schema of declarations, for editors",
+		Use: "schema", Short: "Print the JSON Schema of declarations, for use in editors",
 		Example: "  pathbend config schema > pathbend.schema.json", Args: exactArguments(0),
 		RunE: func(command *cobra.Command, _ []string) error {
 			schema, err := config.Schema()
@@ -89,16 +89,17 @@
 	}
 }
 
-// addLogFlag adds the address of the platform's log.
+// addLogFlag adds the required flag --log, the address of the platform's log.
 func addLogFlag(command *cobra.Command) *string {
 	address := command.Flags().String("log", "", "address of the platform's log, host:port")
-	_ = command.MarkFlagRequired("log") // the flag exists
+	_ = command.MarkFlagRequired("log") // fails only for an unknown flag
 	return address
 }
 
-// withLog calls an operation with a client of the log.
+// withLog calls operate with a client of the log, closed afterwards, and a context that
+// ends after logOperationTimeout.
 func withLog(command *cobra.Command, address string, operate func(ctx context.Context, log *logstore.Client) error) error {
-	ctx, cancel := context.WithTimeout(command.Context(), operationTimeout)
+	ctx, cancel := context.WithTimeout(command.Context(), logOperationTimeout)
 	defer cancel()
 	client := logstore.NewClient(network.TCP{}, address)
 	defer client.Close()
@@ -107,13 +108,13 @@
 
 func newDiff() *cobra.Command {
 	command := &cobra.Command{
-		Use: "diff PATH", Short: "Compare declarations with the configuration in force",
+		Use: "diff PATH", Short: "Compare declarations with the current configuration",
 		Example: "  pathbend config diff examples --log 127.0.0.1:7000", Args: exactArguments(1),
 	}
 	address := addLogFlag(command)
 	format := addOutputFlag(command, formatTable, formatJSON)
 	command.RunE = func(command *cobra.Command, arguments []string) error {
-		if err := checkFormat(*format, formatTable, formatJSON); err != nil {
+		if err := validateFormat(*format, formatTable, formatJSON); err != nil {
 			return err
 		}
 		document, err := config.LoadPath(arguments[0])
@@ -146,12 +147,12 @@
 func changeRows(changes []config.Change) [][]string {
 	rows := make([][]string, 0, len(changes))
 	for _, change := range changes {
-		rows = append(rows, []string{change.Path, orDash(change.Before), "->", orDash(change.After)})
+		rows = append(rows, []string{change.Path, valueOrDash(change.Before), "->", valueOrDash(change.After)})
 	}
 	return rows
 }
 
-func orDash(text string) string {
+func valueOrDash(text string) string {
 	if text == "" {
 		return "-"
 	}
@@ -161,15 +162,15 @@
 func newPublish() *cobra.Command {
 	command := &cobra.Command{
 		Use: "publish PATH", Short: "Publish declarations",
-		Long: "Publish declarations made from a base revision. If another publish replaced that\n" +
-			"revision first, nothing changes, and the command says who won and what differs.",
+		Long: "Publish declarations that were made from a base revision. If another revision replaced\n" +
+			"it first, nothing changes, and the command prints that revision's author and the differences.",
 		Example: "  pathbend config publish examples --log 127.0.0.1:7000 --base 3 --message 'raise rate'",
 		Args:    exactArguments(1),
 	}
 	address := addLogFlag(command)
 	base := command.Flags().String("base", "", "revision that the change was made from, or 'current'")
-	message := command.Flags().String("message", "", "what the change is for")
-	author := command.Flags().String("author", currentUser(), "who publishes")
+	message := command.Flags().String("message", "", "purpose of the change")
+	author := command.Flags().String("author", currentUser(), "author of the revision")
 	_ = command.MarkFlagRequired("base")
 	command.RunE = func(command *cobra.Command, arguments []string) error {
 		document, err := config.LoadPath(arguments[0])
@@ -177,25 +178,28 @@
 			return err
 		}
 		return withLog(command, *address, func(ctx context.Context, log *logstore.Client) error {
-			publication := operator.Publication{Document: document, Author: *author, Message: *message}
-			if publication.Base, err = parseBase(ctx, log, *base); err != nil {
+			request := operator.PublishRequest{Document: document, Author: *author, Message: *message}
+			if request.BaseRevision, err = resolveBaseRevision(ctx, log, *base); err != nil {
 				return err
 			}
-			revision, err := operator.Publish(ctx, log, publication)
-			return reportPublish(command, revision, err)
+			revision, err := operator.Publish(ctx, log, request)
+			return printPublishResult(command, revision, err)
 		})
 	}
 	return command
 }
 
+// currentUser returns the name of the user, the default author of a revision.
 func currentUser() string {
-	if present, err := user.Current(); err == nil {
-		return present.Username
+	if current, err := user.Current(); err == nil {
+		return current.Username
 	}
 	return os.Getenv("USER")
 }
 
-func parseBase(ctx context.Context, log logstore.Reader, text string) (uint64, error) {
+// resolveBaseRevision parses the value of --base: a revision number, or "current" for the
+// revision at the end of the log.
+func resolveBaseRevision(ctx context.Context, log logstore.Reader, text string) (uint64, error) {
 	if text == "current" {
 		machine, err := operator.Load(ctx, log)
 		if err != nil {
@@ -205,15 +209,17 @@
 	}
 	base, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		return 0, usageError{errors.Newf("--base %q is no revision; write a number or 'current'", text)}
+		return 0, usageError{errors.Newf("--base %q is not a revision; write a number or 'current'", text)}
 	}
 	return base, nil
 }
 
-func reportPublish(command *cobra.Command, revision state.Revision, err error) error {
-	var conflict *operator.Conflict
+// printPublishResult prints the published revision, or the differences if err is a
+// conflict. It returns err, or the error of writing the differences.
+func printPublishResult(command *cobra.Command, revision state.Revision, err error) error {
+	var conflict *operator.ConflictError
 	if errors.As(err, &conflict) {
-		fmt.Fprintf(command.ErrOrStderr(), "revision %d by %s (%q) was published at %s; it differs in:\n",
+		fmt.Fprintf(command.ErrOrStderr(), "revision %d by %s (%q) was published at %s; differences:\n",
 			conflict.Winner.Number, conflict.Winner.Author, conflict.Winner.Message, conflict.Winner.Published.UTC().Format(time.RFC3339))
 		if writeErr := writeTable(command.ErrOrStderr(), changeRows(conflict.Changes)); writeErr != nil {
 			return writeErr
@@ -234,7 +240,7 @@
 	address := addLogFlag(command)
 	format := addOutputFlag(command, formatTable, formatJSON)
 	command.RunE = func(command *cobra.Command, _ []string) error {
-		if err := checkFormat(*format, formatTable, formatJSON); err != nil {
+		if err := validateFormat(*format, formatTable, formatJSON); err != nil {
 			return err
 		}
 		return withLog(command, *address, func(ctx context.Context, log *logstore.Client) error {
@@ -248,7 +254,7 @@
 	return command
 }
 
-// historyEntry is a revision in the output of history.
+// historyEntry is a revision in the JSON output of the history command.
 type historyEntry struct {
 	Revision  uint64    `json:"revision"`
 	Author    string    `json:"author"`
--- a/internal/command/operate.go
+++ b/internal/command/operate.go
@@ -18,17 +18,19 @@
 
 const (
 	statusTimeout = 5 * time.Second
-	// drainCommandTimeout bounds the wait of the drain command; the node has a
-	// timeout of its own.
+	// drainCommandTimeout is the maximum time that the drain command waits. The node
+	// itself drains for at most its setting drain_timeout.
 	drainCommandTimeout = 15 * time.Minute
 )
 
+// addAdminFlag adds the flag --admin, the admin address of a node.
 func addAdminFlag(command *cobra.Command) *string {
-	return command.Flags().String("admin", node.DefaultSettings().AdminAddress, "address for operators of the node, host:port")
+	return command.Flags().String("admin", node.DefaultSettings().AdminAddress, "admin address of the node, host:port")
 }
 
-// askNode sends a request to a node's admin address and returns the body.
-func askNode(ctx context.Context, method, address, path string, timeout time.Duration) ([]byte, error) {
+// callAdmin sends a request to the admin address of a node and returns the response body.
+// A status other than 200 is an error.
+func callAdmin(ctx context.Context, method, address, path string, timeout time.Duration) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, nil)
@@ -37,12 +39,12 @@
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return nil, result.Wrap(result.PeerUnreached, err, "ask node at "+address)
+		return nil, result.Wrap(result.PeerUnreached, err, "call node at "+address)
 	}
 	defer response.Body.Close()
 	content, err := io.ReadAll(response.Body)
 	if err != nil {
-		return nil, result.Wrap(result.PeerUnreached, err, "ask node at "+address)
+		return nil, result.Wrap(result.PeerUnreached, err, "call node at "+address)
 	}
 	if response.StatusCode != http.StatusOK {
 		return nil, errors.Newf("node at %s answered %s: %s", address, response.Status, content)
@@ -52,16 +54,16 @@
 
 func newStatus() *cobra.Command {
 	command := &cobra.Command{
-		Use: "status", Short: "Show what a node sees: zones, nodes, engines, versions, jobs",
+		Use: "status", Short: "Show zones, nodes, engines, versions and jobs as known to a node",
 		Example: "  pathbend status --admin 127.0.0.1:8082 --output json", Args: exactArguments(0),
 	}
 	address := addAdminFlag(command)
 	format := addOutputFlag(command, formatTable, formatJSON)
 	command.RunE = func(command *cobra.Command, _ []string) error {
-		if err := checkFormat(*format, formatTable, formatJSON); err != nil {
+		if err := validateFormat(*format, formatTable, formatJSON); err != nil {
 			return err
 		}
-		content, err := askNode(command.Context(), http.MethodGet, *address, "/status", statusTimeout)
+		content, err := callAdmin(command.Context(), http.MethodGet, *address, "/status", statusTimeout)
 		if err != nil {
 			return err
 		}
@@ -86,13 +88,13 @@
 	}
 	endpoints := [][]string{{"ENDPOINT", "POOL", "ZONE", "IN FLIGHT", "LOAD", "LEAVING", "SERVES"}}
 	for _, endpoint := range status.Endpoints {
-		serves := ""
+		serving := ""
 		for _, model := range endpoint.Models {
-			serves += fmt.Sprintf("%s@%d ", model.Model, model.Serving)
+			serving += fmt.Sprintf("%s@%d ", model.Model, model.Serving)
 		}
 		endpoints = append(endpoints, []string{
 			endpoint.ID, endpoint.Pool, endpoint.Zone, strconv.Itoa(endpoint.InFlight), strconv.Itoa(endpoint.Load),
-			strconv.FormatBool(endpoint.Leaving), serves,
+			strconv.FormatBool(endpoint.Leaving), serving,
 		})
 	}
 	jobs := [][]string{{"TENANT", "JOB", "SLOTS", "REMAINING", "RUNNING", "READY"}}
@@ -112,13 +114,13 @@
 
 func newDrain() *cobra.Command {
 	command := &cobra.Command{
-		Use: "drain", Short: "Drain a node and wait until it is done",
-		Long:    "Drain a node: it refuses new work as not run, finishes what runs, hands its jobs\nover and exits. The command returns when the node is drained.",
+		Use: "drain", Short: "Drain a node and wait for completion",
+		Long:    "Drain a node: it refuses new work as not run, finishes the work in progress, hands its\njobs over and exits. The command returns when the node is drained.",
 		Example: "  pathbend drain --admin 127.0.0.1:8082", Args: exactArguments(0),
 	}
 	address := addAdminFlag(command)
 	command.RunE = func(command *cobra.Command, _ []string) error {
-		content, err := askNode(command.Context(), http.MethodPost, *address, "/drain", drainCommandTimeout)
+		content, err := callAdmin(command.Context(), http.MethodPost, *address, "/drain", drainCommandTimeout)
 		if err != nil {
 			return err
 		}
--- a/internal/command/root.go
+++ b/internal/command/root.go
@@ -1,7 +1,7 @@
-// Package command is the command line of pathbend.
+// Package command implements the command line of pathbend.
 //
-// Every command returns an error that Run translates to an exit code, documented
-// in docs/OPERATIONS.md.
+// Each command returns an error, which Run translates to an exit code. The exit codes are
+// documented in docs/OPERATIONS.md.
 package command
 
 import (
@@ -24,25 +24,34 @@
 
 // Exit codes of the command line.
 const (
-	ExitOK          = 0
-	ExitFailure     = 1
-	ExitUsage       = 2
-	ExitInvalid     = 3
-	ExitConflict    = 4
+	// ExitOK means success.
+	ExitOK = 0
+	// ExitFailure means an error without an exit code of its own.
+	ExitFailure = 1
+	// ExitUsage means an error in the command line or in the settings of a node.
+	ExitUsage = 2
+	// ExitInvalid means an invalid configuration.
+	ExitInvalid = 3
+	// ExitConflict means that another configuration was published first.
+	ExitConflict = 4
+	// ExitUnreachable means that the log or the node could not be reached.
 	ExitUnreachable = 5
 )
 
-// Version is set at build time by -ldflags; a plain build reports the module's.
+// Version is the version of the program, set at build time with -ldflags. If it is empty,
+// the version command prints the module version from the build information.
 var Version = ""
 
-// usageError marks an error in the command line itself.
+// usageError marks an error in the command line or in the settings; the exit code is
+// ExitUsage.
 type usageError struct{ error }
 
-// settingsError is an error in a process's settings, as added commands report it.
+// settingsError is implemented by errors in the settings of commands that are passed to
+// Run; the exit code is ExitUsage.
 type settingsError interface{ InSettings() bool }
 
-// Run executes the command line, with more commands beside its own, and returns
-// the exit code.
+// Run executes a command line and returns the exit code. It adds the commands in more to
+// its own. SIGINT and SIGTERM cancel the context of the command.
 func Run(arguments []string, output, errorOutput io.Writer, more ...*cobra.Command) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -82,7 +91,7 @@
 	root := &cobra.Command{
 		Use:           "pathbend",
 		Short:         "Rollout service for reinforcement learning",
-		Long:          "pathbend serves application requests, generations and rollout jobs of tenants\nthat are declared in version control.",
+		Long:          "pathbend serves application requests, generations and rollout jobs of tenants,\nwhich are declared in files under version control.",
 		Example:       "  pathbend serve --settings node.yaml\n  pathbend config publish examples --log 127.0.0.1:7000 --base 0",
 		SilenceUsage:  true,
 		SilenceErrors: true,
@@ -92,7 +101,8 @@
 	return root
 }
 
-// exactArguments checks the number of arguments as a usage error.
+// exactArguments returns a check that fails with a usageError unless there are count
+// arguments.
 func exactArguments(count int) cobra.PositionalArgs {
 	return func(command *cobra.Command, arguments []string) error {
 		if err := cobra.ExactArgs(count)(command, arguments); err != nil {
@@ -102,19 +112,20 @@
 	}
 }
 
-// Formats of --output.
+// Values of the flag --output.
 const (
 	formatTable = "table"
 	formatJSON  = "json"
 	formatYAML  = "yaml"
 )
 
-// addOutputFlag adds --output with the formats that a command knows.
+// addOutputFlag adds the flag --output with the supported formats; the first is the
+// default.
 func addOutputFlag(command *cobra.Command, formats ...string) *string {
-	return command.Flags().StringP("output", "o", formats[0], "output format: "+joinOr(formats))
+	return command.Flags().StringP("output", "o", formats[0], "output format: "+joinAlternatives(formats))
 }
 
-func joinOr(words []string) string {
+func joinAlternatives(words []string) string {
 	text := words[0]
 	for _, word := range words[1:] {
 		text += " or " + word
@@ -122,13 +133,13 @@
 	return text
 }
 
-func checkFormat(format string, known ...string) error {
-	for _, candidate := range known {
+func validateFormat(format string, supported ...string) error {
+	for _, candidate := range supported {
 		if format == candidate {
 			return nil
 		}
 	}
-	return usageError{errors.Newf("--output %q is unknown; use %s", format, joinOr(known))}
+	return usageError{errors.Newf("unknown --output format %q; use %s", format, joinAlternatives(supported))}
 }
 
 func writeJSON(output io.Writer, value any) error {
@@ -137,7 +148,7 @@
 	return encoder.Encode(value)
 }
 
-// writeTable writes aligned columns.
+// writeTable writes rows as aligned columns.
 func writeTable(output io.Writer, rows [][]string) error {
 	writer := tabwriter.NewWriter(output, 0, 4, 2, ' ', 0)
 	for _, row := range rows {
--- a/internal/command/serve.go
+++ b/internal/command/serve.go
@@ -22,14 +22,14 @@
 	command := &cobra.Command{
 		Use:   "serve",
 		Short: "Run a node",
-		Long: "Run a node until SIGTERM or SIGINT, which drain it: it refuses new work as not\n" +
-			"run, finishes what runs, hands its jobs over and exits with 0.",
+		Long: "Run a node until it receives SIGTERM or SIGINT. The node then drains: it refuses new\n" +
+			"work as not run, finishes the work in progress, hands its jobs over and exits with 0.",
 		Example: "  pathbend serve --settings node.yaml\n" +
 			"  pathbend serve --name a1 --zone plateau --log-address 127.0.0.1:7000 --machines-address 127.0.0.1:7000",
 		Args: exactArguments(0),
 	}
 	set := command.Flags()
-	set.StringVar(&path, "settings", "", "settings file in YAML; flags go before it")
+	set.StringVar(&path, "settings", "", "settings file in YAML; flags override it")
 	set.StringVar(&flags.Name, "name", "", "name of the machine")
 	set.StringVar(&flags.Zone, "zone", "", "zone of the machine")
 	set.StringVar(&flags.HTTPAddress, "http-address", defaults.HTTPAddress, "address for callers and trainers")
@@ -37,8 +37,8 @@
 	set.StringVar(&flags.AdminAddress, "admin-address", defaults.AdminAddress, "address for operators")
 	set.StringVar(&flags.LogAddress, "log-address", "", "address of the platform's log")
 	set.StringVar(&flags.MachinesAddress, "machines-address", "", "address of the platform's machine list")
-	set.DurationVar(&flags.DrainTimeout, "drain-timeout", defaults.DrainTimeout, "how long a drain waits for requests in progress")
-	set.StringVar(&flags.LogLevel, "log-level", defaults.LogLevel, "least severe level logged: debug, info, warn or error")
+	set.DurationVar(&flags.DrainTimeout, "drain-timeout", defaults.DrainTimeout, "maximum time that a drain waits for requests in progress")
+	set.StringVar(&flags.LogLevel, "log-level", defaults.LogLevel, "minimum severity of logged events: debug, info, warn or error")
 	command.RunE = func(command *cobra.Command, _ []string) error {
 		settings, err := mergeSettings(command, path, flags)
 		if err != nil {
@@ -49,7 +49,8 @@
 	return command
 }
 
-// mergeSettings puts the flags that were given over the settings file.
+// mergeSettings reads the settings file, if there is one, and overrides it with the flags
+// that were given. Errors are usageErrors.
 func mergeSettings(command *cobra.Command, path string, flags node.Settings) (node.Settings, error) {
 	settings := node.DefaultSettings()
 	if path != "" {
@@ -60,14 +61,14 @@
 		settings = loaded
 	}
 	changed := command.Flags().Changed
-	for name, pair := range map[string][2]*string{
+	for name, values := range map[string][2]*string{
 		"name": {&settings.Name, &flags.Name}, "zone": {&settings.Zone, &flags.Zone},
 		"http-address": {&settings.HTTPAddress, &flags.HTTPAddress}, "peer-address": {&settings.PeerAddress, &flags.PeerAddress},
 		"admin-address": {&settings.AdminAddress, &flags.AdminAddress}, "log-address": {&settings.LogAddress, &flags.LogAddress},
 		"machines-address": {&settings.MachinesAddress, &flags.MachinesAddress}, "log-level": {&settings.LogLevel, &flags.LogLevel},
 	} {
 		if changed(name) {
-			*pair[0] = *pair[1]
+			*values[0] = *values[1]
 		}
 	}
 	if changed("drain-timeout") {
@@ -79,24 +80,27 @@
 	return settings, nil
 }
 
-// drainLinger keeps a drained process up until its last answers are read.
-const drainLinger = 200 * time.Millisecond
+// drainGracePeriod is how long a drained process keeps running, so that callers can read
+// the last responses.
+const drainGracePeriod = 200 * time.Millisecond
 
 const (
-	// gcPercent trades memory for fewer collections: a node's live heap is
-	// small, and each collection costs latency.
+	// gcPercent trades memory for fewer garbage collections: the live heap of a node is
+	// small, and each collection adds latency.
 	gcPercent = 400
-	// memoryLimit makes collections more frequent before the heap is large.
-	memoryLimit = 1 << 30
+	// memoryLimitBytes makes collections more frequent when memory use approaches it, so
+	// that gcPercent does not let the heap become large.
+	memoryLimitBytes = 1 << 30
 )
 
-// tuneMemory sets the collector unless the environment does.
-func tuneMemory() {
+// configureGC sets the parameters of the garbage collector that the environment variables
+// GOGC and GOMEMLIMIT do not set.
+func configureGC() {
 	if os.Getenv("GOGC") == "" {
 		debug.SetGCPercent(gcPercent)
 	}
 	if os.Getenv("GOMEMLIMIT") == "" {
-		debug.SetMemoryLimit(memoryLimit)
+		debug.SetMemoryLimit(memoryLimitBytes)
 	}
 }
 
@@ -105,22 +109,22 @@
 	if err := level.UnmarshalText([]byte(settings.LogLevel)); err != nil {
 		return usageError{err}
 	}
-	tuneMemory()
+	configureGC()
 	logger := event.NewLogger(logs, level)
 	logger.Log(event.SettingsLoaded, "name", settings.Name, "zone", settings.Zone, "log", settings.LogAddress)
-	started, err := node.New(settings, network.TCP{}, logger)
+	instance, err := node.New(settings, network.TCP{}, logger)
 	if err != nil {
 		return err
 	}
-	if err := started.Start(); err != nil {
+	if err := instance.Start(); err != nil {
 		return err
 	}
 	select {
 	case <-ctx.Done():
-		started.Drain()
-	case <-started.Drained():
+		instance.Drain()
+	case <-instance.Drained():
 	}
-	time.Sleep(drainLinger)
-	started.Stop()
+	time.Sleep(drainGracePeriod)
+	instance.Stop()
 	return nil
 }
--- a/internal/explain/evacuation.go
+++ b/internal/explain/evacuation.go
@@ -8,45 +8,45 @@
 	"github.com/pathbend/pathbend/internal/event"
 )
 
-// evacuated names the zones that a node held for evacuated at some time from one moment
-// to another, ordered. all is in time order.
-func evacuated(node string, from, to time.Time, all []Line) []string {
-	var out, found []string
+// evacuatedZones returns the zones, sorted, that a node treated as evacuated at any time
+// between from and to. all must be in time order.
+func evacuatedZones(node string, from, to time.Time, all []Line) []string {
+	var current, found []string
 	for _, line := range all {
 		if line.Node != node || line.Time.After(to) {
 			continue
 		}
 		if !line.Time.Before(from) {
-			found = append(found, out...)
+			found = append(found, current...)
 		}
-		zone := line.Fields.Text("zone")
+		zone := line.Fields.String("zone")
 		switch line.Number {
 		case event.ZoneEvacuated:
-			out = append(out, zone)
+			current = append(current, zone)
 		case event.ZoneTakenBack:
-			out = slices.DeleteFunc(out, func(other string) bool { return other == zone })
+			current = slices.DeleteFunc(current, func(other string) bool { return other == zone })
 		case event.NodeStarting:
-			out = nil
+			current = nil
 		}
 	}
-	found = append(found, out...)
+	found = append(found, current...)
 	slices.Sort(found)
 	return slices.Compact(found)
 }
 
-// evacuations says which zones were evacuated for the nodes of a story meanwhile, empty
-// if none was.
-func evacuations(lines, all []Line) string {
+// evacuationCause lists the zones that the nodes of a trace treated as evacuated in its
+// period, empty if there were none.
+func evacuationCause(lines, all []Line) string {
 	if len(lines) == 0 {
 		return ""
 	}
 	var zones []string
 	for _, node := range nodesOf(lines) {
-		zones = append(zones, evacuated(node, lines[0].Time, lines[len(lines)-1].Time, all)...)
+		zones = append(zones, evacuatedZones(node, lines[0].Time, lines[len(lines)-1].Time, all)...)
 	}
 	if len(zones) == 0 {
 		return ""
 	}
 	slices.Sort(zones)
-	return "evacuated meanwhile: " + strings.Join(slices.Compact(zones), ", ")
+	return "zones evacuated at the time: " + strings.Join(slices.Compact(zones), ", ")
 }
--- a/internal/explain/line.go
+++ b/internal/explain/line.go
@@ -1,8 +1,9 @@
-// Package explain tells the story of one request, batch job or item from the
-// nodes' log lines: what happened to it, in time order, what the nodes believed
-// meanwhile, and a verdict of the cause.
+// Package explain analyses the log lines of several nodes. It traces one request, batch
+// job, item or reward call, with the lines that name it in time order, the state of the
+// nodes involved, the outcome and its cause. It also computes from the lines how long
+// each phase of a batch job took.
 //
-// The package is pure but for reading lines.
+// Apart from reading log lines, the package performs no I/O and keeps no state.
 package explain
 
 import (
@@ -23,37 +24,37 @@
 	Node   string
 	Number event.Number
 	Name   string
-	// Fields are the attributes of the line beside those above.
+	// Fields holds the remaining attributes of the line.
 	Fields Fields
 }
 
-// Fields are attributes of a line by name.
+// Fields holds attributes of a log line by name.
 type Fields map[string]any
 
-// Text returns an attribute that is a text, empty if there is none.
-func (f Fields) Text(name string) string {
-	text, _ := f[name].(string)
-	return text
+// String returns a string attribute, empty if there is none.
+func (f Fields) String(name string) string {
+	value, _ := f[name].(string)
+	return value
 }
 
-// Count returns an attribute that is a number, 0 if there is none.
-func (f Fields) Count(name string) int {
-	number, _ := f[name].(float64)
-	return int(number)
+// Int returns a numeric attribute as an integer, 0 if there is none.
+func (f Fields) Int(name string) int {
+	value, _ := f[name].(float64)
+	return int(value)
 }
 
-// Flag returns an attribute that is true or false, false if there is none.
-func (f Fields) Flag(name string) bool {
-	flag, _ := f[name].(bool)
-	return flag
+// Bool returns a boolean attribute, false if there is none.
+func (f Fields) Bool(name string) bool {
+	value, _ := f[name].(bool)
+	return value
 }
 
-// maxLineBytes bounds one line.
+// maxLineBytes is the maximum length of a log line; a longer one fails the read.
 const maxLineBytes = 1 << 20
 
-// Read reads the lines of one log. What stands before the first brace of a line is
-// passed over, so output that a supervisor prefixed can be read too. skipped
-// counts the lines that are no log lines of a node.
+// Read reads the log lines of one input. Text before the first brace of a line is
+// ignored, so that output with prefixes of a supervisor can be read too. skipped is the
+// number of lines that are not log lines of a node.
 func Read(input io.Reader) (lines []Line, skipped int, err error) {
 	scanner := bufio.NewScanner(input)
 	scanner.Buffer(make([]byte, 0, maxLineBytes), maxLineBytes)
@@ -68,34 +69,34 @@
 	return lines, skipped, errors.Wrap(scanner.Err(), "read log lines")
 }
 
-// Names of the attributes that every line carries.
+// Attributes that each log line has. They are removed from Line.Fields.
 const (
-	fieldTime  = "time"
-	fieldLevel = "level"
-	fieldName  = "msg"
-	fieldNode  = "node"
-	fieldEvent = "event"
+	fieldTime    = "time"
+	fieldLevel   = "level"
+	fieldMessage = "msg"
+	fieldNode    = "node"
+	fieldEvent   = "event"
 )
 
 func parse(raw []byte) (Line, bool) {
-	brace := bytes.IndexByte(raw, '{')
-	if brace < 0 {
+	start := bytes.IndexByte(raw, '{')
+	if start < 0 {
 		return Line{}, false
 	}
 	var fields Fields
-	if json.Unmarshal(raw[brace:], &fields) != nil {
+	if json.Unmarshal(raw[start:], &fields) != nil {
 		return Line{}, false
 	}
-	at, err := time.Parse(time.RFC3339Nano, fields.Text(fieldTime))
-	if err != nil || fields.Count(fieldEvent) == 0 {
+	timestamp, err := time.Parse(time.RFC3339Nano, fields.String(fieldTime))
+	if err != nil || fields.Int(fieldEvent) == 0 {
 		return Line{}, false
 	}
 	line := Line{
-		Time: at, Node: fields.Text(fieldNode), Number: event.Number(fields.Count(fieldEvent)),
-		Name: fields.Text(fieldName), Fields: fields,
+		Time: timestamp, Node: fields.String(fieldNode), Number: event.Number(fields.Int(fieldEvent)),
+		Name: fields.String(fieldMessage), Fields: fields,
 	}
-	for _, known := range []string{fieldTime, fieldLevel, fieldName, fieldNode, fieldEvent} {
-		delete(fields, known)
+	for _, name := range []string{fieldTime, fieldLevel, fieldMessage, fieldNode, fieldEvent} {
+		delete(fields, name)
 	}
 	return line, true
 }
--- a/internal/explain/steps.go
+++ b/internal/explain/steps.go
@@ -8,49 +8,50 @@
 	"github.com/pathbend/pathbend/internal/event"
 )
 
-// Step is the way of one batch job from its submission to its end, as the lines of
-// all nodes show it. A moment that no line shows is the zero time.
+// Step holds the times of a batch job, a training step, from its submission to its end
+// according to the log lines of all nodes. A time that no line shows is zero.
 type Step struct {
 	JobID  string
 	Model  string
 	Number int
 	Items  int
-	// Asked is when the job was kept, FirstStart and LastStart when items were sent
-	// to samplers.
-	Asked      time.Time
+	// Submitted is when the job was stored; FirstStart and LastStart are when its first
+	// and last items were sent to samplers.
+	Submitted  time.Time
 	FirstStart time.Time
 	LastStart  time.Time
-	// LastCompleted, LastScored and LastListed are those of the item that was listed
-	// last before the end.
+	// LastCompleted, LastScored and LastListed are the times of the last item that got
+	// its result in the log before the end of the job.
 	LastCompleted time.Time
 	LastScored    time.Time
 	LastListed    time.Time
 	// Ended is when the trainer ended the job.
 	Ended time.Time
-	// Starts counts runs, Listed results.
+	// Starts is the number of runs, Listed the number of results.
 	Starts int
 	Listed int
-	// Last is the item that was listed last, Events its length and Sampler where its
-	// text ended.
-	Last    string
-	Events  int
-	Sampler string
-	// Submit is how long the node took to keep the job, Wanted the number of groups that
-	// the trainer waits for, 0 if no line tells.
-	Submit time.Duration
-	Wanted int
-	// Chain splits the time of a step that ended, nil for others.
-	Chain *Chain
+	// LastItem is the last item that got a result, LastItemEvents the length of its
+	// text and LastItemSampler the sampler that completed it.
+	LastItem        string
+	LastItemEvents  int
+	LastItemSampler string
+	// SubmitDuration is the time that the node took to store the job. WantedGroups is the
+	// number of groups that the trainer waits for, 0 if no line shows it.
+	SubmitDuration time.Duration
+	WantedGroups   int
+	// CriticalPath splits the duration of a step that has ended; nil for other steps.
+	CriticalPath *CriticalPath
 
-	decider     decider
-	listedItems map[string]struct{}
+	decidingResult decidingResult
+	listedItems    map[string]struct{}
 }
 
-// Steps returns the batch jobs that lines tell of, by model and submission.
+// Steps returns the batch jobs whose submission the lines show, sorted by model and
+// submission time.
 func Steps(lines []Line) []Step {
 	byJob := make(map[string]*Step)
 	for _, line := range lines {
-		id := line.Fields.Text("job_id")
+		id := line.Fields.String("job_id")
 		if id == "" {
 			continue
 		}
@@ -59,29 +60,29 @@
 			step = &Step{JobID: id}
 			byJob[id] = step
 		}
-		step.take(line)
+		step.record(line)
 	}
 	var steps []Step
 	for _, step := range byJob {
-		if !step.Asked.IsZero() {
+		if !step.Submitted.IsZero() {
 			steps = append(steps, *step)
 		}
 	}
 	slices.SortFunc(steps, func(a, b Step) int {
-		return cmp.Or(cmp.Compare(a.Model, b.Model), a.Asked.Compare(b.Asked), cmp.Compare(a.JobID, b.JobID))
+		return cmp.Or(cmp.Compare(a.Model, b.Model), a.Submitted.Compare(b.Submitted), cmp.Compare(a.JobID, b.JobID))
 	})
 	return steps
 }
 
-// take records one line about the job.
-func (s *Step) take(line Line) {
+// record records one line about the job.
+func (s *Step) record(line Line) {
 	switch line.Number {
 	case event.BatchSubmitted:
-		if s.Asked.IsZero() {
-			s.Asked = line.Time
+		if s.Submitted.IsZero() {
+			s.Submitted = line.Time
 		}
-		s.Model, s.Number, s.Items = line.Fields.Text("model"), line.Fields.Count("step"), line.Fields.Count("items")
-		s.Wanted, s.Submit = line.Fields.Count("wanted_groups"), milliseconds(line.Fields, "took_ms")
+		s.Model, s.Number, s.Items = line.Fields.String("model"), line.Fields.Int("step"), line.Fields.Int("items")
+		s.WantedGroups, s.SubmitDuration = line.Fields.Int("wanted_groups"), durationField(line.Fields, "took_ms")
 	case event.ItemStarted:
 		if s.FirstStart.IsZero() {
 			s.FirstStart = line.Time
@@ -90,61 +91,62 @@
 		s.Starts++
 	case event.ItemListed:
 		if s.Ended.IsZero() {
-			s.listed(line)
+			s.recordResult(line)
 		}
 	case event.BatchEnded:
 		if s.Ended.IsZero() {
 			s.Ended = line.Time
-			if s.decider.found {
-				split := s.chain(s.decider.line)
-				s.Chain = &split
+			if s.decidingResult.found {
+				path := s.criticalPath(s.decidingResult.line)
+				s.CriticalPath = &path
 			}
 		}
 	}
 }
 
-func (s *Step) listed(line Line) {
-	item := line.Fields.Text("item_id")
+func (s *Step) recordResult(line Line) {
+	item := line.Fields.String("item_id")
 	if s.listedItems == nil {
 		s.listedItems = make(map[string]struct{})
 	}
-	if _, again := s.listedItems[item]; again {
-		// A former executor that is back in touch reads the same results.
+	if _, listed := s.listedItems[item]; listed {
+		// A former executor that regains contact reads the same results again.
 		return
 	}
 	s.listedItems[item] = struct{}{}
 	s.Listed++
-	s.decider.take(line, s.Wanted)
+	s.decidingResult.record(line, s.WantedGroups)
 	s.LastListed = line.Time
-	s.LastCompleted = ago(line, completedField(line))
-	s.LastScored = ago(line, "scored_ms_ago")
-	s.Last, s.Events, s.Sampler = item, line.Fields.Count("events"), line.Fields.Text("sampler")
+	s.LastCompleted = timeBefore(line, completedField(line))
+	s.LastScored = timeBefore(line, "scored_ms_ago")
+	s.LastItem, s.LastItemEvents, s.LastItemSampler = item, line.Fields.Int("events"), line.Fields.String("sampler")
 }
 
-// completedField is the name under which a line tells when the text was complete.
-// Releases before December 2026 had another.
+// completedField returns the name of the field that holds the time at which the text was
+// complete. Earlier releases wrote it under another name.
 func completedField(line Line) string {
 	const current, former = "completed_ms_ago", "whole_ms_ago"
-	if _, old := line.Fields[former]; old {
+	if _, isFormer := line.Fields[former]; isFormer {
 		return former
 	}
 	return current
 }
 
-// ago returns the moment that a line tells as milliseconds before it, the zero time
-// if it does not know.
-func ago(line Line, field string) time.Time {
-	passed := line.Fields.Count(field)
-	if passed < 0 {
+// timeBefore returns the time that a field of a line gives in milliseconds before the
+// line's own time, zero if the field is negative, which stands for unknown.
+func timeBefore(line Line, field string) time.Time {
+	elapsed := line.Fields.Int(field)
+	if elapsed < 0 {
 		return time.Time{}
 	}
-	return line.Time.Add(-time.Duration(passed) * time.Millisecond)
+	return line.Time.Add(-time.Duration(elapsed) * time.Millisecond)
 }
 
-// After returns how long after the submission a moment was, -1 if it is not known.
-func (s *Step) After(moment time.Time) time.Duration {
+// SinceSubmission returns the time from the submission to a moment, -1 ns if the moment
+// is zero.
+func (s *Step) SinceSubmission(moment time.Time) time.Duration {
 	if moment.IsZero() {
 		return -1
 	}
-	return moment.Sub(s.Asked)
+	return moment.Sub(s.Submitted)
 }
--- a/internal/explain/steps_test.go
+++ b/internal/explain/steps_test.go
@@ -10,16 +10,16 @@
 	"github.com/pathbend/pathbend/internal/event"
 )
 
-func TestStepIsToldFromItsLines(t *testing.T) {
+func TestStepsComputesTimesFromLines(t *testing.T) {
 	for _, completed := range []string{"completed_ms_ago", "whole_ms_ago"} {
-		stepIsTold(t, completed)
+		testStepTimes(t, completed)
 	}
 }
 
-// stepIsTold reads lines that name the moment of the complete text in one way.
-func stepIsTold(t *testing.T, completed string) {
+// testStepTimes reads lines that hold the completion time of the text in the given field.
+func testStepTimes(t *testing.T, completed string) {
 	t.Helper()
-	var l log
+	var l logBuilder
 	l.add(100, "a", event.BatchSubmitted, `"job_id":"j","model":"m","step":3,"items":2`)
 	l.add(150, "b", event.ItemStarted, `"job_id":"j","item_id":"x"`)
 	l.add(350, "b", event.ItemStarted, `"job_id":"j","item_id":"y"`)
@@ -31,22 +31,22 @@
 	lines, _, err := Read(strings.NewReader(l.text.String()))
 	require.NoError(t, err)
 	steps := Steps(lines)
-	require.Len(t, steps, 1, "a job whose submission no line shows is left out")
+	require.Len(t, steps, 1, "a job whose submission no line shows must be omitted")
 	step := steps[0]
 	require.Equal(t, 3, step.Number)
-	require.Equal(t, 50*time.Millisecond, step.After(step.FirstStart))
-	require.Equal(t, 250*time.Millisecond, step.After(step.LastStart))
-	require.Equal(t, 1810*time.Millisecond, step.After(step.LastCompleted))
-	require.Negative(t, step.After(step.LastScored))
-	require.Equal(t, 1900*time.Millisecond, step.After(step.LastListed))
-	require.Equal(t, 2200*time.Millisecond, step.After(step.Ended))
-	require.Equal(t, []any{2, 2, "y", 9, "t"}, []any{step.Starts, step.Listed, step.Last, step.Events, step.Sampler})
+	require.Equal(t, 50*time.Millisecond, step.SinceSubmission(step.FirstStart))
+	require.Equal(t, 250*time.Millisecond, step.SinceSubmission(step.LastStart))
+	require.Equal(t, 1810*time.Millisecond, step.SinceSubmission(step.LastCompleted))
+	require.Negative(t, step.SinceSubmission(step.LastScored))
+	require.Equal(t, 1900*time.Millisecond, step.SinceSubmission(step.LastListed))
+	require.Equal(t, 2200*time.Millisecond, step.SinceSubmission(step.Ended))
+	require.Equal(t, []any{2, 2, "y", 9, "t"}, []any{step.Starts, step.Listed, step.LastItem, step.LastItemEvents, step.LastItemSampler})
 }
 
-// splitStep is a step of two groups, of which the trainer waits for one.
-func splitStep(t *testing.T) Step {
+// endedStep returns a step with two groups, of which the trainer waits for one.
+func endedStep(t *testing.T) Step {
 	t.Helper()
-	var l log
+	var l logBuilder
 	l.add(100, "a", event.BatchSubmitted, `"job_id":"j","model":"m","step":3,"items":3,"wanted_groups":1,"took_ms":40`)
 	l.add(150, "b", event.ItemStarted, `"job_id":"j","item_id":"x"`)
 	l.add(700, "b", event.ItemListed, `"job_id":"j","item_id":"x","group":"g","group_open":1,"started_ms_ago":550,"completed_ms_ago":50,"scored_ms_ago":20`)
@@ -62,23 +62,23 @@
 	return steps[0]
 }
 
-func TestStepIsSplitAlongTheItemThatMadeTheLastWantedGroupWhole(t *testing.T) {
-	step := splitStep(t)
-	require.Equal(t, 3, step.Listed, "what a former executor reads again counts once")
-	require.NotNil(t, step.Chain)
-	require.Equal(t, Chain{
-		Item: "y", Events: 9, Expected: 400, Runs: 2, Submit: 40 * time.Millisecond, Weights: 50 * time.Millisecond,
+func TestCriticalPathFollowsItemThatCompletedLastWantedGroup(t *testing.T) {
+	step := endedStep(t)
+	require.Equal(t, 3, step.Listed, "a result that a former executor reads again must count once")
+	require.NotNil(t, step.CriticalPath)
+	require.Equal(t, CriticalPath{
+		ItemID: "y", Events: 9, ExpectedTokens: 400, Runs: 2, Submit: 40 * time.Millisecond, Weights: 50 * time.Millisecond,
 		Queue: 50 * time.Millisecond, Prompt: 30 * time.Millisecond, Paused: 100 * time.Millisecond, Stalled: 200 * time.Millisecond,
 		Tokens: 1380 * time.Millisecond, Reward: 30 * time.Millisecond, List: 60 * time.Millisecond, Read: 600 * time.Millisecond,
-	}, *step.Chain)
-	require.Equal(t, step.Submit+step.After(step.Ended), step.Chain.Total(), "the parts add up")
+	}, *step.CriticalPath)
+	require.Equal(t, step.SubmitDuration+step.SinceSubmission(step.Ended), step.CriticalPath.Total(), "the phases must add up to the duration of the step")
 }
 
-func TestMeansLeaveOutStepsThatDidNotEnd(t *testing.T) {
-	step := splitStep(t)
-	mean, ended := Means([]Step{step, {}, step})
+func TestMeanCriticalPathOmitsStepsThatDidNotEnd(t *testing.T) {
+	step := endedStep(t)
+	mean, ended := MeanCriticalPath([]Step{step, {}, step})
 	require.Equal(t, 2, ended)
-	require.Equal(t, step.Chain.Total(), mean.Total())
-	_, ended = Means([]Step{{}})
+	require.Equal(t, step.CriticalPath.Total(), mean.Total())
+	_, ended = MeanCriticalPath([]Step{{}})
 	require.Zero(t, ended)
 }
--- a/internal/explain/story.go
+++ b/internal/explain/trace.go
@@ -7,12 +7,12 @@
 	"github.com/pathbend/pathbend/internal/event"
 )
 
-// Kind is what an id names.
+// Kind is the kind of object that an id identifies.
 type Kind int
 
-// Kinds of ids.
+// Kinds of objects.
 const (
-	// Unknown means that no line names the id.
+	// Unknown means that no line contains the id.
 	Unknown Kind = iota
 	Request
 	Job
@@ -25,20 +25,20 @@
 // String implements fmt.Stringer.
 func (k Kind) String() string { return kindNames[k] }
 
-// Story is what the lines tell of one id.
-type Story struct {
+// Trace holds what log lines show about one id.
+type Trace struct {
 	ID   string
 	Kind Kind
-	// Lines name the id, in time order.
+	// Lines are the lines that contain the id, in time order.
 	Lines []Line
-	// Around tells what the nodes involved believed meanwhile.
-	Around []Line
-	// Outcome says how it ended, Cause why, as far as the lines tell.
+	// Context holds lines about the state of the nodes involved in the same period.
+	Context []Line
+	// Outcome states how it ended, and Cause why, as far as the lines show it.
 	Outcome string
 	Cause   string
 }
 
-// idFields are the attributes that name an id, with what it names.
+// idFields lists the attributes that hold ids, with the kinds of object that they identify.
 var idFields = []struct {
 	field string
 	kind  Kind
@@ -46,8 +46,8 @@
 	{"request_id", Request}, {"item_id", Item}, {"reward_id", RewardCall}, {"job_id", Job},
 }
 
-// beliefs are the events that tell what a node holds to be true.
-var beliefs = []event.Number{
+// contextEvents are the events that show the state of a node.
+var contextEvents = []event.Number{
 	event.NodeStarting, event.NodeReady, event.NodeDraining, event.NodeStopped, event.LogReadFailed,
 	event.LogReadRecovered, event.ExecutorStarted, event.ExecutorStopped, event.ColdWorkWaits, event.GroupContactLost,
 	event.WorkerMissing, event.WorkerLost,
@@ -57,56 +57,58 @@
 }
 
 const (
-	// before and after bound what is told around a story.
-	before = 3 * time.Second
-	after  = time.Second
+	// contextBefore and contextAfter extend the period of a trace's context beyond its
+	// first and last line.
+	contextBefore = 3 * time.Second
+	contextAfter  = time.Second
 )
 
-// Tell collects the story of an id from the lines of all nodes.
-func Tell(id string, lines []Line) Story {
+// NewTrace builds the trace of an id from the log lines of all nodes. The lines may be
+// in any order.
+func NewTrace(id string, lines []Line) Trace {
 	lines = slices.Clone(lines)
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
-	story := Story{ID: id}
+	trace := Trace{ID: id}
 	for _, line := range lines {
 		if kind := kindOf(line, id); kind != Unknown {
-			if story.Kind == Unknown || kind == Job {
-				story.Kind = kind
+			if trace.Kind == Unknown || kind == Job {
+				trace.Kind = kind
 			}
-			story.Lines = append(story.Lines, line)
+			trace.Lines = append(trace.Lines, line)
 		}
 	}
-	if len(story.Lines) > 0 {
-		story.Around = around(story.Lines, lines)
+	if len(trace.Lines) > 0 {
+		trace.Context = contextLines(trace.Lines, lines)
 	}
-	story.Outcome, story.Cause = judge(story, lines)
-	return story
+	trace.Outcome, trace.Cause = diagnose(trace, lines)
+	return trace
 }
 
 func kindOf(line Line, id string) Kind {
 	for _, candidate := range idFields {
-		if line.Fields.Text(candidate.field) == id {
+		if line.Fields.String(candidate.field) == id {
 			return candidate.kind
 		}
 	}
 	return Unknown
 }
 
-// around returns the beliefs of the nodes that wrote the story, from a little
-// before its first line to a little after its last.
-func around(story, lines []Line) []Line {
-	from, to := story[0].Time.Add(-before), story[len(story)-1].Time.Add(after)
+// contextLines returns the context events of the nodes that wrote lines of a trace, from
+// contextBefore its first line to contextAfter its last.
+func contextLines(trace, lines []Line) []Line {
+	from, to := trace[0].Time.Add(-contextBefore), trace[len(trace)-1].Time.Add(contextAfter)
 	var found []Line
 	for _, line := range lines {
-		if line.Time.Before(from) || line.Time.After(to) || !slices.Contains(beliefs, line.Number) {
+		if line.Time.Before(from) || line.Time.After(to) || !slices.Contains(contextEvents, line.Number) {
 			continue
 		}
-		if wrote(story, line.Node) {
+		if hasLineOf(trace, line.Node) {
 			found = append(found, line)
 		}
 	}
 	return found
 }
 
-func wrote(lines []Line, node string) bool {
+func hasLineOf(lines []Line, node string) bool {
 	return slices.ContainsFunc(lines, func(line Line) bool { return line.Node == node })
 }
--- a/internal/explain/verdict.go
+++ b/internal/explain/verdict.go
@@ -11,106 +11,108 @@
 	"github.com/pathbend/pathbend/internal/result"
 )
 
-// judge says how a story ended and why.
-func judge(story Story, all []Line) (outcome, cause string) {
-	switch story.Kind {
+// diagnose returns the outcome of a trace and its cause. all holds the lines of all
+// nodes in time order.
+func diagnose(trace Trace, all []Line) (outcome, cause string) {
+	switch trace.Kind {
 	case Request, RewardCall:
-		return judgeRequest(story, all)
+		return diagnoseRequest(trace, all)
 	case Job:
-		return judgeJob(story, all)
+		return diagnoseJob(trace, all)
 	case Item:
-		return judgeItem(story, all)
+		return diagnoseItem(trace, all)
 	default:
-		return "no line names it", judgeSilence(all)
+		return "no log line contains this id", noLinesCause(all)
 	}
 }
 
-func judgeSilence(all []Line) string {
-	if dropped := count(all, event.LinesDropped); dropped > 0 {
-		return fmt.Sprintf("nodes dropped lines %d times (lines_dropped): its lines may be among them", dropped)
+func noLinesCause(all []Line) string {
+	if dropped := countEvents(all, event.LinesDropped); dropped > 0 {
+		return fmt.Sprintf("nodes dropped log lines %d times (lines_dropped); lines with this id may be among them", dropped)
 	}
-	return "it reached none of the nodes whose logs were given: look at the entry, or give the logs of more nodes"
+	return "it reached none of the nodes whose logs were given: check the load balancer, or pass the logs of more nodes"
 }
 
-func judgeRequest(story Story, all []Line) (outcome, cause string) {
-	last, ok := final(story.Lines, event.RequestServed, event.RequestRefused, event.RequestGivenUp)
+func diagnoseRequest(trace Trace, all []Line) (outcome, cause string) {
+	last, ok := lastOf(trace.Lines, event.RequestServed, event.RequestRefused, event.RequestGivenUp)
 	if !ok {
-		return "no node finished it", unfinished(story, all)
+		return "no node finished it", unfinishedCause(trace, all)
 	}
-	failed := count(story.Lines, event.AttemptFailed)
+	failed := countEvents(trace.Lines, event.AttemptFailed)
 	switch last.Number {
 	case event.RequestServed:
 		outcome = fmt.Sprintf("answered with status %d by %s on %s after %d attempt(s) in %d ms",
-			last.Fields.Count("status"), last.Fields.Text("back_end"), last.Node, last.Fields.Count("attempts"), last.Fields.Count("took_ms"))
+			last.Fields.Int("status"), last.Fields.String("back_end"), last.Node, last.Fields.Int("attempts"), last.Fields.Int("took_ms"))
 		if failed == 0 {
-			return outcome, "nothing failed"
+			return outcome, "no attempt failed"
 		}
-		return outcome, "attempts failed before: " + endings(story.Lines)
+		return outcome, "earlier attempts failed: " + failedAttempts(trace.Lines)
 	case event.RequestRefused:
-		return fmt.Sprintf("refused on %s: %s", last.Node, meaning(last)), refusal(last, all)
+		return fmt.Sprintf("refused on %s: %s", last.Node, describeCode(last)), refusalCause(last, all)
 	default:
-		outcome = fmt.Sprintf("given up on %s after %d attempt(s): %s", last.Node, last.Fields.Count("attempts"), meaning(last))
-		out := evacuations(story.Lines, all)
-		if result.Code(last.Fields.Count("code")) == result.ZoneEvacuated && out != "" {
-			return outcome, out
+		outcome = fmt.Sprintf("given up on %s after %d attempt(s): %s", last.Node, last.Fields.Int("attempts"), describeCode(last))
+		zones := evacuationCause(trace.Lines, all)
+		if result.Code(last.Fields.Int("code")) == result.ZoneEvacuated && zones != "" {
+			return outcome, zones
 		}
-		if still := standstill(last, all); still != "" {
-			return outcome, still
+		if silence := silenceCause(last, all); silence != "" {
+			return outcome, silence
 		}
-		if region := outsideRegions(last); region != "" && failed == 0 {
+		if region := regionCause(last); region != "" && failed == 0 {
 			return outcome, region
 		}
 		if failed > 0 {
-			return outcome, withReason("its attempts failed: "+endings(story.Lines), out)
+			return outcome, joinCauses("its attempts failed: "+failedAttempts(trace.Lines), zones)
 		}
-		return outcome, withReason(last.Fields.Text("detail"), out)
+		return outcome, joinCauses(last.Fields.String("detail"), zones)
 	}
 }
 
-// withReason adds what else may have led to an end, if there is anything.
-func withReason(cause, reason string) string {
-	if reason == "" {
+// joinCauses appends a further cause, which may be empty.
+func joinCauses(cause, further string) string {
+	if further == "" {
 		return cause
 	}
-	return cause + "; " + reason
+	return cause + "; " + further
 }
 
-// meaning spells the result code of a line out.
-func meaning(line Line) string {
-	code := result.Code(line.Fields.Count("code"))
+// describeCode returns the number, name and meaning of the result code of a line.
+func describeCode(line Line) string {
+	code := result.Code(line.Fields.Int("code"))
 	definition := result.Lookup(code)
 	return fmt.Sprintf("%d %s (%s)", code, definition.Name, strings.TrimSuffix(definition.Meaning, "."))
 }
 
-// refusal says why a node refused a request before any attempt.
-func refusal(line Line, all []Line) string {
-	if region := outsideRegions(line); region != "" {
+// refusalCause returns why a node refused a request before any attempt.
+func refusalCause(line Line, all []Line) string {
+	if region := regionCause(line); region != "" {
 		return region
 	}
-	if started, ok := lastBefore(all, line, event.NodeStarting); ok && line.Time.Sub(started.Time) < before {
-		return fmt.Sprintf("the node had started %d ms before", line.Time.Sub(started.Time).Milliseconds())
+	if started, ok := lastBefore(all, line, event.NodeStarting); ok && line.Time.Sub(started.Time) < contextBefore {
+		return fmt.Sprintf("the node had started %d ms earlier", line.Time.Sub(started.Time).Milliseconds())
 	}
-	if lost := outOfLog(line, all); lost != "" {
-		return lost
+	if cause := logUnreachableCause(line, all); cause != "" {
+		return cause
 	}
-	if detail := line.Fields.Text("detail"); detail != "" {
+	if detail := line.Fields.String("detail"); detail != "" {
 		return detail
 	}
 	return "see the result code"
 }
 
-// outsideRegions tells that the regions of a request were the reason, empty if they were
-// not.
-func outsideRegions(line Line) string {
-	if result.Code(line.Fields.Count("code")) != result.RegionUnavailable {
+// regionCause names the regions that a request is bound to if these caused the refusal,
+// empty if they did not.
+func regionCause(line Line) string {
+	if result.Code(line.Fields.Int("code")) != result.RegionUnavailable {
 		return ""
 	}
-	return "its route and tenant are bound to regions: " + line.Fields.Text("detail")
+	return "its route and tenant are bound to regions: " + line.Fields.String("detail")
 }
 
-// standstill recognises a node that wrote nothing for long before a line.
-func standstill(line Line, all []Line) string {
-	const long = 2 * time.Second
+// silenceCause reports a gap in the lines of a node before the given line, empty if there
+// is none. Lines within burst before it are taken as written with it.
+func silenceCause(line Line, all []Line) string {
+	const minGap = 2 * time.Second
 	const burst = 50 * time.Millisecond
 	previous, ok := Line{}, false
 	for _, other := range all {
@@ -118,85 +120,88 @@
 			previous, ok = other, true
 		}
 	}
-	if gap := line.Time.Sub(previous.Time); ok && gap > long {
-		return fmt.Sprintf("the node wrote nothing for %.1f s before: it stood still, or had no work", gap.Seconds())
+	if gap := line.Time.Sub(previous.Time); ok && gap > minGap {
+		return fmt.Sprintf("the node wrote no log line for the previous %.1f s: its process was suspended, or it had no work", gap.Seconds())
 	}
 	return ""
 }
 
-// outOfLog tells whether a node was cut off from the log, and whether others were.
-func outOfLog(line Line, all []Line) string {
-	var cut []string
+// logUnreachableCause reports whether the node of a line could not reach the log service,
+// and which others could not; empty if it could.
+func logUnreachableCause(line Line, all []Line) string {
+	var unreachable []string
 	for _, node := range nodesOf(all) {
-		if lostLog(node, line.Time, all) {
-			cut = append(cut, node)
+		if logUnreachable(node, line.Time, all) {
+			unreachable = append(unreachable, node)
 		}
 	}
-	if !slices.Contains(cut, line.Node) {
+	if !slices.Contains(unreachable, line.Node) {
 		return ""
 	}
-	if len(cut) == len(nodesOf(all)) {
-		return "the log service was out of reach for every node"
+	if len(unreachable) == len(nodesOf(all)) {
+		return "the log service was unreachable for every node"
 	}
-	return fmt.Sprintf("the log service was out of reach for %s, not for all nodes", strings.Join(cut, ", "))
+	return fmt.Sprintf("the log service was unreachable for %s, but not for all nodes", strings.Join(unreachable, ", "))
 }
 
-// lostLog reports whether a node could not reach the log at a time, or said so a
-// moment before or after.
-func lostLog(node string, at time.Time, all []Line) bool {
-	lost := false
+// logUnreachable reports whether a node could not reach the log service at a time. Lines
+// up to contextAfter later count too, and so does a loss that ended less than contextAfter
+// before.
+func logUnreachable(node string, timestamp time.Time, all []Line) bool {
+	isUnreachable := false
 	for _, line := range all {
-		if line.Node != node || line.Time.After(at.Add(after)) {
+		if line.Node != node || line.Time.After(timestamp.Add(contextAfter)) {
 			continue
 		}
 		switch line.Number {
 		case event.LogReadFailed, event.GroupContactLost:
-			lost = true
+			isUnreachable = true
 		case event.LogReadRecovered, event.GroupContactRegained, event.NodeStarting:
-			if line.Time.Before(at.Add(-after)) {
-				lost = false
+			if line.Time.Before(timestamp.Add(-contextAfter)) {
+				isUnreachable = false
 			}
 		}
 	}
-	return lost
+	return isUnreachable
 }
 
-func judgeJob(story Story, all []Line) (outcome, cause string) {
-	if ended, ok := final(story.Lines, event.BatchEnded); ok {
-		outcome = fmt.Sprintf("ended by its trainer with %d of %d items listed", ended.Fields.Count("listed"), ended.Fields.Count("items"))
-		return outcome, jobTrouble(story, all)
+func diagnoseJob(trace Trace, all []Line) (outcome, cause string) {
+	if ended, ok := lastOf(trace.Lines, event.BatchEnded); ok {
+		outcome = fmt.Sprintf("ended by its trainer, %d of %d items have a result", ended.Fields.Int("listed"), ended.Fields.Int("items"))
+		return outcome, jobCause(trace, all)
 	}
-	if _, kept := final(story.Lines, event.BatchSubmitted); kept {
-		return "kept, not ended in these logs", jobTrouble(story, all)
+	if _, accepted := lastOf(trace.Lines, event.BatchSubmitted); accepted {
+		return "accepted, its end is not in these logs", jobCause(trace, all)
 	}
-	refused, ok := final(story.Lines, event.BatchRefused)
+	refused, ok := lastOf(trace.Lines, event.BatchRefused)
 	if !ok {
-		return "neither kept nor refused in these logs", jobTrouble(story, all)
+		return "neither accepted nor refused in these logs", jobCause(trace, all)
 	}
-	outcome = fmt.Sprintf("refused on %s after %d ms", refused.Node, refused.Fields.Count("took_ms"))
-	if lost := outOfLog(refused, all); lost != "" {
-		return outcome, lost
+	outcome = fmt.Sprintf("refused on %s after %d ms", refused.Node, refused.Fields.Int("took_ms"))
+	if logCause := logUnreachableCause(refused, all); logCause != "" {
+		return outcome, logCause
 	}
-	return outcome, refused.Fields.Text("detail")
+	return outcome, refused.Fields.String("detail")
 }
 
-func jobTrouble(story Story, all []Line) string {
-	var told []string
-	if refused, ok := final(story.Lines, event.BatchRefused); ok {
-		told = append(told, "a submission was refused: "+cmp.Or(outOfLog(refused, all), refused.Fields.Text("detail")))
+// jobCause lists all events that may have delayed or failed a job or item.
+func jobCause(trace Trace, all []Line) string {
+	var causes []string
+	if refused, ok := lastOf(trace.Lines, event.BatchRefused); ok {
+		causes = append(causes, "a submission was refused: "+cmp.Or(logUnreachableCause(refused, all), refused.Fields.String("detail")))
 	}
-	executors, cold := count(story.Around, event.ExecutorStarted), count(story.Around, event.ColdWorkWaits)
-	if executors > 0 {
-		told = append(told, fmt.Sprintf("the jobs passed to another executor %d time(s)", executors))
+	executorStarts, coldSeconds := countEvents(trace.Context, event.ExecutorStarted), countEvents(trace.Context, event.ColdWorkWaits)
+	if executorStarts > 0 {
+		causes = append(causes, fmt.Sprintf("another node took over the execution of the jobs %d time(s)", executorStarts))
 	}
-	if missing := count(story.Around, event.WorkerMissing); missing > 0 {
-		told = append(told, fmt.Sprintf("no node in the regions of bound jobs took calls, %d time(s)", missing))
+	if missing := countEvents(trace.Context, event.WorkerMissing); missing > 0 {
+		causes = append(causes, fmt.Sprintf("no node in the regions of region-bound jobs accepted calls, %d time(s)", missing))
 	}
-	if lost := count(story.Around, event.WorkerLost); lost > 0 {
-		told = append(told, fmt.Sprintf("nodes that carry runs for the regions of bound jobs were lost %d time(s)", lost))
+	if lost := countEvents(trace.Context, event.WorkerLost); lost > 0 {
+		causes = append(causes, fmt.Sprintf("workers in the regions of region-bound jobs were lost %d time(s)", lost))
 	}
-	if cold > 0 {
-		told = append(told, fmt.Sprintf("items waited in %d second(s) for samplers that are cold, or may be, and had all that they may get", cold))
+	if coldSeconds > 0 {
+		causes = append(causes, fmt.Sprintf("items waited in %d second(s) for samplers that were or may have been cold and were at their request limit", coldSeconds))
 	}
 	for _, counted := range []struct {
 		number event.Number
@@ -206,63 +211,64 @@
 		{event.RewardFailed, "reward calls failed"}, {event.ItemDead, "items given up"},
 		{event.BatchReadRefused, "reads refused"}, {event.JobUnread, "times its items could not be read"},
 	} {
-		if number := count(story.Lines, counted.number); number > 0 {
-			told = append(told, fmt.Sprintf("%d %s", number, counted.text))
+		if number := countEvents(trace.Lines, counted.number); number > 0 {
+			causes = append(causes, fmt.Sprintf("%d %s", number, counted.text))
 		}
 	}
-	if out := evacuations(story.Lines, all); out != "" {
-		told = append(told, out)
+	if zones := evacuationCause(trace.Lines, all); zones != "" {
+		causes = append(causes, zones)
 	}
-	if len(told) == 0 {
-		return "no trouble in its lines"
+	if len(causes) == 0 {
+		return "no failure in its log lines"
 	}
-	return strings.Join(told, "; ")
+	return strings.Join(causes, "; ")
 }
 
-func judgeItem(story Story, all []Line) (outcome, cause string) {
-	runs := count(story.Lines, event.ItemStarted)
-	trouble := fmt.Sprintf("%d run(s); %s", runs, jobTrouble(story, all))
-	if dead, ok := final(story.Lines, event.ItemDead); ok {
-		reason := cmp.Or(dead.Fields.Text("detail"), "its runs failed")
-		return fmt.Sprintf("given up on %s, %d of its runs failed", dead.Node, dead.Fields.Count("failures")), reason + "; " + trouble
+func diagnoseItem(trace Trace, all []Line) (outcome, cause string) {
+	runs := countEvents(trace.Lines, event.ItemStarted)
+	details := fmt.Sprintf("%d run(s); %s", runs, jobCause(trace, all))
+	if dead, ok := lastOf(trace.Lines, event.ItemDead); ok {
+		reason := cmp.Or(dead.Fields.String("detail"), "its runs failed")
+		return fmt.Sprintf("given up on %s, %d of its runs failed", dead.Node, dead.Fields.Int("failures")), reason + "; " + details
 	}
-	if listed, ok := final(story.Lines, event.ItemListed); ok {
-		return "listed, read by " + listed.Node, trouble
+	if listed, ok := lastOf(trace.Lines, event.ItemListed); ok {
+		return "its result is in the log, read by " + listed.Node, details
 	}
-	return "not given up, and not known to be listed (no item_listed line in these logs)", trouble + "; " + unfinished(story, all)
+	return "not given up, and no result known (no item_listed line in these logs)", details + "; " + unfinishedCause(trace, all)
 }
 
-// unfinished says what became of the node that had a request or item last.
-func unfinished(story Story, all []Line) string {
-	last := story.Lines[len(story.Lines)-1]
+// unfinishedCause returns what happened to the node that wrote the last line of a request
+// or item.
+func unfinishedCause(trace Trace, all []Line) string {
+	last := trace.Lines[len(trace.Lines)-1]
 	for _, line := range all {
 		if line.Node != last.Node || !line.Time.After(last.Time) {
 			continue
 		}
 		switch line.Number {
 		case event.NodeStarting:
-			return fmt.Sprintf("%s started again %d ms after its last line: the process was lost", last.Node, line.Time.Sub(last.Time).Milliseconds())
+			return fmt.Sprintf("%s restarted %d ms after its last line: the former process did not finish it", last.Node, line.Time.Sub(last.Time).Milliseconds())
 		case event.ExecutorStopped:
-			return fmt.Sprintf("%s stopped executing %d ms after its last line", last.Node, line.Time.Sub(last.Time).Milliseconds())
+			return fmt.Sprintf("%s stopped executing batch jobs %d ms after its last line", last.Node, line.Time.Sub(last.Time).Milliseconds())
 		}
 	}
 	return fmt.Sprintf("its last line is %s on %s", last.Name, last.Node)
 }
 
-// endings lists the failed attempts of a request.
-func endings(lines []Line) string {
-	var told []string
+// failedAttempts lists the failed attempts of a request.
+func failedAttempts(lines []Line) string {
+	var attempts []string
 	for _, line := range lines {
 		if line.Number == event.AttemptFailed {
-			told = append(told, fmt.Sprintf("%s at %s after %d ms (%s)", line.Fields.Text("ending"), line.Fields.Text("back_end"),
-				line.Fields.Count("took_ms"), line.Fields.Text("detail")))
+			attempts = append(attempts, fmt.Sprintf("%s at %s after %d ms (%s)", line.Fields.String("ending"), line.Fields.String("back_end"),
+				line.Fields.Int("took_ms"), line.Fields.String("detail")))
 		}
 	}
-	return strings.Join(told, "; ")
+	return strings.Join(attempts, "; ")
 }
 
-// final returns the last line of one of the events.
-func final(lines []Line, numbers ...event.Number) (Line, bool) {
+// lastOf returns the last line with one of the events.
+func lastOf(lines []Line, numbers ...event.Number) (Line, bool) {
 	for _, line := range slices.Backward(lines) {
 		if slices.Contains(numbers, line.Number) {
 			return line, true
@@ -271,7 +277,8 @@
 	return Line{}, false
 }
 
-// lastBefore returns the last line of an event that the same node wrote before.
+// lastBefore returns the last line of an event that the node of the given line wrote
+// before it, or at the same time.
 func lastBefore(all []Line, line Line, number event.Number) (Line, bool) {
 	found, ok := Line{}, false
 	for _, other := range all {
@@ -282,7 +289,7 @@
 	return found, ok
 }
 
-func count(lines []Line, number event.Number) int {
+func countEvents(lines []Line, number event.Number) int {
 	counted := 0
 	for _, line := range lines {
 		if line.Number == number {
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,8 +1,9 @@
-// Package operator reads and publishes configuration on the platform's log on
-// behalf of an operator at a command line.
+// Package operator reads and publishes configuration revisions in the control stream of
+// the platform's log, for the command line.
 //
-// It folds the control stream just as nodes do, so that the outcome of a publish
-// is known from the log itself: also when the answer to the append was lost.
+// It applies the records of the control stream just as nodes do. The outcome of a
+// publish therefore follows from the log itself, even if the response to the append was
+// lost.
 package operator
 
 import (
@@ -19,30 +20,30 @@
 	"github.com/pathbend/pathbend/internal/state"
 )
 
-// Log is the platform's log.
+// Log is access to the platform's log.
 type Log interface {
 	logstore.Reader
 	logstore.Appender
 }
 
-// readLimit is the number of records read at once.
-const readLimit = 1000
+// maxRecordsPerRead is the maximum number of records in one read of the log.
+const maxRecordsPerRead = 1000
 
-// Load folds the control stream up to its end.
+// Load returns the state of the control stream at its current end.
 func Load(ctx context.Context, log logstore.Reader) (*state.Machine, error) {
 	machine := state.NewMachine()
-	_, err := foldTo(ctx, log, machine, 0)
+	_, err := applyUntil(ctx, log, machine, 0)
 	return machine, err
 }
 
-// foldTo applies records until the end of the stream, or until an offset below
-// through was applied. It returns the outcome of the last record before
-// through.
-func foldTo(ctx context.Context, log logstore.Reader, machine *state.Machine, through uint64) (state.Outcome, error) {
+// applyUntil applies records to machine until the record before the offset end, or the
+// last one of the stream. It returns the outcome of the last record that it applied. If
+// end is 0, it applies the whole stream.
+func applyUntil(ctx context.Context, log logstore.Reader, machine *state.Machine, end uint64) (state.Outcome, error) {
 	source := control.LogSource{Reader: log}
 	var last state.Outcome
 	for {
-		update, err := source.Fetch(ctx, machine.Next(), readLimit, 0)
+		update, err := source.Fetch(ctx, machine.Next(), maxRecordsPerRead, 0)
 		if err != nil {
 			return last, err
 		}
@@ -53,7 +54,7 @@
 		}
 		for _, entry := range update.Batch.Entries {
 			outcome := machine.Apply(entry)
-			if entry.Offset+1 == through {
+			if entry.Offset+1 == end {
 				return outcome, nil
 			}
 			last = outcome
@@ -64,84 +65,90 @@
 	}
 }
 
-// Publication is a configuration to publish.
-type Publication struct {
+// PublishRequest holds a configuration to publish.
+type PublishRequest struct {
 	Document *config.Document
-	// Base is the revision that the document was made from.
-	Base    uint64
-	Author  string
-	Message string
+	// BaseRevision is the number of the revision that the document was derived from.
+	BaseRevision uint64
+	Author       string
+	Message      string
 }
 
-// Conflict tells who won a race and what the winner changed.
-type Conflict struct {
+// ConflictError reports that another revision was published first, and what differs in
+// it.
+type ConflictError struct {
+	// Winner is the current revision, and Changes the differences that lead to it.
 	Winner  state.Revision
 	Changes []config.Change
 	cause   error
 }
 
 // Error implements error.
-func (c *Conflict) Error() string { return c.cause.Error() }
+func (c *ConflictError) Error() string { return c.cause.Error() }
 
-// Unwrap returns the numbered error.
-func (c *Conflict) Unwrap() error { return c.cause }
+// Unwrap returns the error with the result code.
+func (c *ConflictError) Unwrap() error { return c.cause }
 
-// Publish appends a configuration and waits for the verdict of the log. The
-// error is a *Conflict if another publish came first. Repeating a publish whose
-// answer was lost is part of it: the record keeps its id.
-func Publish(ctx context.Context, log Log, publication Publication) (state.Revision, error) {
+// Publish appends a configuration and reads the log until the outcome is known. The error
+// is a *ConflictError if another revision was published first. An append whose response
+// was lost is retried with the same record id.
+func Publish(ctx context.Context, log Log, request PublishRequest) (state.Revision, error) {
 	machine, err := Load(ctx, log)
 	if err != nil {
 		return state.Revision{}, err
 	}
-	if err := checkBase(machine, publication); err != nil {
+	if err := checkBaseRevision(machine, request); err != nil {
 		return state.Revision{}, err
 	}
-	content, err := config.Encode(publication.Document)
+	content, err := config.Encode(request.Document)
 	if err != nil {
 		return state.Revision{}, result.Wrap(result.ConfigInvalid, err, "encode configuration")
 	}
 	offset, err := logstore.AppendRecord(ctx, log, &pathbendv1.Record{
 		Id: uuid.NewString(),
 		Body: &pathbendv1.Record_ConfigPublish{ConfigPublish: &pathbendv1.ConfigPublish{
-			BaseRevision: publication.Base, Document: content, Author: publication.Author,
-			Message: publication.Message, PublishedUnixMs: time.Now().UnixMilli(),
+			BaseRevision: request.BaseRevision, Document: content, Author: request.Author,
+			Message: request.Message, PublishedUnixMs: time.Now().UnixMilli(),
 		}},
 	})
 	if err != nil {
 		return state.Revision{}, err
 	}
 	before := machine.Revision()
-	outcome, err := foldTo(ctx, log, machine, offset+1)
+	outcome, err := applyUntil(ctx, log, machine, offset+1)
 	if err != nil {
 		return state.Revision{}, err
 	}
-	// A duplicate is an earlier append of this same record, which decided.
-	accepted := outcome.Changed == state.PartConfig || outcome.Duplicate && isOurs(machine.Revision(), publication)
+	// A duplicate means that an earlier append of the same record determined the outcome.
+	accepted := outcome.Changed == state.PartConfig || outcome.Duplicate && matchesRequest(machine.Revision(), request)
 	if accepted {
 		return machine.Revision(), nil
 	}
-	return state.Revision{}, conflictOf(outcome.Err, before, machine.Revision())
+	return state.Revision{}, newConflictError(outcome.Err, before, machine.Revision())
 }
 
-func isOurs(revision state.Revision, publication Publication) bool {
-	return revision.Number == publication.Base+1 && revision.Author == publication.Author && revision.Message == publication.Message
+// matchesRequest reports whether a revision can be the one that the request published.
+func matchesRequest(revision state.Revision, request PublishRequest) bool {
+	return revision.Number == request.BaseRevision+1 && revision.Author == request.Author && revision.Message == request.Message
 }
 
-// checkBase refuses a publish that would lose, before it is appended.
-func checkBase(machine *state.Machine, publication Publication) error {
+// checkBaseRevision returns a *ConflictError if the base revision is not the current one,
+// so that a publish that must fail is not appended.
+func checkBaseRevision(machine *state.Machine, request PublishRequest) error {
 	current := machine.Revision()
-	if current.Number == publication.Base {
+	if current.Number == request.BaseRevision {
 		return nil
 	}
-	cause := result.New(result.ConfigConflict, "revision %d by %s (%q) is in force, this change was made from revision %d",
-		current.Number, current.Author, current.Message, publication.Base)
-	return &Conflict{Winner: current, Changes: config.Diff(publication.Document, current.Document), cause: cause}
+	cause := result.New(result.ConfigConflict, "the current revision is %d by %s (%q), but this change was made from revision %d",
+		current.Number, current.Author, current.Message, request.BaseRevision)
+	return &ConflictError{Winner: current, Changes: config.Diff(request.Document, current.Document), cause: cause}
 }
 
-func conflictOf(cause error, before, winner state.Revision) error {
+// newConflictError describes the difference between the revision before the publish and
+// the winner. If cause is nil, it creates an error with the code ConfigConflict.
+func newConflictError(cause error, before, winner state.Revision) error {
 	if cause == nil {
-		cause = result.New(result.ConfigConflict, "revision %d by %s came first", winner.Number, winner.Author)
+		cause = result.New(result.ConfigConflict, "revision %d by %s was published first", winner.Number, winner.Author)
 	}
-	return &Conflict{Winner: winner, Changes: config.Diff(before.Document, winner.Document), cause: cause}
+	return &ConflictError{Winner: winner, Changes: config.Diff(before.Document, winner.Document), cause: cause}
 }
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -17,6 +17,7 @@
 	"github.com/pathbend/pathbend/internal/result"
 )
 
+// documentWith returns a configuration with one tenant of the given request rate.
 func documentWith(t *testing.T, rate string) *config.Document {
 	t.Helper()
 	content := "kind: Tenant\nname: shop\nspec:\n  capacity: {requests_per_second: " + rate + "}\n"
@@ -25,7 +26,7 @@
 	return document
 }
 
-// startLog serves a platform and returns it with a client of its log.
+// startLog starts an emulated platform and returns it with a client of its log.
 func startLog(t *testing.T) (*emulator.Platform, *logstore.Client) {
 	t.Helper()
 	platform := emulator.NewPlatform(0, 0, 1)
@@ -38,43 +39,43 @@
 	return platform, client
 }
 
-func TestLoserOfARaceLearnsWinnerAndDifference(t *testing.T) {
+func TestPublishConflictReportsWinnerAndChanges(t *testing.T) {
 	_, log := startLog(t)
 	ctx := context.Background()
-	won, err := Publish(ctx, log, Publication{Document: documentWith(t, "10"), Author: "awa", Message: "first"})
+	published, err := Publish(ctx, log, PublishRequest{Document: documentWith(t, "10"), Author: "awa", Message: "first"})
 	require.NoError(t, err)
-	require.Equal(t, uint64(1), won.Number)
-	_, err = Publish(ctx, log, Publication{Document: documentWith(t, "20"), Author: "ben"})
-	var conflict *Conflict
+	require.Equal(t, uint64(1), published.Number)
+	_, err = Publish(ctx, log, PublishRequest{Document: documentWith(t, "20"), Author: "ben"})
+	var conflict *ConflictError
 	require.ErrorAs(t, err, &conflict)
 	require.True(t, result.Is(err, result.ConfigConflict))
 	require.Equal(t, "awa", conflict.Winner.Author)
 	require.Equal(t, []config.Change{{Path: "tenants.shop.spec.capacity.requests_per_second", Before: "20", After: "10"}}, conflict.Changes)
 }
 
-func TestLostAppendAnswersPublishOnce(t *testing.T) {
+func TestPublishTakesEffectOnceIfAppendResponsesAreLost(t *testing.T) {
 	platform, log := startLog(t)
 	platform.SetFaults(emulator.PlatformFaults{LoseAppendAnswers: true})
 	restore := time.AfterFunc(300*time.Millisecond, func() { platform.SetFaults(emulator.PlatformFaults{}) })
 	defer restore.Stop()
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	revision, err := Publish(ctx, log, Publication{Document: documentWith(t, "10"), Author: "awa"})
+	revision, err := Publish(ctx, log, PublishRequest{Document: documentWith(t, "10"), Author: "awa"})
 	require.NoError(t, err)
 	require.Equal(t, uint64(1), revision.Number)
-	require.Greater(t, len(platform.Records(logstore.ControlStream)), 1, "the record was appended more than once")
+	require.Greater(t, len(platform.Records(logstore.ControlStream)), 1, "the record must have been appended more than once")
 	machine, err := Load(ctx, log)
 	require.NoError(t, err)
 	require.Len(t, machine.History(), 1)
 }
 
-func TestLogThatIsDownIsNamed(t *testing.T) {
+func TestUnreachableLogIsReportedByResultCode(t *testing.T) {
 	platform, log := startLog(t)
 	platform.SetFaults(emulator.PlatformFaults{LogDown: true})
 	_, err := Load(context.Background(), log)
 	require.True(t, result.Is(err, result.LogUnavailable))
 	_, err = log.Append(context.Background(), logstore.ControlStream, []byte("x"))
-	require.True(t, result.Is(err, result.LogUnavailable), "a refused append promises that nothing was appended")
+	require.True(t, result.Is(err, result.LogUnavailable), "a refused append must guarantee that nothing was appended")
 	platform.SetFaults(emulator.PlatformFaults{LoseAppendAnswers: true})
 	_, err = log.Append(context.Background(), logstore.ControlStream, []byte("x"))
 	require.True(t, result.Is(err, result.LogUnknown))
