--- a/internal/command/config.go
+++ b/internal/command/config.go
@@ -220,7 +220,7 @@
 	var conflict *operator.ConflictError
 	if errors.As(err, &conflict) {
 		fmt.Fprintf(command.ErrOrStderr(), "revision %d by %s (%q) was published at %s; differences:\n",
-			conflict.Winner.Number, conflict.Winner.Author, conflict.Winner.Message, conflict.Winner.Published.UTC().Format(time.RFC3339))
+			conflict.Current.Number, conflict.Current.Author, conflict.Current.Message, conflict.Current.Published.UTC().Format(time.RFC3339))
 		if writeErr := writeTable(command.ErrOrStderr(), changeRows(conflict.Changes)); writeErr != nil {
 			return writeErr
 		}
--- a/internal/command/steps.go
+++ b/internal/command/steps.go
@@ -98,11 +98,11 @@
 		step := &steps[i]
 		fmt.Fprintf(table, "%s\t%d\t%s", step.Model, step.Number, step.Submitted.Format("15:04:05.000"))
 		for _, moment := range []time.Time{
-			step.FirstStart, step.LastStart, step.LastCompleted, step.LastScored, step.LastListed, step.Ended,
+			step.FirstStart, step.LastStart, step.LastCompleted, step.LastScored, step.LastResult, step.Ended,
 		} {
 			fmt.Fprintf(table, "\t%s", formatSeconds(step.SinceSubmission(moment)))
 		}
-		fmt.Fprintf(table, "\t%d\t%d/%d\t%s\t%d\t%s\n", step.Starts, step.Listed, step.Items, step.LastItem, step.LastItemEvents, step.LastItemSampler)
+		fmt.Fprintf(table, "\t%d\t%d/%d\t%s\t%d\t%s\n", step.RunCount, step.ResultCount, step.ItemCount, step.LastItem, step.LastItemEvents, step.LastItemSampler)
 	}
 	return errors.Wrap(table.Flush(), "write")
 }
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -87,7 +87,7 @@
 		}
 		l.add(6000, "a", event.BatchRefused, `"job_id":"j","took_ms":2500,"detail":"5003"`)
 		trace := l.trace(t, "j")
-		require.Equal(t, Job, trace.Kind)
+		require.Equal(t, BatchJob, trace.Kind)
 		require.Equal(t, "refused on a after 2500 ms", trace.Outcome)
 		require.Equal(t, test.cause, trace.Cause)
 	}
@@ -112,7 +112,7 @@
 	require.Equal(t, Item, trace.Kind)
 	require.Contains(t, trace.Outcome, "given up on a")
 	require.Contains(t, trace.Cause, "its reward call failed too often; 1 run(s); 4 reward calls failed")
-	require.Equal(t, Job, l.trace(t, "j").Kind)
+	require.Equal(t, BatchJob, l.trace(t, "j").Kind)
 	require.Equal(t, RewardCall, l.trace(t, "w").Kind)
 }
 
--- a/internal/explain/steps.go
+++ b/internal/explain/steps.go
@@ -11,25 +11,26 @@
 // Step holds the times of a batch job, a training step, from its submission to its end
 // according to the log lines of all nodes. A time that no line shows is zero.
 type Step struct {
-	JobID  string
-	Model  string
-	Number int
-	Items  int
+	JobID     string
+	Model     string
+	Number    int
+	ItemCount int
 	// Submitted is when the job was stored; FirstStart and LastStart are when its first
 	// and last items were sent to samplers.
 	Submitted  time.Time
 	FirstStart time.Time
 	LastStart  time.Time
-	// LastCompleted, LastScored and LastListed are the times of the last item that got
-	// its result in the log before the end of the job.
+	// LastCompleted, LastScored and LastResult are the times at which the last item that
+	// got a result before the end of the job was complete, scored and had its result in
+	// the log.
 	LastCompleted time.Time
 	LastScored    time.Time
-	LastListed    time.Time
+	LastResult    time.Time
 	// Ended is when the trainer ended the job.
 	Ended time.Time
-	// Starts is the number of runs, Listed the number of results.
-	Starts int
-	Listed int
+	// RunCount is the number of runs, ResultCount the number of items with a result.
+	RunCount    int
+	ResultCount int
 	// LastItem is the last item that got a result, LastItemEvents the length of its
 	// text and LastItemSampler the sampler that completed it.
 	LastItem        string
@@ -42,8 +43,8 @@
 	// CriticalPath splits the duration of a step that has ended; nil for other steps.
 	CriticalPath *CriticalPath
 
-	decidingResult decidingResult
-	listedItems    map[string]struct{}
+	decidingResult  decidingResult
+	itemsWithResult map[string]struct{}
 }
 
 // Steps returns the batch jobs whose submission the lines show, sorted by model and
@@ -81,14 +82,14 @@
 		if s.Submitted.IsZero() {
 			s.Submitted = line.Time
 		}
-		s.Model, s.Number, s.Items = line.Fields.String("model"), line.Fields.Int("step"), line.Fields.Int("items")
+		s.Model, s.Number, s.ItemCount = line.Fields.String("model"), line.Fields.Int("step"), line.Fields.Int("items")
 		s.WantedGroups, s.SubmitDuration = line.Fields.Int("wanted_groups"), durationField(line.Fields, "took_ms")
 	case event.ItemStarted:
 		if s.FirstStart.IsZero() {
 			s.FirstStart = line.Time
 		}
 		s.LastStart = line.Time
-		s.Starts++
+		s.RunCount++
 	case event.ItemListed:
 		if s.Ended.IsZero() {
 			s.recordResult(line)
@@ -106,17 +107,17 @@
 
 func (s *Step) recordResult(line Line) {
 	item := line.Fields.String("item_id")
-	if s.listedItems == nil {
-		s.listedItems = make(map[string]struct{})
+	if s.itemsWithResult == nil {
+		s.itemsWithResult = make(map[string]struct{})
 	}
-	if _, listed := s.listedItems[item]; listed {
+	if _, listed := s.itemsWithResult[item]; listed {
 		// A former executor that regains contact reads the same results again.
 		return
 	}
-	s.listedItems[item] = struct{}{}
-	s.Listed++
+	s.itemsWithResult[item] = struct{}{}
+	s.ResultCount++
 	s.decidingResult.record(line, s.WantedGroups)
-	s.LastListed = line.Time
+	s.LastResult = line.Time
 	s.LastCompleted = timeBefore(line, completedField(line))
 	s.LastScored = timeBefore(line, "scored_ms_ago")
 	s.LastItem, s.LastItemEvents, s.LastItemSampler = item, line.Fields.Int("events"), line.Fields.String("sampler")
--- a/internal/explain/steps_test.go
+++ b/internal/explain/steps_test.go
@@ -38,9 +38,9 @@
 	require.Equal(t, 250*time.Millisecond, step.SinceSubmission(step.LastStart))
 	require.Equal(t, 1810*time.Millisecond, step.SinceSubmission(step.LastCompleted))
 	require.Negative(t, step.SinceSubmission(step.LastScored))
-	require.Equal(t, 1900*time.Millisecond, step.SinceSubmission(step.LastListed))
+	require.Equal(t, 1900*time.Millisecond, step.SinceSubmission(step.LastResult))
 	require.Equal(t, 2200*time.Millisecond, step.SinceSubmission(step.Ended))
-	require.Equal(t, []any{2, 2, "y", 9, "t"}, []any{step.Starts, step.Listed, step.LastItem, step.LastItemEvents, step.LastItemSampler})
+	require.Equal(t, []any{2, 2, "y", 9, "t"}, []any{step.RunCount, step.ResultCount, step.LastItem, step.LastItemEvents, step.LastItemSampler})
 }
 
 // endedStep returns a step with two groups, of which the trainer waits for one.
@@ -64,7 +64,7 @@
 
 func TestCriticalPathFollowsItemThatCompletedLastWantedGroup(t *testing.T) {
 	step := endedStep(t)
-	require.Equal(t, 3, step.Listed, "a result that a former executor reads again must count once")
+	require.Equal(t, 3, step.ResultCount, "a result that a former executor reads again must count once")
 	require.NotNil(t, step.CriticalPath)
 	require.Equal(t, CriticalPath{
 		ItemID: "y", Events: 9, ExpectedTokens: 400, Runs: 2, Submit: 40 * time.Millisecond, Weights: 50 * time.Millisecond,
--- a/internal/explain/trace.go
+++ b/internal/explain/trace.go
@@ -15,12 +15,12 @@
 	// Unknown means that no line contains the id.
 	Unknown Kind = iota
 	Request
-	Job
+	BatchJob
 	Item
 	RewardCall
 )
 
-var kindNames = [...]string{Unknown: "unknown", Request: "request", Job: "batch job", Item: "item", RewardCall: "reward call"}
+var kindNames = [...]string{Unknown: "unknown", Request: "request", BatchJob: "batch job", Item: "item", RewardCall: "reward call"}
 
 // String implements fmt.Stringer.
 func (k Kind) String() string { return kindNames[k] }
@@ -43,7 +43,7 @@
 	field string
 	kind  Kind
 }{
-	{"request_id", Request}, {"item_id", Item}, {"reward_id", RewardCall}, {"job_id", Job},
+	{"request_id", Request}, {"item_id", Item}, {"reward_id", RewardCall}, {"job_id", BatchJob},
 }
 
 // contextEvents are the events that show the state of a node.
@@ -71,7 +71,7 @@
 	trace := Trace{ID: id}
 	for _, line := range lines {
 		if kind := kindOf(line, id); kind != Unknown {
-			if trace.Kind == Unknown || kind == Job {
+			if trace.Kind == Unknown || kind == BatchJob {
 				trace.Kind = kind
 			}
 			trace.Lines = append(trace.Lines, line)
--- a/internal/explain/verdict.go
+++ b/internal/explain/verdict.go
@@ -17,7 +17,7 @@
 	switch trace.Kind {
 	case Request, RewardCall:
 		return diagnoseRequest(trace, all)
-	case Job:
+	case BatchJob:
 		return diagnoseJob(trace, all)
 	case Item:
 		return diagnoseItem(trace, all)
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -77,8 +77,8 @@
 // ConflictError reports that another revision was published first, and what differs in
 // it.
 type ConflictError struct {
-	// Winner is the current revision, and Changes the differences that lead to it.
-	Winner  state.Revision
+	// Current is the current revision, and Changes the differences that lead to it.
+	Current state.Revision
 	Changes []config.Change
 	cause   error
 }
@@ -141,14 +141,14 @@
 	}
 	cause := result.New(result.ConfigConflict, "the current revision is %d by %s (%q), but this change was made from revision %d",
 		current.Number, current.Author, current.Message, request.BaseRevision)
-	return &ConflictError{Winner: current, Changes: config.Diff(request.Document, current.Document), cause: cause}
+	return &ConflictError{Current: current, Changes: config.Diff(request.Document, current.Document), cause: cause}
 }
 
 // newConflictError describes the difference between the revision before the publish and
-// the winner. If cause is nil, it creates an error with the code ConfigConflict.
-func newConflictError(cause error, before, winner state.Revision) error {
+// the current one. If cause is nil, it creates an error with the code ConfigConflict.
+func newConflictError(cause error, before, current state.Revision) error {
 	if cause == nil {
-		cause = result.New(result.ConfigConflict, "revision %d by %s was published first", winner.Number, winner.Author)
+		cause = result.New(result.ConfigConflict, "revision %d by %s was published first", current.Number, current.Author)
 	}
-	return &ConflictError{Winner: winner, Changes: config.Diff(before.Document, winner.Document), cause: cause}
+	return &ConflictError{Current: current, Changes: config.Diff(before.Document, current.Document), cause: cause}
 }
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -49,7 +49,7 @@
 	var conflict *ConflictError
 	require.ErrorAs(t, err, &conflict)
 	require.True(t, result.Is(err, result.ConfigConflict))
-	require.Equal(t, "awa", conflict.Winner.Author)
+	require.Equal(t, "awa", conflict.Current.Author)
 	require.Equal(t, []config.Change{{Path: "tenants.shop.spec.capacity.requests_per_second", Before: "20", After: "10"}}, conflict.Changes)
 }
 
