--- a/internal/platformsim/cloud.go
+++ b/internal/platformsim/cloud.go
@@ -12,169 +12,173 @@
 )
 
 const (
-	// reportWindow and usageLate are the users' bounds of usage reports.
+	// reportWindow is the length of a usage window; its report is due usageLate after the
+	// window ends.
 	reportWindow = 5 * time.Second
 	usageLate    = 10 * time.Second
 	cloudLatency = 4 * time.Millisecond
 	cloudMachine = "cloud"
 	cloudPort    = ":83"
-	// mostSamplers bounds the samplers that may be ordered in a zone.
+	// mostSamplers is the maximum number of samplers that may be ordered in a zone.
 	mostSamplers = 12
 )
 
-// CloudFaults are the troubles of the platform's API. The zero value is none.
+// CloudFaults are the faults of the platform's API. The zero value injects none.
 type CloudFaults struct {
-	// Down refuses every call, Slow multiplies the time of an answer, Lose is the share
-	// of calls that are taken and not answered.
-	Down bool
-	Slow float64
-	Lose float64
+	// Down refuses every call with status 503. SlowFactor multiplies the response time if it
+	// exceeds 1. LossRatio is the share of calls that are processed but not answered.
+	Down       bool
+	SlowFactor float64
+	LossRatio  float64
 }
 
-// cloudCall is the last call about a subject.
+// cloudCall is a call that only one node at a time may make, with the holder and the fencing
+// token that it names.
 type cloudCall struct {
-	holder string
-	fence  uint64
-	at     time.Time
+	holder       string
+	fencingToken uint64
+	at           time.Time
 }
 
-// cloudTruth is what the platform's API saw.
+// cloudTruth records the calls that the platform's API received.
 type cloudTruth struct {
-	calls map[string]cloudCall
-	// reported holds the first report of a window and when it came.
-	reported   map[int64]map[string]uint64
-	reportedAt map[int64]time.Time
-	// began counts the requests that samplers began, by window and tenant.
-	began map[int64]map[string]uint64
-	seen  map[string]bool
+	lastCalls map[string]cloudCall
+	// reportedCounts holds the first report of each window, reportedAt when it arrived.
+	reportedCounts map[int64]map[string]uint64
+	reportedAt     map[int64]time.Time
+	// startedCounts counts the requests that back ends started, by window and tenant;
+	// counted holds the ids of these requests, so that each counts once.
+	startedCounts map[int64]map[string]uint64
+	counted       map[string]bool
 }
 
 func newCloudTruth() cloudTruth {
 	return cloudTruth{
-		calls: make(map[string]cloudCall), reported: make(map[int64]map[string]uint64), reportedAt: make(map[int64]time.Time),
-		began: make(map[int64]map[string]uint64), seen: make(map[string]bool),
+		lastCalls: make(map[string]cloudCall), reportedCounts: make(map[int64]map[string]uint64), reportedAt: make(map[int64]time.Time),
+		startedCounts: make(map[int64]map[string]uint64), counted: make(map[string]bool),
 	}
 }
 
-// Began notes that a sampler began a request of a client.
+// Began records that a back end started a request, and counts it in the current usage window
+// of its tenant. Further attempts of the request do not count.
 func (t *Truth) Began(id string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	tenant := t.tenants[id]
-	if tenant == "" || t.cloud.seen[id] {
+	if tenant == "" || t.cloud.counted[id] {
 		return
 	}
-	t.cloud.seen[id] = true
+	t.cloud.counted[id] = true
 	window := time.Now().UnixNano() / int64(reportWindow)
-	if t.cloud.began[window] == nil {
-		t.cloud.began[window] = make(map[string]uint64)
+	if t.cloud.startedCounts[window] == nil {
+		t.cloud.startedCounts[window] = make(map[string]uint64)
 	}
-	t.cloud.began[window][tenant]++
+	t.cloud.startedCounts[window][tenant]++
 }
 
-// judgeDuty rules on a call that is one node's duty, as on an order. It is called under
-// the lock.
-func (t *Truth) judgeDuty(subject, node string, call cloudCall) {
-	last, known := t.cloud.calls[subject]
-	t.cloud.calls[subject] = call
+// checkExclusiveCall checks the fencing token of a call that only one node at a time may make,
+// and that the call comes from the holder that it names. The caller holds t.mutex.
+func (t *Truth) checkExclusiveCall(subject, node string, call cloudCall) {
+	last, known := t.cloud.lastCalls[subject]
+	t.cloud.lastCalls[subject] = call
 	if !known || call.at.Before(t.ordersExcused) || !t.inTouch("", call.at) {
 		return
 	}
 	switch {
-	case call.fence < last.fence:
-		t.broken("ONE", "%s calls %s with fence %d after %s with %d", call.holder, subject, call.fence, last.holder, last.fence)
-	case call.holder != last.holder && call.fence == last.fence:
-		t.broken("ONE", "%s and %s share fence %d for %s", last.holder, call.holder, call.fence, subject)
+	case call.fencingToken < last.fencingToken:
+		t.broken("ONE", "%s calls %s with fencing token %d after %s with %d", call.holder, subject, call.fencingToken, last.holder, last.fencingToken)
+	case call.holder != last.holder && call.fencingToken == last.fencingToken:
+		t.broken("ONE", "%s and %s share fencing token %d for %s", last.holder, call.holder, call.fencingToken, subject)
 	}
 	if call.holder != node && !t.nameless {
-		t.broken("ONE", "%s calls %s from %s", call.holder, subject, node)
+		t.broken("ONE", "call of holder %s for %s comes from node %s", call.holder, subject, node)
 	}
 }
 
-// Reported judges a report of usage.
-func (t *Truth) Reported(node string, call cloudCall, report platform.UsageDocument) {
+// UsageReported checks a usage report: repeated reports of a window must be equal.
+func (t *Truth) UsageReported(node string, call cloudCall, report platform.UsageDocument) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.judgeDuty("usage", node, call)
-	first, known := t.cloud.reported[report.Window]
+	t.checkExclusiveCall("usage", node, call)
+	first, known := t.cloud.reportedCounts[report.Window]
 	if known {
 		if !maps.Equal(first, report.Counts) {
-			t.broken("ONE", "window %d is reported as %v and as %v", report.Window, first, report.Counts)
+			t.broken("ONE", "usage window %d is reported as %v and as %v", report.Window, first, report.Counts)
 		}
 		return
 	}
-	t.cloud.reported[report.Window], t.cloud.reportedAt[report.Window] = report.Counts, call.at
+	t.cloud.reportedCounts[report.Window], t.cloud.reportedAt[report.Window] = report.Counts, call.at
 	t.counts["windows reported"]++
 }
 
-// MissedUsage lists the windows within a time whose report is missing, late or wrong.
+// MissedUsage lists the usage windows between two times whose report is missing, late or wrong.
 func (t *Truth) MissedUsage(from, until time.Time) []string {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	var missed []string
+	var invalid []string
 	for window := from.UnixNano()/int64(reportWindow) + 1; window < until.UnixNano()/int64(reportWindow); window++ {
 		due := time.Unix(0, (window+1)*int64(reportWindow)).Add(usageLate)
 		name := strconv.FormatInt(window, 10)
 		switch at, known := t.cloud.reportedAt[window]; {
 		case !known:
-			missed = append(missed, name+" missing")
+			invalid = append(invalid, name+" missing")
 		case at.After(due):
-			missed = append(missed, name+" late")
-		case !maps.Equal(t.cloud.reported[window], t.cloud.began[window]) && len(t.cloud.began[window]) > 0:
-			missed = append(missed, name+" wrong")
+			invalid = append(invalid, name+" late")
+		case !maps.Equal(t.cloud.reportedCounts[window], t.cloud.startedCounts[window]) && len(t.cloud.startedCounts[window]) > 0:
+			invalid = append(invalid, name+" wrong")
 		}
 	}
-	return missed
+	return invalid
 }
 
-// takeDuty reads a call and judges it. It reports false for one that makes no sense.
-func (w *World) takeDuty(path, node string, call cloudCall, body []byte) bool {
+// handleExclusiveCall decodes and checks a call. It reports false for an invalid call.
+func (w *World) handleExclusiveCall(path, node string, call cloudCall, body []byte) bool {
 	switch path {
 	case platform.PathUsage:
 		var report platform.UsageDocument
 		if json.Unmarshal(body, &report) != nil {
 			return false
 		}
-		w.Truth.Reported(node, call, report)
+		w.Truth.UsageReported(node, call, report)
 		return true
 	case platform.PathScale:
 		var order platform.ScaleDocument
 		if json.Unmarshal(body, &order) != nil || order.Desired > mostSamplers || order.Service != modelService {
 			return false
 		}
-		w.Truth.Scaled(node, call, order)
+		w.Truth.ScaleOrdered(node, call, order)
 		return true
 	}
 	return false
 }
 
-// Scaled judges an order of samplers. The world has as many as it began with.
-func (t *Truth) Scaled(node string, call cloudCall, order platform.ScaleDocument) {
+// ScaleOrdered checks an order of samplers. The order has no effect on the number of samplers.
+func (t *Truth) ScaleOrdered(node string, call cloudCall, order platform.ScaleDocument) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.judgeDuty("scale/"+order.Service+"/"+order.Zone, node, call)
+	t.checkExclusiveCall("scale/"+order.Service+"/"+order.Zone, node, call)
 	t.counts["samplers ordered"] += order.Desired
 }
 
-// serveCloud takes the calls that are the duty of one node.
+// serveCloud serves the platform's API, whose calls only one node at a time may make.
 func (w *World) serveCloud(writer http.ResponseWriter, request *http.Request) {
 	body, err := io.ReadAll(request.Body)
 	if err != nil {
 		return
 	}
 	faults := w.cloudFaults.Load()
-	time.Sleep(time.Duration(float64(cloudLatency) * max(faults.Slow, 1)))
+	time.Sleep(time.Duration(float64(cloudLatency) * max(faults.SlowFactor, 1)))
 	if faults.Down {
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	fence, err := strconv.ParseUint(request.Header.Get(platform.HeaderFence), 10, 64)
-	call := cloudCall{holder: request.Header.Get(platform.HeaderHolder), fence: fence, at: time.Now()}
-	if err != nil || call.holder == "" || !w.takeDuty(request.URL.Path, hostOf(request.RemoteAddr), call, body) {
+	fencingToken, err := strconv.ParseUint(request.Header.Get(platform.HeaderFence), 10, 64)
+	call := cloudCall{holder: request.Header.Get(platform.HeaderHolder), fencingToken: fencingToken, at: time.Now()}
+	if err != nil || call.holder == "" || !w.handleExclusiveCall(request.URL.Path, hostOf(request.RemoteAddr), call, body) {
 		writer.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	if w.Store.draw(faults.Lose) {
+	if w.Store.draw(faults.LossRatio) {
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/internal/platformsim/cold.go
+++ b/internal/platformsim/cold.go
@@ -7,36 +7,37 @@
 )
 
 const (
-	// coldTime is how long a sampler is cold after a start during traffic.
+	// coldTime is how long a sampler stays cold after a restart.
 	coldTime = 3 * time.Second
-	// coldPerSecond is what a cold sampler bears; coldOver and coldSlack make the bound of
-	// the users' rule of it, 12 requests in any second.
-	coldPerSecond = 6.0
-	coldOver      = 1.5
-	coldSlack     = 3.0
-	coldBound     = coldPerSecond*coldOver + coldSlack
-	// fallsAt is how many requests in a second make a cold sampler fall over, downTime
-	// for how long it then drops everything.
-	fallsAt  = 2 * coldPerSecond
-	downTime = 2 * time.Second
-	// arrivalWindow is the second of the rule.
+	// coldRequestsPerSecond is the rate that a cold sampler supports. Times a factor and plus an
+	// allowance it gives maxColdRequests, the limit of the rule on cold samplers: 12 requests in
+	// any second.
+	coldRequestsPerSecond = 6.0
+	coldOver              = 1.5
+	coldSlack             = 3.0
+	maxColdRequests       = coldRequestsPerSecond*coldOver + coldSlack
+	// A cold sampler that receives more than overloadThreshold requests in a second drops
+	// all requests for overloadDuration.
+	overloadThreshold = 2 * coldRequestsPerSecond
+	overloadDuration  = 2 * time.Second
+	// arrivalWindow is the interval over which the rule counts requests.
 	arrivalWindow = time.Second
 )
 
-// coldState is what a sampler knows of its cold time.
+// coldState tracks the cold phase of a sampler and the requests that arrive during it.
 type coldState struct {
 	until    time.Time
 	arrivals []time.Time
-	// fallenUntil is until when it drops everything.
-	fallenUntil time.Time
+	// overloadedUntil is the end of the time in which all requests are dropped.
+	overloadedUntil time.Time
 }
 
-// left is how much longer the sampler is cold.
+// left returns the remaining duration of the cold phase, 0 if the sampler is warm.
 func (c *coldState) left(now time.Time) time.Duration { return max(c.until.Sub(now), 0) }
 
-// arrived counts a request and returns how many came in the last second, and within a
-// window of it, 0 while the sampler is warm.
-func (c *coldState) arrived(now time.Time, window time.Duration) (second, within int) {
+// recordArrival counts a request and returns how many arrived in the last second and in the
+// last window, both 0 if the sampler is warm.
+func (c *coldState) recordArrival(now time.Time, window time.Duration) (second, within int) {
 	if c.left(now) == 0 {
 		c.arrivals = nil
 		return 0, 0
@@ -48,8 +49,8 @@
 		}
 	}
 	c.arrivals = append(kept, now)
-	if float64(len(c.arrivals)) > fallsAt {
-		c.fallenUntil = now.Add(downTime)
+	if float64(len(c.arrivals)) > overloadThreshold {
+		c.overloadedUntil = now.Add(overloadDuration)
 	}
 	for _, at := range c.arrivals {
 		if now.Sub(at) <= window {
@@ -59,55 +60,57 @@
 	return len(c.arrivals), within
 }
 
-// TurnCold makes a sampler cold from now on, as its entry says from the next heartbeat on.
-func (s *Sampler) TurnCold() {
+// MakeCold starts a cold phase. The sampler's entry shows it from the next heartbeat on.
+func (s *Sampler) MakeCold() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.cold.until = time.Now().Add(coldTime)
 }
 
-// takeCold counts a request that reached a sampler from a node. It reports whether the
-// sampler has fallen over and drops it.
-func (s *Sampler) takeCold(node string) (fallen bool) {
-	window := s.truth.sentWindow()
+// takeCold records a request that arrived from a node. It reports whether the sampler drops
+// the request because it is overloaded.
+func (s *Sampler) takeCold(node string) (overloaded bool) {
+	window := s.truth.sendWindow()
 	s.mutex.Lock()
 	now := time.Now()
-	second, count := s.cold.arrived(now, window)
-	fallen = now.Before(s.cold.fallenUntil)
+	second, count := s.cold.recordArrival(now, window)
+	overloaded = now.Before(s.cold.overloadedUntil)
 	s.mutex.Unlock()
 	if second > 0 {
-		s.truth.ArrivedCold(s.ID, node, count)
+		s.truth.ColdRequestArrived(s.ID, node, count)
 	}
-	return fallen
+	return overloaded
 }
 
-// sentWindow is a window whose arrivals were sent within a second, late as they may be.
-func (t *Truth) sentWindow() time.Duration {
+// sendWindow returns arrivalWindow less the recent wake-up delay: requests that arrive within
+// it were sent within a second, even if they were delayed on this machine.
+func (t *Truth) sendWindow() time.Duration {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return arrivalWindow - t.lateness(time.Now())
 }
 
-// ArrivedCold judges the requests that a cold sampler got in a second, the last of them
-// from a node. What a link held was sent before.
-func (t *Truth) ArrivedCold(sampler, node string, count int) {
+// ColdRequestArrived checks the number of requests that a cold sampler received in a second,
+// the last of them from node. It is not checked shortly after a link of the node held traffic,
+// since requests that were sent at different times then arrive together.
+func (t *Truth) ColdRequestArrived(sampler, node string, count int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.counts["requests to cold samplers"]++
-	if float64(count) > coldBound && time.Since(t.heldUntil(node)) > touchTime {
-		t.broken("FAILBACK", "%d requests in a second reached cold %s, the last from %s", count, sampler, node)
+	if float64(count) > maxColdRequests && time.Since(t.lastHeld(node)) > touchTime {
+		t.broken("FAILBACK", "%d requests within a second reached cold sampler %s, the last from %s", count, sampler, node)
 	}
 }
 
-// heldUntil is when links last held what a node sent. It is called under the lock.
-func (t *Truth) heldUntil(node string) time.Time {
+// lastHeld returns when links last held traffic of a node. The caller holds t.mutex.
+func (t *Truth) lastHeld(node string) time.Time {
 	if t.nameless {
 		return t.held[""]
 	}
 	return t.held[node]
 }
 
-// Held notes that the links of a machine held what it sent until now.
+// Held records that links held the traffic of a machine until now.
 func (t *Truth) Held(machine string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -117,44 +120,46 @@
 	t.held[machine] = time.Now()
 }
 
-// returnCold takes the samplers of a zone down together and brings them back cold.
+// returnCold stops all samplers of a zone and starts them again, cold, once the fault is over.
+// Their entries expire in the meantime if the fault lasts long enough.
 func (w *World) returnCold(fault Fault, zone string) {
-	var lost []*samplerMachine
+	var stopped []*samplerMachine
 	for _, machine := range w.samplers {
 		if machine.spec.Zone == zone && w.claim(machine) {
 			w.takeDown(machine)
 			_ = machine.server.Close()
 			w.network.Crash(machine.host)
-			lost = append(lost, machine)
+			stopped = append(stopped, machine)
 		}
 	}
-	entriesLast := silentBeats * heartbeat
-	time.Sleep(min(fault.For, entriesLast))
-	if fault.For > entriesLast {
-		for _, machine := range lost {
+	entryLifetime := silentBeats * heartbeat
+	time.Sleep(min(fault.For, entryLifetime))
+	if fault.For > entryLifetime {
+		for _, machine := range stopped {
 			machine.sampler.Remove()
 		}
-		time.Sleep(fault.For - entriesLast)
+		time.Sleep(fault.For - entryLifetime)
 	}
-	for _, machine := range lost {
-		before := machine.sampler
+	for _, machine := range stopped {
+		previous := machine.sampler
 		w.network.Restore(machine.host)
 		w.startSampler(machine)
-		before.Remove()
+		previous.Remove()
 		w.unclaim(machine)
 	}
 }
 
-// turnCold makes every model sampler cold while it goes on.
-func (w *World) turnCold() {
+// makeSamplersCold starts a cold phase of every running model sampler.
+func (w *World) makeSamplersCold() {
 	for _, machine := range w.samplers {
 		if machine.spec.Service == modelService && !w.isDown(machine) {
-			machine.sampler.TurnCold()
+			machine.sampler.MakeCold()
 		}
 	}
 }
 
+// withColdStart adds the duration of the cold phase and the supported rate to a service.
 func withColdStart(document platform.ServiceDocument) platform.ServiceDocument {
-	document.ColdStartS, document.ColdPerS = coldTime.Seconds(), coldPerSecond
+	document.ColdStartS, document.ColdPerS = coldTime.Seconds(), coldRequestsPerSecond
 	return document
 }
--- a/internal/platformsim/cold_test.go
+++ b/internal/platformsim/cold_test.go
@@ -7,8 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A fleet of one model sampler a zone, so that each gets more than a cold one bears. Zones
-// come back cold, all samplers turn cold at once, and executors are killed meanwhile.
+// With one model sampler per zone, each receives more requests than a cold one supports. The
+// limit for cold samplers must hold while zones restart cold, all samplers turn cold at once and
+// executors are killed.
 func TestColdSamplersAreSpared(t *testing.T) {
 	options := example(400, nil)
 	options.Samplers = 3
--- a/internal/platformsim/crashing.go
+++ b/internal/platformsim/crashing.go
@@ -14,80 +14,84 @@
 )
 
 const (
-	// crashMark stands in the body of a request that crashes whatever runs it.
-	crashMark = "crashes its sampler"
-	// crashReturn is how long a sampler is away that crashed so.
-	crashReturn = 3 * time.Second
-	// crashLimit is the number of crashes after which a request is known for it, and
-	// crashRetries how often it may still reach samplers, once machines in touch may know.
-	crashLimit   = 3
-	crashRetries = 3
-	// crashInterval is how often such a request comes again, and crashClientTries how often
-	// its client asks each time.
-	crashInterval    = 1500 * time.Millisecond
-	crashClientTries = 2
+	// crashMarker is contained in the body of a request that crashes every back end running it.
+	crashMarker = "crashes its sampler"
+	// crashRestartDelay is the time between such a crash and the restart of the sampler.
+	crashRestartDelay = 3 * time.Second
+	// After crashThreshold crashes a request must be quarantined. maxSendsAfterThreshold is how
+	// often it may still reach samplers once undisturbed nodes have had time to learn of the
+	// crashes.
+	crashThreshold         = 3
+	maxSendsAfterThreshold = 3
+	// crashInterval is the pause between rounds in which a client repeats such a request, and
+	// crashAttempts the number of attempts per round.
+	crashInterval = 1500 * time.Millisecond
+	crashAttempts = 2
 )
 
-// crashTruth is what is known of a request that crashes its samplers.
+// crashTruth records the crashes that one request caused.
 type crashTruth struct {
-	crashes int
-	// thirdAt is when it had crashed as many as the limit.
-	thirdAt time.Time
-	// late counts how often machines in touch sent it to samplers after that.
-	late int
+	count int
+	// thresholdReachedAt is when the number of crashes reached crashThreshold.
+	thresholdReachedAt time.Time
+	// sendsAfterThreshold counts how often undisturbed nodes sent it to samplers after that.
+	sendsAfterThreshold int
 }
 
-// crashes reports whether a request crashes whatever runs it.
-func crashes(body []byte) bool { return bytes.Contains(body, []byte(crashMark)) }
+// crashes reports whether a request body crashes every back end that runs it.
+func crashes(body []byte) bool { return bytes.Contains(body, []byte(crashMarker)) }
 
-// crashRun judges that a request which crashes its samplers reached one, and crashes it.
+// crashRun checks the arrival of a crashing request at a sampler, and crashes the sampler after
+// its work time.
 func (w *World) crashRun(sampler *Sampler, key, node string) {
-	w.Truth.judgeCrashing(key, node)
+	w.Truth.checkCrashingRequest(key, node)
 	time.Sleep(sampler.Work)
-	w.endProcess(sampler, key)
+	w.crashProcess(sampler, key)
 }
 
-// judgeCrashing rules on a request that reached a sampler.
-func (t *Truth) judgeCrashing(key, node string) {
+// checkCrashingRequest reports a violation if undisturbed nodes send a request that reached
+// crashThreshold to samplers more than maxSendsAfterThreshold times.
+func (t *Truth) checkCrashingRequest(key, node string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	known := t.crashing[key]
-	if known == nil {
-		known = &crashTruth{}
-		t.crashing[key] = known
+	history := t.crashing[key]
+	if history == nil {
+		history = &crashTruth{}
+		t.crashing[key] = history
 	}
 	now := time.Now()
-	t.counts[countCrashingSends]++
-	if known.crashes < crashLimit || now.Sub(known.thirdAt) <= touchTime+t.allowance(now) || !t.inTouch(node, now) {
+	t.counts[countCrashingRequests]++
+	if history.count < crashThreshold || now.Sub(history.thresholdReachedAt) <= touchTime+t.allowance(now) || !t.inTouch(node, now) {
 		return
 	}
-	known.late++
-	if known.late == crashRetries+1 {
-		t.broken("BUDGET", "%s reached samplers %d times, sent by machines in touch, %v after it had crashed %d",
-			key, known.late, now.Sub(known.thirdAt), crashLimit)
+	history.sendsAfterThreshold++
+	if history.sendsAfterThreshold == maxSendsAfterThreshold+1 {
+		t.broken("BUDGET", "%s reached samplers %d times, sent by undisturbed nodes, %v after it had crashed %d samplers",
+			key, history.sendsAfterThreshold, now.Sub(history.thresholdReachedAt), crashThreshold)
 	}
 }
 
-// Counts of requests that crash their samplers.
+// Names of the counters of crashing requests.
 const (
-	countCrashingSends = "crashing requests run"
-	countCrashes       = "samplers crashed"
+	countCrashingRequests = "crashing requests run"
+	countCrashes          = "samplers crashed"
 )
 
-func (t *Truth) crashed(key string) {
+// recordCrash counts a crash that a request caused.
+func (t *Truth) recordCrash(key string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	known := t.crashing[key]
-	known.crashes++
-	if known.crashes == crashLimit {
-		known.thirdAt = time.Now()
+	history := t.crashing[key]
+	history.count++
+	if history.count == crashThreshold {
+		history.thresholdReachedAt = time.Now()
 	}
 	t.counts[countCrashes]++
 }
 
-// endProcess ends a sampler's process under a request. Its address refuses connections until
-// another start, some seconds later; its entry lapses by itself.
-func (w *World) endProcess(sampler *Sampler, key string) {
+// crashProcess crashes a sampler under a request. Its address refuses connections until the
+// restart after crashRestartDelay; its entry expires without being withdrawn.
+func (w *World) crashProcess(sampler *Sampler, key string) {
 	w.mutex.Lock()
 	var machine *samplerMachine
 	for _, candidate := range w.samplers {
@@ -100,36 +104,36 @@
 	if machine == nil {
 		return
 	}
-	w.Truth.crashed(key)
-	over := w.Truth.Trouble(AtSamplers, "crashing request", time.Now().Add(crashReturn), false)
-	// Its connections are cut.
+	w.Truth.recordCrash(key)
+	endDisruption := w.Truth.Trouble(AtSamplers, "crashing request", time.Now().Add(crashRestartDelay), false)
+	// Close also cuts the open connections.
 	_ = machine.server.Close()
 	w.work.Go(func() {
-		defer over()
-		time.Sleep(crashReturn)
+		defer endDisruption()
+		time.Sleep(crashRestartDelay)
 		w.unclaim(machine)
 		w.startSampler(machine)
-		time.Sleep(silentBeats*heartbeat - crashReturn)
+		time.Sleep(silentBeats*heartbeat - crashRestartDelay)
 		sampler.Remove()
 	})
 }
 
-// runCrashing sends one request again and again, under new ids and at any node, that crashes
-// whatever runs it.
+// runCrashing repeats a request that crashes every back end running it, with a new request id
+// each time and at random nodes, until ctx ends.
 func (c *caller) runCrashing(ctx context.Context, number uint64) {
 	path := fmt.Sprintf("%scrash/%d", applicationPrefix, number)
-	body := []byte(crashMark)
+	body := []byte(crashMarker)
 	for ctx.Err() == nil {
-		for range crashClientTries {
+		for range crashAttempts {
 			id := fmt.Sprintf("k%x", c.random.Uint64())
 			c.world.Truth.Claims(id, c.tenant)
-			c.world.Truth.Bind(id, c.home(""))
+			c.world.Truth.BindRegion(id, c.boundRegion(""))
 			header := http.Header{
 				platform.HeaderRequestID: {id},
 				platform.HeaderDeadline:  {strconv.FormatInt(requestDeadline.Milliseconds(), 10)},
 			}
-			got, err := c.call(ctx, http.MethodPost, path, header, body)
-			if err == nil && promisesNotRun(got.status) {
+			result, err := c.call(ctx, http.MethodPost, path, header, body)
+			if err == nil && guaranteesNotRun(result.status) {
 				c.world.Truth.Count("crashing requests refused")
 			}
 		}
@@ -137,34 +141,35 @@
 	}
 }
 
-// crashingStep submits a job of which one item, or the reward call of one, crashes whatever
-// runs it, and keeps it open for a time.
-func (w *World) crashingStep(fault Fault) {
+// runCrashingStep submits a job in which one item, or the reward call of one, crashes every back
+// end running it, and ends the job when it is complete or the fault is over.
+func (w *World) runCrashingStep(fault Fault) {
 	model := w.options.Models[fault.Target%uint64(len(w.options.Models))]
 	w.mutex.Lock()
 	step := w.versions[model]
 	w.mutex.Unlock()
-	// Two that draw from one source would draw the ids of one job.
+	// The seed depends on the fault's kind and target: trainers with the same seed would draw the
+	// same job ids.
 	trainer := w.newCaller("trainer-crashing", zones[0], host, w.options.Seed+fault.Target+uint64(fault.Kind)*1000)
 	trainer.tenant = w.tenants.names[0]
-	trainer.crashing = fault.Kind
+	trainer.crashKind = fault.Kind
 	ctx, cancel := context.WithTimeout(context.Background(), fault.For)
 	defer cancel()
 	job, document := trainer.newStep(model, step, 1, 2, nil)
 	if trainer.submit(ctx, job, document) {
-		trainer.await(ctx, job, document, 1, time.Now().Add(fault.For))
+		trainer.awaitGroups(ctx, job, document, 1, time.Now().Add(fault.For))
 	}
-	end, stop := context.WithTimeout(context.Background(), stepPatience)
+	endCtx, stop := context.WithTimeout(context.Background(), stepTimeout)
 	defer stop()
-	trainer.end(end, job)
+	trainer.endJob(endCtx, job)
 }
 
-// crashingBody returns the body that an item, or its reward call, has if it is to crash
-// whatever runs it, else the given one.
+// crashingBody returns a crashing body for the first item or reward call of the caller's
+// crashKind, and the given body for all others.
 func (c *caller) crashingBody(kind FaultKind, body string) string {
-	if c.crashing != kind || c.crashed {
+	if c.crashKind != kind || c.crashSent {
 		return body
 	}
-	c.crashed = true
-	return base64.StdEncoding.EncodeToString([]byte(crashMark))
+	c.crashSent = true
+	return base64.StdEncoding.EncodeToString([]byte(crashMarker))
 }
--- a/internal/platformsim/crashing_test.go
+++ b/internal/platformsim/crashing_test.go
@@ -16,28 +16,30 @@
 
 var crashingSeeds = flag.Uint64("crashing-seeds", 3, "number of seeds of TestSeedsOfCrashingWork")
 
-// crashingKinds are the places at which work may stand that crashes its samplers.
+// crashingKinds are the kinds of faults in which a request crashes every back end running it.
 var crashingKinds = []FaultKind{CrashingRequest, CrashingItem, CrashingReward}
 
-// A request that crashed three samplers reached 13 and 14 of them on one day of the users,
-// under new ids and at any node: nothing joined its tries.
+// Guards against a request that crashes one back end after another: a client repeats it with new
+// ids at different nodes, and without a common key for its attempts it reached 13 or 14 samplers
+// instead of being quarantined after three crashes.
 func TestRequestThatCrashesItsSamplersIsHeldBack(t *testing.T) {
 	for _, kind := range crashingKinds {
 		faults := []Fault{{Kind: kind, At: 2 * time.Second, For: 40 * time.Second, Target: 1}}
 		world := play(t, example(500+uint64(kind), nil), faults)
 		counts := fmt.Sprint(kind, world.Truth.counts)
 		require.Empty(t, world.Truth.Violations(), counts)
-		require.GreaterOrEqual(t, world.Truth.counts[countCrashes], crashLimit, counts)
+		require.GreaterOrEqual(t, world.Truth.counts[countCrashes], crashThreshold, counts)
 		require.Positive(t, world.Truth.counts["steps whole"], counts)
 	}
 }
 
-// Work that crashes its samplers beside drawn troubles of nodes, store and samplers.
+// Crashing requests, items and reward calls combined with random faults of nodes, store and
+// samplers.
 func TestSeedsOfCrashingWork(t *testing.T) {
 	for seed := *firstSeed; seed < *firstSeed+*crashingSeeds; seed++ {
 		t.Run(fmt.Sprint("seed=", seed), func(t *testing.T) {
 			t.Parallel()
-			faults := withCrashingWork(seed, Draw(seed, faultTime, *faultsRun))
+			faults := addCrashingFaults(seed, Draw(seed, faultTime, *faultsRun))
 			world := play(t, example(seed, nil), faults)
 			require.Empty(t, world.Truth.Violations(), "%v", faults)
 			require.Positive(t, world.Truth.counts["steps whole"], "%v", faults)
@@ -45,9 +47,8 @@
 	}
 }
 
-// withCrashingWork adds one of each kind of work that crashes its samplers, from a drawn time
-// on.
-func withCrashingWork(seed uint64, faults []Fault) []Fault {
+// addCrashingFaults adds one fault of each crashing kind at a random time.
+func addCrashingFaults(seed uint64, faults []Fault) []Fault {
 	random := rand.New(rand.NewPCG(seed, 13))
 	for _, kind := range crashingKinds {
 		faults = append(faults, Fault{
@@ -58,16 +59,16 @@
 	return faults
 }
 
-// quarantineLine is what a log line tells of a request under which samplers ended.
-type quarantineLine struct {
+// quarantineLogLine holds the fields of a log line about a request whose back ends crashed.
+type quarantineLogLine struct {
 	Message string `json:"msg"`
 	Digest  string `json:"digest"`
 }
 
-// Items that ran beside one which crashed three samplers were held as long as it was. In
-// twelve plays of three crashing requests, items and reward calls each, three others were
-// held, for 1.0 to 1.2 s.
-func TestWhatRanBesideCrashingWorkIsServedAgain(t *testing.T) {
+// Guards against requests staying in quarantine only because they ran on the same samplers as a
+// crashing one. Some may be quarantined for a short time (in twelve runs with three crashing
+// requests, items and reward calls each, three were, for 1.0 to 1.2 s), but must be released.
+func TestRequestsBesideCrashingOnesLeaveQuarantine(t *testing.T) {
 	const seed = 3
 	var faults []Fault
 	for i, kind := range crashingKinds {
@@ -76,23 +77,23 @@
 	logs := &lines{}
 	world := play(t, example(seed, logs), faults)
 	require.Empty(t, world.Truth.Violations())
-	held, ends := make(map[string]bool), make(map[string]int)
+	quarantined, crashCounts := make(map[string]bool), make(map[string]int)
 	for decoder := json.NewDecoder(strings.NewReader(logs.String())); ; {
-		var line quarantineLine
+		var line quarantineLogLine
 		if decoder.Decode(&line) != nil {
 			break
 		}
 		switch line.Message {
 		case "back_end_ended":
-			ends[line.Digest]++
+			crashCounts[line.Digest]++
 		case "request_quarantined":
-			held[line.Digest] = true
+			quarantined[line.Digest] = true
 		case "quarantine_cleared":
-			delete(held, line.Digest)
+			delete(quarantined, line.Digest)
 		}
 	}
-	require.Len(t, held, len(crashingKinds))
-	for digest := range held {
-		require.Greater(t, ends[digest], crashLimit, "only what goes on to crash its samplers stays held")
+	require.Len(t, quarantined, len(crashingKinds))
+	for digest := range quarantined {
+		require.Greater(t, crashCounts[digest], crashThreshold, "only requests that keep crashing back ends stay in quarantine")
 	}
 }
--- a/internal/platformsim/entries.go
+++ b/internal/platformsim/entries.go
@@ -8,32 +8,33 @@
 	"github.com/pathbend/pathbend/platform"
 )
 
-// rebornAfter is how long a sampler is away that starts again under its id.
-const rebornAfter = 300 * time.Millisecond
+// restartDelay is the time between the stop of a sampler and its restart under the same id.
+const restartDelay = 300 * time.Millisecond
 
-// rebirth ends a sampler and starts it again under its id, at the same address, while the
-// entry of its former incarnation comes once more and late.
-func (w *World) rebirth(fault Fault, machine *samplerMachine) {
+// restartWithSameID stops a sampler and restarts it with the same id and address. After the
+// restart, the previous incarnation writes its outdated entry once more.
+func (w *World) restartWithSameID(fault Fault, machine *samplerMachine) {
 	if !w.claim(machine) {
 		return
 	}
 	defer w.unclaim(machine)
-	former := machine.sampler
+	previous := machine.sampler
 	w.takeDown(machine)
 	_ = machine.server.Close()
 	w.network.Crash(machine.host)
-	time.Sleep(rebornAfter)
+	time.Sleep(restartDelay)
 	w.network.Restore(machine.host)
-	w.startSamplerAs(machine, former.ID)
+	w.startSamplerAs(machine, previous.ID)
 	w.Truth.Count("samplers reborn")
-	time.Sleep(rebornAfter)
-	former.register()
+	time.Sleep(restartDelay)
+	previous.register()
 	time.Sleep(fault.For)
 }
 
-// foreignEntries are values that no sampler writes, with addresses at which nothing listens.
-func foreignEntries(good platform.SamplerDocument) [][]byte {
-	encoded, err := json.Marshal(good)
+// invalidEntries returns values that no sampler writes: malformed and empty documents, and entries
+// in which one field has an invalid value and the address has no listener.
+func invalidEntries(valid platform.SamplerDocument) [][]byte {
+	encoded, err := json.Marshal(valid)
 	if err != nil {
 		panic(err)
 	}
@@ -57,17 +58,17 @@
 	return values
 }
 
-// writeForeign lets another writer put entries beside those of the samplers, records that
-// end within their keys, and one in the place of a sampler's, whose sampler lives on unlisted
-// and gets nothing new.
-func (w *World) writeForeign(fault Fault, machine *samplerMachine) {
+// writeForeignEntries writes to the samplers' topic as another writer: invalid entries under new
+// keys, records that are truncated within their key, and an invalid entry under a sampler's key.
+// That sampler keeps running but is no longer listed, and must get no new requests.
+func (w *World) writeForeignEntries(fault Fault, machine *samplerMachine) {
 	if !w.claim(machine) {
 		return
 	}
 	defer w.unclaim(machine)
 	w.takeDown(machine)
 	sampler := machine.sampler
-	values := foreignEntries(sampler.snapshotDocument())
+	values := invalidEntries(sampler.snapshotDocument())
 	for i, value := range values {
 		w.Store.Put(platform.TopicSamplers, fmt.Sprintf("foreign-%d-%d", fault.Target, i), value)
 	}
--- a/internal/platformsim/entries_test.go
+++ b/internal/platformsim/entries_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Samplers start again under their ids, one after the other and with a late entry of the
-// former incarnation each: no rule breaks, and steps go on.
-func TestSamplersStartAgainUnderTheirIDs(t *testing.T) {
+// Samplers restart under their ids one after the other, and each time the previous incarnation
+// writes its entry once more. No rule is violated and training steps continue.
+func TestSamplersRestartUnderTheirIDs(t *testing.T) {
 	var faults []Fault
 	for sampler := range uint64(9) {
 		faults = append(faults, Fault{Kind: SamplerReborn, At: time.Duration(4+4*sampler) * time.Second, For: 2 * time.Second, Target: sampler})
@@ -23,8 +23,8 @@
 	require.Contains(t, logs.String(), `"msg":"endpoint_restarted"`)
 }
 
-// Another writer's entries name no sampler, also in the place of a sampler's own; the other
-// entries hold, and nodes that start read past them.
+// Invalid entries of another writer define no sampler, even under the key of a real one. All
+// other entries stay valid, and nodes that start later skip the invalid records.
 func TestEntriesOfAnotherWriterNameNoSampler(t *testing.T) {
 	faults := []Fault{
 		{Kind: ForeignEntries, At: 4 * time.Second, For: 6 * time.Second, Target: 1},
--- a/internal/platformsim/evacuation.go
+++ b/internal/platformsim/evacuation.go
@@ -6,45 +6,47 @@
 	"github.com/pathbend/pathbend/platform"
 )
 
-// evacuateBound is the bound of the rule on evacuated zones. The users' sheets say 5 s;
-// the shorter one also finds what would only just pass there.
+// evacuateBound is the time after which an evacuated zone must receive nothing. The rule allows
+// 5 s; the shorter bound also finds violations that would only just pass it.
 const evacuateBound = 2 * time.Second
 
-// evacuate evacuates a zone, or two of them, and takes them back.
-func (w *World) evacuate(fault Fault) {
+// evacuateZones evacuates one or two zones, depending on the fault's target, for the duration of
+// the fault.
+func (w *World) evacuateZones(fault Fault) {
 	first := int(fault.Target % uint64(len(zones)))
 	count := 1
 	if fault.Target/uint64(len(zones))%2 == 0 {
 		count++
 	}
 	for i := range count {
-		w.setEvacuated(zones[(first+i)%len(zones)], 1)
+		w.adjustEvacuations(zones[(first+i)%len(zones)], 1)
 	}
 	time.Sleep(fault.For)
 	for i := range count {
-		w.setEvacuated(zones[(first+i)%len(zones)], -1)
+		w.adjustEvacuations(zones[(first+i)%len(zones)], -1)
 	}
 }
 
-// setEvacuated adds a reason to evacuate a zone, or takes one away: faults may overlap.
-func (w *World) setEvacuated(zone string, change int) {
+// adjustEvacuations changes the number of faults that evacuate a zone, since faults may overlap.
+// The zone is evacuated while the number is positive.
+func (w *World) adjustEvacuations(zone string, change int) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	before := w.evacuated[zone]
-	w.evacuated[zone] = before + change
+	previous := w.evacuated[zone]
+	w.evacuated[zone] = previous + change
 	switch {
-	case before == 0:
+	case previous == 0:
 		w.Store.Put(platform.TopicOperator, platform.KeyEvacuatePrefix+zone, []byte("{}"))
-		w.Truth.Evacuated(zone, time.Now())
-	case before+change == 0:
-		w.Truth.Evacuated(zone, time.Time{})
+		w.Truth.RecordEvacuation(zone, time.Now())
+	case previous+change == 0:
+		w.Truth.RecordEvacuation(zone, time.Time{})
 		w.Store.Put(platform.TopicOperator, platform.KeyEvacuatePrefix+zone, nil)
 	}
 }
 
-// Evacuated notes that a zone was acknowledged as evacuated at a time, or that it is
-// about to be taken back if the time is zero.
-func (t *Truth) Evacuated(zone string, at time.Time) {
+// RecordEvacuation records when the store acknowledged the evacuation of a zone. A zero time
+// means that the evacuation is about to be reverted.
+func (t *Truth) RecordEvacuation(zone string, at time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.evacuatedAt[zone] = at
@@ -53,8 +55,8 @@
 	}
 }
 
-// judgeEvacuation judges a request, or an order of weights, that reached a sampler of a
-// zone. It is called under the lock.
+// judgeEvacuation reports a violation if an undisturbed node sends a request or a weight order to a
+// sampler of a zone that has been evacuated for too long. The caller holds t.mutex.
 func (t *Truth) judgeEvacuation(sampler, zone, node, what string, now time.Time) {
 	at := t.evacuatedAt[zone]
 	if !at.IsZero() && now.Sub(at) > evacuateBound+t.allowance(now) && t.inTouch(node, now) {
--- a/internal/platformsim/faults.go
+++ b/internal/platformsim/faults.go
@@ -10,10 +10,10 @@
 	"github.com/pathbend/pathbend/platform"
 )
 
-// FaultKind is a kind of trouble.
+// FaultKind is a kind of injected fault.
 type FaultKind int
 
-// Kinds of faults.
+// Kinds of faults that are chosen at random.
 const (
 	NodeKill FaultKind = iota
 	NodeFreeze
@@ -30,9 +30,9 @@
 	StoreRebalance
 	SamplerCrash
 	SamplerSlow
-	SamplerCut
+	SamplerCutsStreams
 	SamplerFail
-	SamplerSurplus
+	SamplerMisroutesAnswers
 	SamplerReplaced
 	SamplerLateOrders
 	ConfigChange
@@ -41,28 +41,30 @@
 	KeysTaken
 	CloudDown
 	CloudSlow
-	CloudLost
+	CloudLosesAnswers
 	ColdReturn
 	SamplersTurnCold
 	Evacuate
 	ZoneCut
 	ZoneLost
 	faultKinds
-	// RegionCut needs two regions and is not drawn.
+	// RegionCut needs two regions and is not chosen at random.
 	RegionCut = faultKinds
 )
 
-// Kinds that are not drawn, so that the seeds of the others keep their faults: requests that
-// crash the samplers that run them, and suspended machines.
+// Kinds that are not chosen at random, so that existing seeds keep their faults. CrashingRequest,
+// CrashingItem and CrashingReward send a request, an item or a reward call that crashes every back
+// end running it.
 const (
 	CrashingRequest = RegionCut + 1 + iota
 	CrashingItem
 	CrashingReward
-	// SamplerReborn starts a sampler again under its id, ForeignEntries lets another writer
-	// put entries into the samplers' topic.
+	// SamplerReborn restarts a sampler under its id. ForeignEntries writes invalid entries to the
+	// samplers' topic.
 	SamplerReborn
 	ForeignEntries
-	// Suspension makes all machines find that they were suspended for the fault's time.
+	// Suspension makes all nodes observe that their machines were suspended for the fault's
+	// duration.
 	Suspension
 )
 
@@ -80,19 +82,19 @@
 // String implements fmt.Stringer.
 func (k FaultKind) String() string { return faultNames[k] }
 
-// Fault is one trouble of a schedule.
+// Fault is one fault of a schedule: it begins at At and lasts for For.
 type Fault struct {
 	Kind FaultKind
 	At   time.Duration
 	For  time.Duration
-	// Target draws the machine.
+	// Target selects the machine, zone or other object of the fault.
 	Target uint64
 }
 
 // String implements fmt.Stringer.
 func (f Fault) String() string { return fmt.Sprintf("%v at %v for %v", f.Kind, f.At, f.For) }
 
-// Draw draws count faults within a time.
+// Draw returns count random faults that begin within a time, ordered by their begin.
 func Draw(seed uint64, within time.Duration, count int) []Fault {
 	random := rand.New(rand.NewPCG(seed, 3))
 	faults := make([]Fault, 0, count)
@@ -106,7 +108,7 @@
 	return faults
 }
 
-// Inject carries a fault out and heals it.
+// Inject applies a fault, and reverts it after its duration.
 func (w *World) Inject(fault Fault) {
 	nodes := w.present()
 	node := nodes[fault.Target%uint64(len(nodes))]
@@ -120,7 +122,7 @@
 	case KillAll:
 		w.killFor(fault, nodes...)
 	case NodeTerm:
-		w.term(node)
+		w.terminateNode(node)
 	case NodeFreeze:
 		w.disturb(fault, node.name)
 		w.network.Pause(node.name)
@@ -129,9 +131,9 @@
 		w.network.Resume(node.name)
 		w.Truth.Held(node.name)
 	case NodeCutFromStore:
-		w.cut(fault, node.name, []string{storeMachine})
+		w.isolateNode(fault, node.name, []string{storeMachine})
 	case NodeCutFromAll:
-		w.cut(fault, node.name, w.others(node.name))
+		w.isolateNode(fault, node.name, w.otherMachines(node.name))
 	case ConfigChange:
 		w.PutConfig(int(fault.Target % 50))
 	case KeysTaken:
@@ -144,7 +146,7 @@
 	case NodeReplaced:
 		w.replaceNode(fault, w.lastToOrder(node))
 	case Evacuate:
-		w.evacuate(fault)
+		w.evacuateZones(fault)
 	case ZoneCut:
 		w.cutZone(fault, zones[fault.Target%uint64(len(zones))])
 	case ZoneLost:
@@ -156,64 +158,68 @@
 		client.tenant = w.tenants.names[0]
 		client.runCrashing(ctx, fault.Target)
 	case CrashingItem, CrashingReward:
-		w.crashingStep(fault)
+		w.runCrashingStep(fault)
 	case Suspension:
-		w.suspend(fault)
+		w.simulateSuspension(fault)
 	case StoreForgets:
 		w.Store.Forget(platform.TopicOperator)
 		w.Store.Forget(platform.TopicSamplers)
 	default:
-		w.injectSurroundings(fault, machine)
+		w.injectDependencyFault(fault, machine)
 	}
 }
 
-func (w *World) injectSurroundings(fault Fault, machine *samplerMachine) {
+// injectDependencyFault applies a fault of the store, the platform's API or a sampler.
+func (w *World) injectDependencyFault(fault Fault, machine *samplerMachine) {
 	switch fault.Kind {
 	case StoreDown:
-		w.troubleStore(fault, StoreFaults{Down: true})
+		w.applyStoreFaults(fault, StoreFaults{Down: true})
 	case StoreSilent:
-		w.troubleStore(fault, StoreFaults{Silent: true})
+		w.applyStoreFaults(fault, StoreFaults{Silent: true})
 	case StoreSlow:
-		w.troubleStore(fault, StoreFaults{Slow: 60})
+		w.applyStoreFaults(fault, StoreFaults{Slow: 60})
 	case StoreLost:
-		w.troubleStore(fault, StoreFaults{Lose: 0.35})
+		w.applyStoreFaults(fault, StoreFaults{Lose: 0.35})
 	case StoreLate:
-		w.troubleStore(fault, StoreFaults{Lose: 0.35, Late: true})
+		w.applyStoreFaults(fault, StoreFaults{Lose: 0.35, Late: true})
 	case CloudDown:
-		w.troubleCloud(fault, CloudFaults{Down: true})
+		w.applyCloudFaults(fault, CloudFaults{Down: true})
 	case CloudSlow:
-		w.troubleCloud(fault, CloudFaults{Slow: 60})
-	case CloudLost:
-		w.troubleCloud(fault, CloudFaults{Lose: 0.5})
+		w.applyCloudFaults(fault, CloudFaults{SlowFactor: 60})
+	case CloudLosesAnswers:
+		w.applyCloudFaults(fault, CloudFaults{LossRatio: 0.5})
 	case ColdReturn:
 		w.returnCold(fault, machine.spec.Zone)
 	case SamplersTurnCold:
-		w.turnCold()
+		w.makeSamplersCold()
 	case SamplerCrash:
 		w.crashSampler(fault, machine)
 	case SamplerReplaced:
 		w.replaceSampler(fault, machine)
 	case SamplerReborn:
-		w.rebirth(fault, machine)
+		w.restartWithSameID(fault, machine)
 	case ForeignEntries:
-		w.writeForeign(fault, machine)
+		w.writeForeignEntries(fault, machine)
 	case SamplerSlow:
-		w.troubleSampler(fault, machine, SamplerFaults{Slow: 4})
-	case SamplerCut:
-		w.troubleSampler(fault, machine, SamplerFaults{Cut: 0.3})
+		w.applySamplerFaults(fault, machine, SamplerFaults{Slow: 4})
+	case SamplerCutsStreams:
+		w.applySamplerFaults(fault, machine, SamplerFaults{Cut: 0.3})
 	case SamplerFail:
-		w.troubleSampler(fault, machine, SamplerFaults{Fail: 0.3})
-	case SamplerSurplus:
-		w.troubleSampler(fault, machine, SamplerFaults{Surplus: 0.3})
+		w.applySamplerFaults(fault, machine, SamplerFaults{Fail: 0.3})
+	case SamplerMisroutesAnswers:
+		w.applySamplerFaults(fault, machine, SamplerFaults{Surplus: 0.3})
 	case SamplerLateOrders:
-		w.troubleSampler(fault, machine, SamplerFaults{LateOrders: true})
+		w.applySamplerFaults(fault, machine, SamplerFaults{LateOrders: true})
 	}
 }
 
+// disturb records that a machine is disturbed for the duration of a fault.
 func (w *World) disturb(fault Fault, machine string) {
 	w.disturbUntil(machine, time.Now().Add(fault.For))
 }
 
+// disturbUntil records that a machine is disturbed until a time. Where requests cannot be
+// attributed to nodes, the disturbance counts for all machines.
 func (w *World) disturbUntil(machine string, until time.Time) {
 	w.Truth.Disturb(machine, until)
 	if w.options.Nameless {
@@ -221,7 +227,7 @@
 	}
 }
 
-// healed notes that a machine or its links work again.
+// healed records that a machine or its links work again.
 func (w *World) healed(machine string) {
 	w.disturbUntil(machine, time.Now())
 	if w.options.Nameless {
@@ -229,6 +235,7 @@
 	}
 }
 
+// killFor kills the nodes that are running and restarts them after the fault's duration.
 func (w *World) killFor(fault Fault, machines ...*nodeMachine) {
 	var killed []*nodeMachine
 	for _, machine := range machines {
@@ -248,17 +255,18 @@
 	}
 }
 
-// suspend lets all nodes find that they were suspended. The clock of the simulation is one for
-// all, so the surroundings did not go on meanwhile: what nodes hold is younger than they take
-// it for.
-func (w *World) suspend(fault Fault) {
+// simulateSuspension makes all nodes observe a suspension. All parts of the simulation share one
+// clock, so the store and the samplers do not advance in the meantime: leases and entries are
+// younger than the nodes assume.
+func (w *World) simulateSuspension(fault Fault) {
 	for _, machine := range w.present() {
 		w.disturbUntil(machine.name, time.Now())
 	}
 	w.slept.Add(int64(fault.For))
 }
 
-// lastToOrder returns the node that gave the last order, or another if none did.
+// lastToOrder returns the node that sent the last weight order, or other if none did or that node
+// was removed.
 func (w *World) lastToOrder(other *nodeMachine) *nodeMachine {
 	holder := w.Truth.lastHolder()
 	for _, machine := range w.present() {
@@ -269,31 +277,31 @@
 	return other
 }
 
-// replaceNode removes a node's machine for good. Another one, empty and with another
-// name and address, comes in its place.
+// replaceNode removes a node's machine permanently and starts another one in its place, without
+// data and with another name and address.
 func (w *World) replaceNode(fault Fault, machine *nodeMachine) {
 	w.mutex.Lock()
-	gone := machine.down || machine.removed
-	if !gone {
+	unavailable := machine.down || machine.removed
+	if !unavailable {
 		machine.removed = true
 	}
 	w.mutex.Unlock()
-	if gone {
+	if unavailable {
 		return
 	}
 	w.disturb(fault, machine.name)
 	w.kill(machine)
 	time.Sleep(fault.For)
-	next := &nodeMachine{name: machine.name + "-next", zone: machine.zone}
+	replacement := &nodeMachine{name: machine.name + "-next", zone: machine.zone}
 	w.mutex.Lock()
-	w.nodes = append(w.nodes, next)
+	w.nodes = append(w.nodes, replacement)
 	w.mutex.Unlock()
-	w.startNode(next)
-	w.healed(next.name)
+	w.startNode(replacement)
+	w.healed(replacement.name)
 }
 
-// term stops a node as planned work does and starts it again.
-func (w *World) term(machine *nodeMachine) {
+// terminateNode stops a node gracefully, as in planned maintenance, and restarts it.
+func (w *World) terminateNode(machine *nodeMachine) {
 	w.mutex.Lock()
 	down := machine.down
 	if !down {
@@ -309,7 +317,8 @@
 	w.startNode(machine)
 }
 
-func (w *World) others(name string) []string {
+// otherMachines lists all machines but the named node.
+func (w *World) otherMachines(name string) []string {
 	others := []string{storeMachine, cloudMachine}
 	for _, machine := range w.present() {
 		if machine.name != name {
@@ -322,7 +331,8 @@
 	return others
 }
 
-func (w *World) cut(fault Fault, name string, others []string) {
+// isolateNode holds all traffic between a node and other machines for the fault's duration.
+func (w *World) isolateNode(fault Fault, name string, others []string) {
 	w.disturb(fault, name)
 	w.network.Isolate([]string{name}, others)
 	time.Sleep(fault.For)
@@ -331,7 +341,8 @@
 	w.healed(name)
 }
 
-func (w *World) troubleStore(fault Fault, faults StoreFaults) {
+// applyStoreFaults applies faults of the store for the fault's duration.
+func (w *World) applyStoreFaults(fault Fault, faults StoreFaults) {
 	w.disturb(fault, "")
 	w.Store.SetFaults(faults)
 	time.Sleep(fault.For)
@@ -339,21 +350,26 @@
 	w.Truth.Disturb("", time.Now())
 }
 
-func (w *World) troubleCloud(fault Fault, faults CloudFaults) {
+// applyCloudFaults applies faults of the platform's API for the fault's duration.
+func (w *World) applyCloudFaults(fault Fault, faults CloudFaults) {
 	w.cloudFaults.Store(&faults)
 	time.Sleep(fault.For)
 	w.cloudFaults.Store(&CloudFaults{})
 }
 
-func (w *World) troubleSampler(fault Fault, machine *samplerMachine, faults SamplerFaults) {
+// applySamplerFaults applies faults of a sampler for the fault's duration.
+func (w *World) applySamplerFaults(fault Fault, machine *samplerMachine, faults SamplerFaults) {
 	machine.sampler.SetFaults(faults)
 	time.Sleep(fault.For)
 	machine.sampler.SetFaults(SamplerFaults{})
 }
 
-// silentBeats is how long the entry of a sampler outlasts its end.
+// silentBeats is the number of heartbeat intervals for which the entry of a crashed sampler
+// remains.
 const silentBeats = 3
 
+// crashSampler crashes a sampler, removes its entry once that has expired, and restarts the sampler
+// after the fault's duration.
 func (w *World) crashSampler(fault Fault, machine *samplerMachine) {
 	if !w.claim(machine) {
 		return
@@ -369,7 +385,7 @@
 	w.startSampler(machine)
 }
 
-// replaceSampler drains a sampler and starts another at its address.
+// replaceSampler drains a sampler, stops it and starts another one at its address.
 func (w *World) replaceSampler(_ Fault, machine *samplerMachine) {
 	if !w.claim(machine) {
 		return
@@ -384,5 +400,5 @@
 	w.startSampler(machine)
 }
 
-// AnyKind draws a kind of fault.
+// AnyKind returns a random kind of fault.
 func AnyKind(random *rand.Rand) FaultKind { return FaultKind(random.IntN(int(faultKinds))) }
--- a/internal/platformsim/group.go
+++ b/internal/platformsim/group.go
@@ -10,29 +10,31 @@
 	"github.com/pathbend/pathbend/platform"
 )
 
-// group deals the partitions of one topic out to its members.
+// group is a consumer group: it assigns the partitions of one topic to its members.
 type group struct {
 	topic      string
 	generation uint64
 	members    map[string]*groupMember
-	parts      [storeParts]dealt
+	partitions [storeParts]partitionAssignment
 }
 
+// groupMember is a member of a group. It is removed if it does not join again within its TTL.
 type groupMember struct {
-	expires time.Time
-	ttl     time.Duration
-	heard   uint64
+	expiresAt time.Time
+	ttl       time.Duration
+	// acknowledged is the newest generation that the member has seen.
+	acknowledged uint64
 }
 
-// dealt is a partition with its member. A partition that is to move passes on
-// once its member has heard of it or is gone.
-type dealt struct {
-	member string
-	next   string
-	since  uint64
+// partitionAssignment is the member of a partition. A partition moves to nextMember once its
+// member has seen moveGeneration, in which the move began, or has left the group.
+type partitionAssignment struct {
+	member         string
+	nextMember     string
+	moveGeneration uint64
 }
 
-// serveGroup serves joins and leaves.
+// serveGroup serves requests of members to join or leave a group.
 func (s *Store) serveGroup(writer http.ResponseWriter, request *http.Request, body []byte) {
 	var document platform.JoinDocument
 	if json.Unmarshal(body, &document) != nil {
@@ -41,21 +43,22 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	dealing, known := s.groups[document.Group]
+	consumers, known := s.groups[document.Group]
 	if !known {
-		dealing = &group{members: make(map[string]*groupMember)}
-		s.groups[document.Group] = dealing
+		consumers = &group{members: make(map[string]*groupMember)}
+		s.groups[document.Group] = consumers
 	}
 	if request.URL.Path == platform.PathLeave {
-		dealing.remove(document.Member)
-		dealing.deal()
+		consumers.remove(document.Member)
+		consumers.balance()
 		return
 	}
-	dealing.topic = document.Topics[0]
-	dealing.join(document, time.Now())
-	writeDocument(writer, dealing.share(document.Member))
+	consumers.topic = document.Topics[0]
+	consumers.join(document, time.Now())
+	writeDocument(writer, consumers.assignmentOf(document.Member))
 }
 
+// join adds a member or renews its TTL, and completes the moves that it has seen.
 func (g *group) join(document platform.JoinDocument, now time.Time) {
 	g.expire(now)
 	member, known := g.members[document.Member]
@@ -65,158 +68,166 @@
 		g.generation++
 	}
 	member.ttl = time.Duration(document.TTLMS) * time.Millisecond
-	member.expires, member.heard = now.Add(member.ttl), document.Generation
-	g.deal()
-	g.pass()
+	member.expiresAt, member.acknowledged = now.Add(member.ttl), document.Generation
+	g.balance()
+	g.completeMoves()
 }
 
-// expire drops the members that were silent for too long.
+// expire removes the members whose TTL has passed.
 func (g *group) expire(now time.Time) {
 	for _, name := range slices.Sorted(maps.Keys(g.members)) {
-		if now.After(g.members[name].expires) {
+		if now.After(g.members[name].expiresAt) {
 			g.remove(name)
 		}
 	}
 }
 
+// remove removes a member and unassigns its partitions.
 func (g *group) remove(name string) {
 	if _, known := g.members[name]; !known {
 		return
 	}
 	delete(g.members, name)
 	g.generation++
-	for i := range g.parts {
-		if g.parts[i].member == name {
-			g.parts[i].member = ""
+	for i := range g.partitions {
+		if g.partitions[i].member == name {
+			g.partitions[i].member = ""
 		}
-		if g.parts[i].next == name {
-			g.parts[i].next = ""
+		if g.partitions[i].nextMember == name {
+			g.partitions[i].nextMember = ""
 		}
 	}
 }
 
-func (g *group) holds(name string) int {
+// assignedCount returns the number of partitions that a member has, with those that move to it and
+// without those that move away.
+func (g *group) assignedCount(name string) int {
 	count := 0
-	for i := range g.parts {
-		if g.parts[i].target() == name {
+	for i := range g.partitions {
+		if g.partitions[i].targetMember() == name {
 			count++
 		}
 	}
 	return count
 }
 
-func (d *dealt) target() string {
-	if d.next != "" {
-		return d.next
+// targetMember returns the member after a pending move, empty if there is none.
+func (a *partitionAssignment) targetMember() string {
+	if a.nextMember != "" {
+		return a.nextMember
 	}
-	return d.member
+	return a.member
 }
 
-// deal gives partitions without a member to those with the fewest, and moves
-// one where members differ by more than one.
-func (g *group) deal() {
+// balance assigns partitions without a member to the members that have the fewest, then starts
+// moves until the numbers of partitions differ by at most one.
+func (g *group) balance() {
 	names := slices.Sorted(maps.Keys(g.members))
 	if len(names) == 0 {
 		return
 	}
 	fewest := func() string {
-		return slices.MinFunc(names, func(a, b string) int { return g.holds(a) - g.holds(b) })
+		return slices.MinFunc(names, func(a, b string) int { return g.assignedCount(a) - g.assignedCount(b) })
 	}
-	for i := range g.parts {
-		if g.parts[i].target() == "" {
-			g.parts[i].member = fewest()
+	for i := range g.partitions {
+		if g.partitions[i].targetMember() == "" {
+			g.partitions[i].member = fewest()
 			g.generation++
 		}
 	}
 	for {
-		most := slices.MaxFunc(names, func(a, b string) int { return g.holds(a) - g.holds(b) })
+		most := slices.MaxFunc(names, func(a, b string) int { return g.assignedCount(a) - g.assignedCount(b) })
 		least := fewest()
-		if g.holds(most)-g.holds(least) <= 1 {
+		if g.assignedCount(most)-g.assignedCount(least) <= 1 {
 			return
 		}
-		for i := range g.parts {
-			if g.parts[i].target() == most {
-				g.move(i, least)
+		for i := range g.partitions {
+			if g.partitions[i].targetMember() == most {
+				g.startMove(i, least)
 				break
 			}
 		}
 	}
 }
 
-func (g *group) move(part int, to string) {
+// startMove starts the move of a partition in a new generation.
+func (g *group) startMove(partition int, to string) {
 	g.generation++
-	g.parts[part].next, g.parts[part].since = to, g.generation
+	g.partitions[partition].nextMember, g.partitions[partition].moveGeneration = to, g.generation
 }
 
-// pass hands over the partitions whose member has heard that they move.
-func (g *group) pass() {
-	for i := range g.parts {
-		part := &g.parts[i]
-		holder, present := g.members[part.member]
-		if part.next != "" && (!present || holder.heard >= part.since) {
-			part.member, part.next = part.next, ""
+// completeMoves moves the partitions whose member has seen the move or has left.
+func (g *group) completeMoves() {
+	for i := range g.partitions {
+		partition := &g.partitions[i]
+		holder, present := g.members[partition.member]
+		if partition.nextMember != "" && (!present || holder.acknowledged >= partition.moveGeneration) {
+			partition.member, partition.nextMember = partition.nextMember, ""
 		}
 	}
 }
 
-// rebalance deals all partitions anew at once, unasked: the former holders hear
-// of it at their next join.
-func (g *group) rebalance() {
+// reassignAll reassigns all partitions at once, without waiting for their members, which learn of
+// it at their next join.
+func (g *group) reassignAll() {
 	names := slices.Sorted(maps.Keys(g.members))
 	if len(names) == 0 {
 		return
 	}
 	g.generation++
-	for i := range g.parts {
-		g.parts[i] = dealt{member: names[(i+int(g.generation))%len(names)], since: g.generation}
+	for i := range g.partitions {
+		g.partitions[i] = partitionAssignment{member: names[(i+int(g.generation))%len(names)], moveGeneration: g.generation}
 	}
 }
 
-// serveOwners tells who holds what.
+// serveOwners returns the member of each partition of a group.
 func (s *Store) serveOwners(writer http.ResponseWriter, request *http.Request) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	document := platform.OwnersDocument{Parts: [][]json.RawMessage{}}
-	if dealing := s.groups[request.URL.Query().Get(platform.QueryGroup)]; dealing != nil {
-		dealing.expire(time.Now())
-		document.Parts = dealing.owners()
+	if consumers := s.groups[request.URL.Query().Get(platform.QueryGroup)]; consumers != nil {
+		consumers.expire(time.Now())
+		document.Parts = consumers.ownerRows()
 	}
 	writeDocument(writer, document)
 }
 
-func (g *group) owners() [][]json.RawMessage {
+// ownerRows returns a row for each partition that has a member.
+func (g *group) ownerRows() [][]json.RawMessage {
 	rows := [][]json.RawMessage{}
-	for i := range g.parts {
-		if g.parts[i].member != "" {
-			rows = append(rows, row(g.topic, i, g.parts[i].member, 0))
+	for i := range g.partitions {
+		if g.partitions[i].member != "" {
+			rows = append(rows, encodeRow(g.topic, i, g.partitions[i].member, 0))
 		}
 	}
 	return rows
 }
 
-func row(columns ...any) []json.RawMessage {
+// encodeRow encodes the columns of a row as JSON.
+func encodeRow(columns ...any) []json.RawMessage {
 	encoded := make([]json.RawMessage, len(columns))
 	for i, column := range columns {
-		// Texts and numbers can always be encoded.
+		// Encoding strings and integers cannot fail.
 		encoded[i], _ = json.Marshal(column)
 	}
 	return encoded
 }
 
-// Rebalance deals the partitions of every group anew.
+// Rebalance reassigns all partitions of every group at once.
 func (s *Store) Rebalance() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for _, dealing := range s.groups {
-		dealing.rebalance()
+	for _, consumers := range s.groups {
+		consumers.reassignAll()
 	}
 }
 
-func (g *group) share(member string) platform.ShareDocument {
+// assignmentOf returns the partitions of a member, without those that move away.
+func (g *group) assignmentOf(member string) platform.ShareDocument {
 	document := platform.ShareDocument{Generation: g.generation, Parts: [][]json.RawMessage{}}
-	for i := range g.parts {
-		if g.parts[i].member == member && g.parts[i].next == "" {
-			document.Parts = append(document.Parts, row(g.topic, i, 0))
+	for i := range g.partitions {
+		if g.partitions[i].member == member && g.partitions[i].nextMember == "" {
+			document.Parts = append(document.Parts, encodeRow(g.topic, i, 0))
 		}
 	}
 	return document
--- a/internal/platformsim/homes.go
+++ b/internal/platformsim/homes.go
@@ -5,9 +5,9 @@
 	"strings"
 )
 
-// home returns the region to which the caller's requests under a prefix are bound, empty
-// for none.
-func (c *caller) home(prefix string) string {
+// boundRegion returns the region to which the caller's requests with a path prefix are bound,
+// empty if they are not bound.
+func (c *caller) boundRegion(prefix string) string {
 	switch {
 	case c.world.options.Regions == nil:
 		return ""
@@ -19,8 +19,9 @@
 	return ""
 }
 
-// Bind notes the region to which a request or an item is bound.
-func (t *Truth) Bind(id, region string) {
+// BindRegion records the region to which a request or an item is bound. An empty region does not
+// bind it.
+func (t *Truth) BindRegion(id, region string) {
 	if region == "" {
 		return
 	}
@@ -29,61 +30,63 @@
 	t.homes[id] = region
 }
 
-// judgeHome rules on the region of the sampler that a request reached.
+// judgeHome checks that a bound request reached a sampler of its region.
 func (t *Truth) judgeHome(id, sampler, zone string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if home := t.homes[id]; home != "" {
+	if region := t.homes[id]; region != "" {
 		t.counts["bound arrivals"]++
-		if t.regions[zone] != home {
-			t.broken("HOME", "request %s, bound to %s, reached sampler %s in zone %s", id, home, sampler, zone)
+		if t.regions[zone] != region {
+			t.broken("HOME", "request %s, bound to %s, reached sampler %s in zone %s", id, region, sampler, zone)
 		}
 	}
 }
 
-// bodyOf is what the body of an item holds.
-const bodyOf = "prompt of "
+// itemBodyPrefix precedes the item's id in the body of an item.
+const itemBodyPrefix = "prompt of "
 
-var bodies = regexp.MustCompile(bodyOf + "(i[0-9a-f]+)")
+var itemBodyPattern = regexp.MustCompile(itemBodyPrefix + "(i[0-9a-f]+)")
 
-// sources knows whose calls come from an address, where machines share one.
-type sources interface {
-	// MachineAt returns the machine whose calls to the store come from an address, empty
-	// for none.
+// machineResolver is implemented by surroundings in which the address of a call to the store is
+// not that of the machine that makes it.
+type machineResolver interface {
+	// MachineAt returns the machine whose calls to the store come from an address, empty if
+	// there is none.
 	MachineAt(address string) string
 }
 
-// handed judges records that the store hands to the machine at an address.
+// handed checks records that the store returns to the machine at an address.
 func (w *World) handed(address string, records []byte) {
-	if known, ok := w.network.(sources); ok {
-		address = known.MachineAt(address)
+	if resolver, ok := w.network.(machineResolver); ok {
+		address = resolver.MachineAt(address)
 	}
 	if address != "" {
-		w.Truth.judgeHanded(address, records)
+		w.Truth.checkDeliveredRecords(address, records)
 	}
 }
 
-// judgeHanded rules on records that the store hands to a node. No client of this world
-// asks for bodies.
-func (t *Truth) judgeHanded(node string, records []byte) {
+// checkDeliveredRecords checks that records returned to a node contain no body of an item that is
+// bound to another region. No client of this world reads bodies from the store, so every body is
+// read by a node for itself.
+func (t *Truth) checkDeliveredRecords(node string, records []byte) {
 	if t.regions == nil {
 		return
 	}
 	zone := ZoneOf(node)
-	for _, found := range bodies.FindAllSubmatch(records, -1) {
-		id := string(found[1])
+	for _, match := range itemBodyPattern.FindAllSubmatch(records, -1) {
+		id := string(match[1])
 		t.mutex.Lock()
-		if home := t.homes[id]; home != "" {
+		if region := t.homes[id]; region != "" {
 			t.counts["bound bodies"]++
-			if t.regions[zone] != home {
-				t.broken("HOME", "the body of item %s, bound to %s, went to %s", id, home, node)
+			if t.regions[zone] != region {
+				t.broken("HOME", "the body of item %s, bound to %s, went to %s", id, region, node)
 			}
 		}
 		t.mutex.Unlock()
 	}
 }
 
-// ZoneOf is the zone in the name of a node.
+// ZoneOf returns the zone in the name of a node, empty if the name contains none.
 func ZoneOf(node string) string {
 	parts := strings.Split(node, "-")
 	if len(parts) < 2 {
--- a/internal/platformsim/lateness.go
+++ b/internal/platformsim/lateness.go
@@ -6,62 +6,63 @@
 )
 
 const (
-	// beatInterval is how often WatchLateness asks to be woken.
-	beatInterval = 20 * time.Millisecond
-	// latenessKept is how long a late wake counts: longer than the bounds that it widens.
-	latenessKept = 5 * time.Second
+	// wakeInterval is the sleep time whose overrun is measured as wake-up delay.
+	wakeInterval = 20 * time.Millisecond
+	// wakeDelayRetention is how long a wake-up delay counts. It must be longer than the bounds
+	// that the delay widens.
+	wakeDelayRetention = 5 * time.Second
 )
 
 // lateWake is a timer that fired late.
 type lateWake struct {
-	at time.Time
-	by time.Duration
+	at    time.Time
+	delay time.Duration
 }
 
-// WatchLateness measures how late this machine wakes a program, until ctx ends. Bounds are
-// judged that much wider: a program cannot be punctual on a machine that is not. Timers of
-// a virtual clock are never late.
+// WatchLateness measures by how much timers fire late on this machine, until ctx ends. Time
+// bounds are widened by this delay, since a program cannot react faster than the machine schedules
+// it. Timers of a virtual clock are never late.
 func (t *Truth) WatchLateness(ctx context.Context) {
 	for ctx.Err() == nil {
 		began := time.Now()
-		time.Sleep(beatInterval)
-		t.Late(time.Since(began) - beatInterval)
+		time.Sleep(wakeInterval)
+		t.RecordWakeDelay(time.Since(began) - wakeInterval)
 	}
 }
 
-// Late notes that this machine wakes programs late.
-func (t *Truth) Late(by time.Duration) {
+// RecordWakeDelay records by how much a timer fired late.
+func (t *Truth) RecordWakeDelay(delay time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	now := time.Now()
-	for len(t.late) > 0 && now.Sub(t.late[0].at) > latenessKept {
+	for len(t.late) > 0 && now.Sub(t.late[0].at) > wakeDelayRetention {
 		t.late = t.late[1:]
 	}
-	// A later wake that is as late stands for the ones before it.
-	for len(t.late) > 0 && t.late[len(t.late)-1].by <= by {
+	// Drop earlier delays that are not longer: the new one outlives them.
+	for len(t.late) > 0 && t.late[len(t.late)-1].delay <= delay {
 		t.late = t.late[:len(t.late)-1]
 	}
-	t.late = append(t.late, lateWake{at: now, by: by})
-	t.latest = max(t.latest, by)
+	t.late = append(t.late, lateWake{at: now, delay: delay})
+	t.latest = max(t.latest, delay)
 }
 
-// lateness is how late the machine was of late. It is called under the lock.
+// lateness returns the longest wake-up delay within wakeDelayRetention. The caller holds t.mutex.
 func (t *Truth) lateness(now time.Time) time.Duration {
 	for _, wake := range t.late {
-		if now.Sub(wake.at) <= latenessKept {
-			return max(wake.by, 0)
+		if now.Sub(wake.at) <= wakeDelayRetention {
+			return max(wake.delay, 0)
 		}
 	}
 	return 0
 }
 
-// Latest is the latest that this machine ever woke a program.
+// Latest returns the longest wake-up delay of the whole run.
 func (t *Truth) Latest() time.Duration {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.latest
 }
 
-// allowance is given to what is measured at the far end of a link. It is called under the
-// lock.
+// allowance returns the tolerance for times that are measured at the far end of a link. The caller
+// holds t.mutex.
 func (t *Truth) allowance(now time.Time) time.Duration { return slack + t.lateness(now) }
--- a/internal/platformsim/lost.go
+++ b/internal/platformsim/lost.go
@@ -12,44 +12,46 @@
 	"github.com/pathbend/pathbend/platform"
 )
 
-// Where trouble lies, beside the machines of nodes.
+// Places of disruptions, besides the names of nodes' machines.
 const (
 	atStore = ""
-	// AtSamplers stands for any sampler.
+	// AtSamplers stands for all samplers.
 	AtSamplers = "samplers"
-	// atOperator are changes that the operator makes.
+	// atOperator stands for changes that the operator makes.
 	atOperator = "operator"
 )
 
-// trouble is what a run does to a place for a time.
+// trouble is a disruption: a fault that a run applies to a place until a time.
 type trouble struct {
 	place, name string
 	until       time.Time
-	// planned is set for work that must cut nothing.
+	// planned is set for maintenance that must not cut requests in progress.
 	planned bool
 }
 
-// Trouble notes what is done to a place until a time, or until it is called over if that
-// is later.
-func (t *Truth) Trouble(place, name string, until time.Time, planned bool) (over func()) {
+// Trouble records a disruption of a place. It lasts until a time, or until the returned function
+// is called if that is later.
+func (t *Truth) Trouble(place, name string, until time.Time, planned bool) (end func()) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	noted := &trouble{place: place, name: name, until: until, planned: planned}
-	t.troubles = append(t.troubles, noted)
+	recorded := &trouble{place: place, name: name, until: until, planned: planned}
+	t.troubles = append(t.troubles, recorded)
 	return func() {
 		t.mutex.Lock()
 		defer t.mutex.Unlock()
-		noted.until = maxTime(noted.until, time.Now())
+		recorded.until = maxTime(recorded.until, time.Now())
 	}
 }
 
-// troubleSince returns the newest trouble that may show in a call from a time on, of the
-// first of some places that has any, nil if there is none. It is called under the lock.
-func (t *Truth) troubleSince(began time.Time, class lossClass, places ...string) *trouble {
+// recentDisruption returns the newest disruption that may have caused the failure of a call that
+// began at a time, nil if there is none. Earlier places take precedence. A disruption counts until
+// touchTime after its end; a planned one only for calls that were not accepted or were refused.
+// The caller holds t.mutex.
+func (t *Truth) recentDisruption(began time.Time, class failureClass, places ...string) *trouble {
 	for _, place := range places {
 		for _, known := range slices.Backward(t.troubles) {
-			counts := known.place == place && (!known.planned || class == lossNotAccepted || class == refusal)
-			if counts && began.Sub(known.until) < touchTime+t.lateness(time.Now()) {
+			applies := known.place == place && (!known.planned || class == failureNotAccepted || class == failureRefused)
+			if applies && began.Sub(known.until) < touchTime+t.lateness(time.Now()) {
 				return known
 			}
 		}
@@ -57,109 +59,111 @@
 	return nil
 }
 
-// lossClass is how a call ended that got no complete answer.
-type lossClass string
+// failureClass is how a call failed.
+type failureClass string
 
 const (
-	lossNotAccepted lossClass = "not accepted"
-	lossTimeOut     lossClass = "timed out"
-	lossCut         lossClass = "cut"
-	// refusal stands for an answer that is no success.
-	refusal lossClass = "refused"
+	failureNotAccepted   failureClass = "not accepted"
+	failureTimedOut      failureClass = "timed out"
+	failureConnectionCut failureClass = "cut"
+	// failureRefused is a complete response with an error status.
+	failureRefused failureClass = "refused"
 )
 
-// refusals knows connections that nobody accepted, where a link stands between a caller
-// and its node.
-type refusals interface {
-	// Refused reports whether the connection of a caller's address found no listener.
+// refusalReporter is implemented by surroundings in which a proxy between a caller and its node
+// accepts connections that the node does not.
+type refusalReporter interface {
+	// Refused reports whether the connection from a caller's address reached no listener.
 	Refused(address string) bool
 }
 
-// classOf returns how a call over a connection of the caller's address ended.
-func (w *World) classOf(err error, local string) lossClass {
-	if known, ok := w.network.(refusals); ok && known.Refused(local) {
-		return lossNotAccepted
+// failureClassOf classifies the error of a call over a connection from the caller's address.
+func (w *World) failureClassOf(err error, localAddress string) failureClass {
+	if reporter, ok := w.network.(refusalReporter); ok && reporter.Refused(localAddress) {
+		return failureNotAccepted
 	}
-	var wire net.Error
-	var call *net.OpError
+	var networkError net.Error
+	var operation *net.OpError
 	switch {
-	case errors.As(err, &call) && call.Op == "dial" && !call.Timeout():
-		return lossNotAccepted
-	case errors.As(err, &wire) && wire.Timeout():
-		return lossTimeOut
+	case errors.As(err, &operation) && operation.Op == "dial" && !operation.Timeout():
+		return failureNotAccepted
+	case errors.As(err, &networkError) && networkError.Timeout():
+		return failureTimedOut
 	}
-	return lossCut
+	return failureConnectionCut
 }
 
-// judgeLoss names the cause of a request that got no complete answer, and rules on it:
-// a trouble of the machine that took it, or of the store, excuses it. Planned work only
-// excuses a connection that nobody accepted; a sampler that breaks off, an answer cut.
-func (t *Truth) judgeLoss(got answered, id string, class lossClass) {
+// checkLostRequest records the cause of a request that got no complete response, and reports a
+// violation if there is none. A disruption of the called machine or the store excuses the loss, but
+// planned maintenance excuses only a connection that was not accepted. A disruption of samplers
+// excuses only a response that was cut.
+func (t *Truth) checkLostRequest(result answered, id string, class failureClass) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.counts["requests lost"]++
-	late := t.lateness(time.Now())
-	places := []string{got.node, atStore}
-	if class == lossCut {
+	wakeDelay := t.lateness(time.Now())
+	places := []string{result.node, atStore}
+	if class == failureConnectionCut {
 		places = append(places, AtSamplers)
 	}
-	cause := t.troubleSince(got.began, class, places...)
+	cause := t.recentDisruption(result.began, class, places...)
 	switch {
 	case cause != nil:
 		t.causes[fmt.Sprintf("%s during %s", class, cause.name)]++
-	case class == lossTimeOut && late > callTimeout-requestDeadline-answerMargin:
+	case class == failureTimedOut && wakeDelay > callTimeout-requestDeadline-answerMargin:
 		t.causes[fmt.Sprintf("%s on a machine that was late", class)]++
 	default:
 		t.causes[fmt.Sprintf("%s without trouble", class)]++
-		t.broken("LOST", "request %s at %s was %s after %v, without trouble there or at the store", id, got.node, class, time.Since(got.began))
+		t.broken("LOST", "request %s at %s was %s after %v, without a disruption there or at the store", id, result.node, class, time.Since(result.began))
 	}
 }
 
-// answerMargin is kept free of the time between a request's deadline and the end of its
-// caller's patience.
+// answerMargin is the part of the time between a request's deadline and its caller's timeout that
+// wake-up delays must leave free.
 const answerMargin = 100 * time.Millisecond
 
-// judgeRefusal names the cause of a request that was refused, and rules on it: some trouble
-// must be under way.
-func (t *Truth) judgeRefusal(got answered, id string) {
+// checkRefusedRequest records the cause of a refused request, and reports a violation if there is
+// no recent disruption.
+func (t *Truth) checkRefusedRequest(result answered, id string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.counts["requests refused"]++
-	what := refusalOf(got)
-	cause := t.troubleSince(got.began, refusal, got.node, atStore, AtSamplers, atOperator)
+	refusal := describeRefusal(result)
+	cause := t.recentDisruption(result.began, failureRefused, result.node, atStore, AtSamplers, atOperator)
 	switch {
 	case cause != nil:
-		t.causes[what+" during "+cause.name]++
+		t.causes[refusal+" during "+cause.name]++
 	case t.lateness(time.Now()) > answerMargin:
-		t.causes[what+" on a machine that was late"]++
+		t.causes[refusal+" on a machine that was late"]++
 	default:
-		t.causes[what+" without trouble"]++
-		t.broken("LOST", "request %s at %s got %s after %v, without trouble", id, got.node, what, time.Since(got.began))
+		t.causes[refusal+" without trouble"]++
+		t.broken("LOST", "request %s at %s got %s after %v, without a disruption", id, result.node, refusal, time.Since(result.began))
 	}
 }
 
-// refusalOf names an answer that is no success.
-func refusalOf(got answered) string {
-	if got.header.Get(platform.HeaderStamp) != "" {
-		return fmt.Sprintf("a sampler's %d", got.status)
+// describeRefusal describes a response with an error status: the status of a back end, or the
+// code and name of a node's error.
+func describeRefusal(result answered) string {
+	if result.header.Get(platform.HeaderStamp) != "" {
+		return fmt.Sprintf("a sampler's %d", result.status)
 	}
 	var body struct {
 		Code int    `json:"code"`
 		Name string `json:"name"`
 	}
-	if json.Unmarshal(got.body, &body) != nil || body.Code == 0 {
-		return fmt.Sprintf("%d without a code", got.status)
+	if json.Unmarshal(result.body, &body) != nil || body.Code == 0 {
+		return fmt.Sprintf("%d without a code", result.status)
 	}
 	return fmt.Sprintf("%d %s", body.Code, body.Name)
 }
 
-// Causes counts the causes of lost and refused requests.
+// Causes returns how many requests were lost or refused for each cause.
 func (t *Truth) Causes() map[string]int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	counted := make(map[string]int, len(t.causes))
+	counts := make(map[string]int, len(t.causes))
 	for cause, count := range t.causes {
-		counted[cause] = count
+		counts[cause] = count
 	}
-	return counted
+	return counts
 }
