--- a/internal/metering/clock.go
+++ b/internal/metering/clock.go
@@ -6,68 +6,72 @@
 )
 
 const (
-	// stepSize is how far the time of day must jump to be a step: drift and its
-	// correction stay below.
-	stepSize = 300 * time.Millisecond
-	// stepTrust is how long a step must last until it is taken for the true time:
-	// machines' clocks were seen to jump by seconds and back after some seconds.
-	stepTrust = 30 * time.Second
+	// minStep is the smallest step of the wall clock that counts as a step. Drift and its
+	// correction stay below it.
+	minStep = 300 * time.Millisecond
+	// stepConfirmTime is how long a step must persist before it is adopted, since the wall
+	// clock of a machine may step by seconds and return after some seconds.
+	stepConfirmTime = 30 * time.Second
 )
 
-// Clock tells the time of day without the jumps of the machine's clock: it goes on with
-// the steady clock from the first reading and follows a jump only once it has lasted. It
-// is safe for concurrent use.
+// Clock tells the time of day without the transient jumps of the machine's wall clock. It
+// advances with the monotonic clock from the first reading and adopts a step of the wall
+// clock only after the step has persisted for stepConfirmTime. It is safe for concurrent
+// use.
 type Clock struct {
-	// Now reads the machine's clock; its steady reading must be set.
+	// Now reads the machine's clock; its result must carry a monotonic clock reading.
 	Now func() time.Time
-	// Slept tells for how long the machine was suspended, which the steady reading does not
-	// count; nil if it never is.
+	// Slept returns for how long the machine has been suspended, which the monotonic clock
+	// does not count; nil if it never is.
 	Slept func() time.Duration
 
 	mutex sync.Mutex
-	// base is the reading that time is told from, slept the suspension before it, offset what
-	// a jump added since.
-	base      time.Time
-	slept     time.Duration
-	offset    time.Duration
-	steppedAt time.Time
-	stepped   time.Duration
+	// base is the first reading and baseSuspended the suspended time up to it. offset is the
+	// sum of the steps adopted since.
+	base          time.Time
+	baseSuspended time.Duration
+	offset        time.Duration
+	// candidateSince is when the offset candidateOffset was first seen; it is zero while no
+	// step is pending.
+	candidateSince  time.Time
+	candidateOffset time.Duration
 }
 
 // Read returns the time of day.
 func (c *Clock) Read() time.Time { return c.At(c.Now()) }
 
-// At returns the time of day of a reading of the machine's clock.
+// At returns the time of day for a reading of the machine's clock.
 func (c *Clock) At(reading time.Time) time.Time {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.base.IsZero() {
-		c.base, c.slept = reading, c.suspended()
+		c.base, c.baseSuspended = reading, c.suspendedTime()
 	}
-	steady := c.base.Round(0).Add(reading.Sub(c.base) + c.suspended() - c.slept)
-	c.follow(reading, reading.Round(0).Sub(steady))
-	return steady.Add(c.offset)
+	monotonic := c.base.Round(0).Add(reading.Sub(c.base) + c.suspendedTime() - c.baseSuspended)
+	c.adoptStep(reading, reading.Round(0).Sub(monotonic))
+	return monotonic.Add(c.offset)
 }
 
-func (c *Clock) suspended() time.Duration {
+func (c *Clock) suspendedTime() time.Duration {
 	if c.Slept == nil {
 		return 0
 	}
 	return c.Slept()
 }
 
-// follow takes the difference to the machine's clock over once it has lasted.
-func (c *Clock) follow(reading time.Time, difference time.Duration) {
-	jump := difference - c.offset
-	if jump.Abs() < stepSize {
-		c.steppedAt = time.Time{}
+// adoptStep makes the difference to the wall clock the offset once it has persisted for
+// stepConfirmTime. The caller holds c.mutex.
+func (c *Clock) adoptStep(reading time.Time, difference time.Duration) {
+	step := difference - c.offset
+	if step.Abs() < minStep {
+		c.candidateSince = time.Time{}
 		return
 	}
-	if c.steppedAt.IsZero() || (difference-c.stepped).Abs() >= stepSize {
-		c.steppedAt, c.stepped = reading, difference
+	if c.candidateSince.IsZero() || (difference-c.candidateOffset).Abs() >= minStep {
+		c.candidateSince, c.candidateOffset = reading, difference
 		return
 	}
-	if reading.Sub(c.steppedAt) >= stepTrust {
-		c.offset, c.steppedAt = difference, time.Time{}
+	if reading.Sub(c.candidateSince) >= stepConfirmTime {
+		c.offset, c.candidateSince = difference, time.Time{}
 	}
 }
--- a/internal/metering/clock_test.go
+++ b/internal/metering/clock_test.go
@@ -8,36 +8,36 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestClockIgnoresAJumpThatGoesAndFollowsOneThatStays(t *testing.T) {
+func TestClockIgnoresTransientStepsAndAdoptsPersistentOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		clock := &Clock{}
 		start := time.Now()
 		clock.base = start
-		read := func(jump time.Duration) time.Duration {
+		read := func(difference time.Duration) time.Duration {
 			reading := time.Now()
 			clock.mutex.Lock()
-			clock.follow(reading, jump)
+			clock.adoptStep(reading, difference)
 			offset := clock.offset
 			clock.mutex.Unlock()
 			return offset
 		}
 		require.Zero(t, read(0))
-		require.Zero(t, read(2*time.Second), "a jump")
+		require.Zero(t, read(2*time.Second), "new step")
 		time.Sleep(5 * time.Second)
 		require.Zero(t, read(2*time.Second))
-		require.Zero(t, read(0), "it went")
+		require.Zero(t, read(0), "step reverted")
 		time.Sleep(time.Minute)
-		require.Zero(t, read(2*time.Second), "another")
-		time.Sleep(stepTrust)
-		require.Equal(t, 2*time.Second, read(2*time.Second), "it stays")
-		require.Equal(t, 2*time.Second, read(2*time.Second+stepSize/2), "drift")
-		require.Equal(t, 2*time.Second, read(0), "back")
-		time.Sleep(stepTrust)
+		require.Zero(t, read(2*time.Second), "second step")
+		time.Sleep(stepConfirmTime)
+		require.Equal(t, 2*time.Second, read(2*time.Second), "step persisted")
+		require.Equal(t, 2*time.Second, read(2*time.Second+minStep/2), "drift below minStep")
+		require.Equal(t, 2*time.Second, read(0), "step back, not yet persisted")
+		time.Sleep(stepConfirmTime)
 		require.Zero(t, read(0))
 	})
 }
 
-func TestClockGoesOnSteadily(t *testing.T) {
+func TestClockAdvancesWithTheMonotonicClock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		clock := &Clock{Now: time.Now}
 		first := clock.Read()
@@ -47,14 +47,15 @@
 	})
 }
 
-// A node that was suspended closed its windows seconds late, until the jump of its clock had
-// lasted long enough to be followed.
-func TestClockGoesOnWhileTheMachineIsSuspended(t *testing.T) {
-	slept := time.Duration(0)
+// Guards against windows that are closed late after a suspension: the monotonic clock does
+// not count the suspended time, so the clock would be behind by it until the step of the wall
+// clock has persisted for stepConfirmTime.
+func TestClockCountsTheTimeOfASuspension(t *testing.T) {
+	suspended := time.Duration(0)
 	at := time.Now()
-	clock := &Clock{Now: func() time.Time { return at }, Slept: func() time.Duration { return slept }}
+	clock := &Clock{Now: func() time.Time { return at }, Slept: func() time.Duration { return suspended }}
 	first := clock.Read()
-	// The steady reading stands, the time of day goes on.
-	slept = 5 * time.Second
-	require.Equal(t, slept, clock.Read().Sub(first))
+	// The monotonic clock stands still while the time of day advances.
+	suspended = 5 * time.Second
+	require.Equal(t, suspended, clock.Read().Sub(first))
 }
--- a/internal/metering/counter.go
+++ b/internal/metering/counter.go
@@ -9,119 +9,126 @@
 )
 
 const (
-	// closeDelay is how long after its end a window stays open at a process: a request
-	// counts when its answer came, and a sampler's answer was lost or late by then.
+	// closeDelay is how long after its end a process keeps a window open. A request is
+	// counted when its response arrives; a sampler's response that has not arrived by then is
+	// lost or late.
 	closeDelay = 1500 * time.Millisecond
-	// keepWindows is how many windows a process keeps counts of: those of an outage of
-	// the log, and some more.
-	keepWindows = 64
-	// formerWindows is how many windows before its start a process closes: those that the
-	// former process of its node may have left open when it ended.
-	formerWindows = 2
+	// retainedWindows is how many windows back a process keeps its counts: enough for an
+	// outage of the log, with some margin.
+	retainedWindows = 64
+	// predecessorWindows is how many windows before its start a process closes, since the
+	// previous process of its node may have left them open when it ended.
+	predecessorWindows = 2
 )
 
 // Counter counts the requests of one process. It is not safe for concurrent use.
 type Counter struct {
-	node    string
-	process uint64
-	length  time.Duration
-	// sequence is that of the newest entry.
+	node      string
+	processID uint64
+	length    time.Duration
+	// sequence is the sequence number of the newest entry.
 	sequence uint64
-	windows  map[Window]*tally
-	// closed is the newest window that was closed.
-	closed Window
+	windows  map[Window]*windowCounts
+	// lastClosed is the newest window that was closed.
+	lastClosed Window
 }
 
-// tally is what a process knows of a window.
-type tally struct {
-	counts map[string]uint64
-	closed bool
-	// saved is set while the log is known to hold all this; sequence is that of the
-	// entry which was sent last.
-	saved    bool
+// windowCounts holds the counts of one process for one window.
+type windowCounts struct {
+	// byTenant is the number of requests by tenant.
+	byTenant map[string]uint64
+	closed   bool
+	// saved is set while the log is known to hold the current counts and closed flag.
+	saved bool
+	// sequence is the sequence number of the newest entry made for this window.
 	sequence uint64
 }
 
-// NewCounter returns a counter of a process that began to run at a time. process tells
-// it from others of its node.
-func NewCounter(node string, process uint64, length time.Duration, began time.Time) *Counter {
+// NewCounter returns the counter of a process that started at a time. processID
+// distinguishes the process from earlier ones of its node; length is that of a window.
+func NewCounter(node string, processID uint64, length time.Duration, startedAt time.Time) *Counter {
 	return &Counter{
-		node: node, process: process, length: length, windows: make(map[Window]*tally),
-		closed: WindowAt(began, length) - 1 - formerWindows,
+		node: node, processID: processID, length: length, windows: make(map[Window]*windowCounts),
+		lastClosed: WindowAt(startedAt, length) - 1 - predecessorWindows,
 	}
 }
 
-// Count counts a request of a tenant that began at a time.
-func (c *Counter) Count(tenant string, began time.Time) {
-	counted := c.window(WindowAt(began, c.length))
-	counted.counts[tenant]++
-	counted.saved = false
+// Count counts a request of a tenant in the window in which the request began.
+func (c *Counter) Count(tenant string, startedAt time.Time) {
+	counts := c.countsOf(WindowAt(startedAt, c.length))
+	counts.byTenant[tenant]++
+	counts.saved = false
 }
 
-func (c *Counter) window(number Window) *tally {
-	known, ok := c.windows[number]
+// countsOf returns the counts of a window, which it creates if there are none.
+func (c *Counter) countsOf(number Window) *windowCounts {
+	counts, ok := c.windows[number]
 	if !ok {
-		known = &tally{counts: make(map[string]uint64)}
-		c.windows[number] = known
+		counts = &windowCounts{byTenant: make(map[string]uint64)}
+		c.windows[number] = counts
 	}
-	return known
+	return counts
 }
 
-// Advance closes the windows that are over.
+// Advance closes the windows that ended at least closeDelay ago, also those without a
+// request, and drops those that are older than retainedWindows.
 func (c *Counter) Advance(now time.Time) {
 	newest := WindowAt(now.Add(-closeDelay), c.length) - 1
-	for number := max(c.closed+1, newest-keepWindows); number <= newest; number++ {
-		over := c.window(number)
-		over.closed, over.saved = true, false
+	for number := max(c.lastClosed+1, newest-retainedWindows); number <= newest; number++ {
+		ended := c.countsOf(number)
+		ended.closed, ended.saved = true, false
 	}
-	c.closed = max(c.closed, newest)
-	maps.DeleteFunc(c.windows, func(number Window, _ *tally) bool { return number < newest-keepWindows })
+	c.lastClosed = max(c.lastClosed, newest)
+	maps.DeleteFunc(c.windows, func(number Window, _ *windowCounts) bool { return number < newest-retainedWindows })
 }
 
-// Unsaved returns entries of the windows of which the log does not hold all, oldest
-// first. Each replaces what the log holds.
-func (c *Counter) Unsaved() []*pathbendv1.UsageCounts {
+// UnsavedEntries returns, oldest window first, an entry for each window whose current
+// counts are not known to be in the log. An entry holds the full counts of its window and
+// replaces earlier entries of this process.
+func (c *Counter) UnsavedEntries() []*pathbendv1.UsageCounts {
 	var entries []*pathbendv1.UsageCounts
 	for _, number := range slices.Sorted(maps.Keys(c.windows)) {
-		known := c.windows[number]
-		if known.saved {
+		counts := c.windows[number]
+		if counts.saved {
 			continue
 		}
 		c.sequence++
-		known.sequence = c.sequence
+		counts.sequence = c.sequence
 		entries = append(entries, &pathbendv1.UsageCounts{
-			Node: c.node, Process: c.process, Sequence: c.sequence, Window: int64(number), Closed: known.closed,
-			Counts: listed(known.counts),
+			Node: c.node, Process: c.processID, Sequence: c.sequence, Window: int64(number), Closed: counts.closed,
+			Counts: tenantCounts(counts.byTenant),
 		})
 	}
 	return entries
 }
 
-// Saved records that the log holds entries. A window that changed since stays unsaved.
-func (c *Counter) Saved(entries []*pathbendv1.UsageCounts) {
+// MarkSaved records that the log holds the entries. A window that changed after its entry
+// was made stays unsaved.
+func (c *Counter) MarkSaved(entries []*pathbendv1.UsageCounts) {
 	for _, entry := range entries {
-		known, ok := c.windows[Window(entry.Window)]
-		if ok && known.sequence == entry.Sequence && known.closed == entry.Closed && equal(known.counts, entry.Counts) {
-			known.saved = true
+		counts, ok := c.windows[Window(entry.Window)]
+		if ok && counts.sequence == entry.Sequence && counts.closed == entry.Closed && sameCounts(counts.byTenant, entry.Counts) {
+			counts.saved = true
 		}
 	}
 }
 
-// listed returns counts in the order of the tenants.
-func listed(counts map[string]uint64) []*pathbendv1.TenantCount {
-	rows := make([]*pathbendv1.TenantCount, 0, len(counts))
-	for _, tenant := range slices.Sorted(maps.Keys(counts)) {
-		rows = append(rows, &pathbendv1.TenantCount{Tenant: tenant, Requests: counts[tenant]})
+// tenantCounts returns the counts sorted by tenant.
+func tenantCounts(byTenant map[string]uint64) []*pathbendv1.TenantCount {
+	rows := make([]*pathbendv1.TenantCount, 0, len(byTenant))
+	for _, tenant := range slices.Sorted(maps.Keys(byTenant)) {
+		rows = append(rows, &pathbendv1.TenantCount{Tenant: tenant, Requests: byTenant[tenant]})
 	}
 	return rows
 }
 
-func equal(counts map[string]uint64, rows []*pathbendv1.TenantCount) bool {
-	if len(counts) != len(rows) {
+// sameCounts reports whether rows holds the counts byTenant.
+func sameCounts(byTenant map[string]uint64, rows []*pathbendv1.TenantCount) bool {
+	if len(byTenant) != len(rows) {
 		return false
 	}
 	for _, row := range rows {
-		if counts[row.Tenant] != row.Requests {
+		if byTenant[row.Tenant] != row.Requests {
 			return false
 		}
 	}
--- a/internal/metering/doc.go
+++ b/internal/metering/doc.go
@@ -1,12 +1,14 @@
-// Package metering counts, by tenant and window of the clock, the requests that back
-// ends began, and reports each window once to the platform.
+// Package metering counts the requests that back ends began, by tenant and fixed time
+// window, and reports each window once to the platform.
 //
-// Every process counts what it sent (Counter) and writes its counts into a topic of the
-// shared log soon after (Recorder). The node that holds the duty reads the topic (Book),
-// decides what is reported of a window once all processes have closed it or its time
-// runs out, writes that decision down, and sends whatever decision of the window stands
-// first in the log (Reporter). So two reports of a window never differ, whichever nodes
-// send them and however late.
+// Every process counts the requests it sent (Counter) and soon after appends its counts
+// to a topic of the shared log (Recorder). The node that holds the reporting duty sums
+// the entries of the topic (Aggregator). Once all processes have closed a window, or
+// shortly before its report is due, the node appends its decision on the content of the
+// report to the log and sends the first decision that the log holds for the window
+// (Reporter). Two reports of a window therefore never differ, whichever nodes send them
+// and however late.
 //
-// Counter and Book are pure; Recorder and Reporter are the loops that drive them.
+// Counter and Aggregator do no I/O and read no clock; Recorder and Reporter are the loops
+// that drive them.
 package metering
--- a/internal/metering/recorder.go
+++ b/internal/metering/recorder.go
@@ -14,73 +14,78 @@
 )
 
 const (
-	// saveTimeout bounds one append of counts. What was not answered is appended again.
+	// saveTimeout bounds one append of counts. Counts whose append was not acknowledged are
+	// appended again.
 	saveTimeout = 1500 * time.Millisecond
-	// lastSaveTimeout bounds the last append of a process that stops: it must end within
-	// the second that a planned stop leaves it.
-	lastSaveTimeout = 500 * time.Millisecond
+	// finalSaveTimeout bounds the last append of a process that stops. It must end within the
+	// 1 s that a planned stop leaves the process.
+	finalSaveTimeout = 500 * time.Millisecond
 )
 
-// Recorder writes a process's counts into the log. It is safe for concurrent use.
+// Recorder appends the counts of a process to the shared log. It is safe for concurrent use.
 type Recorder struct {
 	Log       sharedlog.Log
 	Partition sharedlog.Partition
 	Clock     *Clock
-	// Pause is how long counts are gathered before they are written. What a process
-	// gathered is lost when it is killed.
+	// Pause returns the time for which counts are gathered before they are appended. Counts
+	// that a process has not appended are lost when it is killed.
 	Pause  func() time.Duration
 	Logger *event.Logger
 
 	mutex   sync.Mutex
 	counter *Counter
-	// failing is set while appends fail.
+	// failing is set if the last append failed.
 	failing bool
 }
 
-// NewRecorder returns a recorder of a process's counter.
+// NewRecorder returns a recorder for the counter of a process. The caller sets the
+// exported fields before use.
 func NewRecorder(counter *Counter) *Recorder { return &Recorder{counter: counter} }
 
-// Count counts a request of a tenant that began at a reading of the machine's clock.
-func (r *Recorder) Count(tenant string, began time.Time) {
+// Count counts a request of a tenant. startedAt is a reading of the machine's clock at the
+// begin of the request.
+func (r *Recorder) Count(tenant string, startedAt time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.counter.Count(tenant, r.Clock.At(began))
+	r.counter.Count(tenant, r.Clock.At(startedAt))
 }
 
-// Run writes counts until ctx ends, and once more then.
+// Run appends counts until ctx ends, and then once more.
 func (r *Recorder) Run(ctx context.Context) {
 	for wait.For(ctx, r.Pause()) {
 		r.save(ctx, saveTimeout)
 	}
-	r.save(context.WithoutCancel(ctx), lastSaveTimeout)
+	r.save(context.WithoutCancel(ctx), finalSaveTimeout)
 }
 
+// save appends the unsaved counts within the timeout and marks them as saved.
 func (r *Recorder) save(ctx context.Context, timeout time.Duration) {
-	entries := r.unsaved()
+	entries := r.unsavedEntries()
 	if len(entries) == 0 {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	if err := appendEntries(ctx, r.Log, r.Partition, countedEntries(entries)); err != nil {
-		r.noteFailure(err)
+		r.logFailure(err)
 		return
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.failing = false
-	r.counter.Saved(entries)
+	r.counter.MarkSaved(entries)
 }
 
-func (r *Recorder) unsaved() []*pathbendv1.UsageCounts {
+// unsavedEntries closes the windows that have ended and returns the unsaved entries.
+func (r *Recorder) unsavedEntries() []*pathbendv1.UsageCounts {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.counter.Advance(r.Clock.Read())
-	return r.counter.Unsaved()
+	return r.counter.UnsavedEntries()
 }
 
-// noteFailure logs the first failure in a row.
-func (r *Recorder) noteFailure(err error) {
+// logFailure logs the first of consecutive failures.
+func (r *Recorder) logFailure(err error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if !r.failing {
@@ -89,14 +94,16 @@
 	r.failing = true
 }
 
+// countedEntries wraps counts in log entries.
 func countedEntries(counts []*pathbendv1.UsageCounts) []*pathbendv1.UsageEntry {
 	entries := make([]*pathbendv1.UsageEntry, 0, len(counts))
-	for _, counted := range counts {
-		entries = append(entries, &pathbendv1.UsageEntry{Fact: &pathbendv1.UsageEntry_Counted{Counted: counted}})
+	for _, entry := range counts {
+		entries = append(entries, &pathbendv1.UsageEntry{Fact: &pathbendv1.UsageEntry_Counted{Counted: entry}})
 	}
 	return entries
 }
 
+// appendEntries appends the entries to the partition in one call.
 func appendEntries(ctx context.Context, log sharedlog.Log, partition sharedlog.Partition, entries []*pathbendv1.UsageEntry) error {
 	records := make([][]byte, 0, len(entries))
 	for _, entry := range entries {
--- a/internal/metering/reporter_test.go
+++ b/internal/metering/reporter_test.go
@@ -16,22 +16,22 @@
 	"github.com/pathbend/pathbend/internal/sharedlog"
 )
 
-// memoryLog keeps the records of one partition.
+// memoryLog is a log of one partition in memory, which can be made unavailable.
 type memoryLog struct {
 	sharedlog.Log
 
-	mutex   sync.Mutex
-	records [][]byte
-	down    bool
+	mutex       sync.Mutex
+	records     [][]byte
+	unavailable bool
 }
 
-var errDown = errors.New("down")
+var errUnavailable = errors.New("unavailable")
 
 func (l *memoryLog) Append(_ context.Context, _ sharedlog.Partition, records [][]byte) (uint64, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.down {
-		return 0, errDown
+	if l.unavailable {
+		return 0, errUnavailable
 	}
 	l.records = append(l.records, records...)
 	return uint64(len(l.records) - len(records)), nil
@@ -40,16 +40,16 @@
 func (l *memoryLog) Read(_ context.Context, _ sharedlog.Partition, from uint64, _ time.Duration) (sharedlog.Batch, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.down {
-		return sharedlog.Batch{}, errDown
+	if l.unavailable {
+		return sharedlog.Batch{}, errUnavailable
 	}
 	return sharedlog.Batch{Records: l.records[from:], End: uint64(len(l.records))}, nil
 }
 
-func (l *memoryLog) setDown(down bool) {
+func (l *memoryLog) setUnavailable(unavailable bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.down = down
+	l.unavailable = unavailable
 }
 
 // ReadFailed implements sharedlog.Observer.
@@ -58,98 +58,100 @@
 // ReadRecovered implements sharedlog.Observer.
 func (l *memoryLog) ReadRecovered(sharedlog.Partition, time.Duration) {}
 
-// holding is a holder that may act while it is set.
-type holding struct {
-	mutex sync.Mutex
-	right duty.Right
-	may   bool
+// fakeHolder is a duty holder whose state is set by the test.
+type fakeHolder struct {
+	mutex  sync.Mutex
+	permit duty.Right
+	held   bool
 }
 
-func (h *holding) MayAct(time.Time) bool {
+func (h *fakeHolder) MayAct(time.Time) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	return h.may
+	return h.held
 }
 
-func (h *holding) Claim(context.Context, string) (duty.Right, bool) {
+func (h *fakeHolder) Claim(context.Context, string) (duty.Right, bool) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	return h.right, h.may
+	return h.permit, h.held
 }
 
-func (h *holding) set(may bool) {
+func (h *fakeHolder) setHeld(held bool) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.may = may
+	h.held = held
 }
 
-// platformStub records what reports it took.
-type platformStub struct {
-	mutex   sync.Mutex
-	taken   []*pathbendv1.UsageReport
-	takenAt []time.Time
-	failing bool
+// fakePlatform records the reports that it accepted.
+type fakePlatform struct {
+	mutex      sync.Mutex
+	accepted   []*pathbendv1.UsageReport
+	acceptedAt []time.Time
+	failing    bool
 }
 
-func (p *platformStub) ReportUsage(_ context.Context, _ duty.Right, report *pathbendv1.UsageReport) error {
+func (p *fakePlatform) ReportUsage(_ context.Context, _ duty.Right, report *pathbendv1.UsageReport) error {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.failing {
-		return errDown
+		return errUnavailable
 	}
-	p.taken = append(p.taken, report)
-	p.takenAt = append(p.takenAt, time.Now())
+	p.accepted = append(p.accepted, report)
+	p.acceptedAt = append(p.acceptedAt, time.Now())
 	return nil
 }
 
-func (p *platformStub) setFailing(failing bool) {
+func (p *fakePlatform) setFailing(failing bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.failing = failing
 }
 
-func (p *platformStub) reports() []*pathbendv1.UsageReport {
+func (p *fakePlatform) reports() []*pathbendv1.UsageReport {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return append([]*pathbendv1.UsageReport(nil), p.taken...)
+	return append([]*pathbendv1.UsageReport(nil), p.accepted...)
 }
 
-const late = 10 * time.Second
+// reportDueAfter is how long after the end of a window its report is due.
+const reportDueAfter = 10 * time.Second
 
-// cluster is a platform with nodes that share a log.
+// cluster is a set of nodes that share a log and report to one platform.
 type cluster struct {
 	log      *memoryLog
-	platform *platformStub
+	platform *fakePlatform
 }
 
-// node starts a node that counts, and reports while its holder may act.
-func (g *cluster) node(ctx context.Context, name string, fence uint64) (*Recorder, *holding) {
-	gather := func() time.Duration { return 300 * time.Millisecond }
+// startNode starts a node that counts requests, and reports windows while its duty holder is
+// set.
+func (c *cluster) startNode(ctx context.Context, name string, fence uint64) (*Recorder, *fakeHolder) {
+	gatherInterval := func() time.Duration { return 300 * time.Millisecond }
 	clock := &Clock{Now: time.Now}
 	recorder := NewRecorder(NewCounter(name, fence, length, clock.Read()))
-	recorder.Log, recorder.Clock, recorder.Pause, recorder.Logger = g.log, clock, gather, event.Discard()
-	holder := &holding{right: duty.Right{Holder: name, Fence: fence}}
+	recorder.Log, recorder.Clock, recorder.Pause, recorder.Logger = c.log, clock, gatherInterval, event.Discard()
+	holder := &fakeHolder{permit: duty.Right{Holder: name, Fence: fence}}
 	reporter := &Reporter{
-		Log: g.log, Observer: g.log, Holder: holder, Sender: g.platform, Clock: clock, Logger: event.Discard(),
-		Length: length, Late: late, Gather: gather,
+		Log: c.log, Observer: c.log, Holder: holder, Sender: c.platform, Clock: clock, Logger: event.Discard(),
+		Length: length, Late: reportDueAfter, Gather: gatherInterval,
 	}
 	go recorder.Run(ctx)
 	go reporter.Run(ctx)
 	return recorder, holder
 }
 
-func withCluster(t *testing.T, play func(ctx context.Context, g *cluster)) {
+func withCluster(t *testing.T, run func(ctx context.Context, c *cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer synctest.Wait()
 		defer cancel()
-		play(ctx, &cluster{log: &memoryLog{}, platform: &platformStub{}})
+		run(ctx, &cluster{log: &memoryLog{}, platform: &fakePlatform{}})
 	})
 }
 
-// intoWindow sleeps to a moment within the next window and returns the window.
-func intoWindow(offset time.Duration) Window {
+// sleepIntoNextWindow sleeps until an offset into the next window and returns that window.
+func sleepIntoNextWindow(offset time.Duration) Window {
 	next := WindowAt(time.Now(), length).End(length)
 	time.Sleep(time.Until(next.Add(offset)))
 	return WindowAt(time.Now(), length)
@@ -164,77 +166,79 @@
 	return nil
 }
 
-func TestWindowIsReportedSoonAfterAllNodesClosedIt(t *testing.T) {
-	withCluster(t, func(ctx context.Context, g *cluster) {
-		one, holder := g.node(ctx, "one", 1)
-		two, _ := g.node(ctx, "two", 2)
-		holder.set(true)
-		intoWindow(time.Second)
-		number := intoWindow(time.Second)
+func TestWindowIsReportedOnceAllNodesClosedIt(t *testing.T) {
+	withCluster(t, func(ctx context.Context, c *cluster) {
+		one, holder := c.startNode(ctx, "one", 1)
+		two, _ := c.startNode(ctx, "two", 2)
+		holder.setHeld(true)
+		sleepIntoNextWindow(time.Second)
+		number := sleepIntoNextWindow(time.Second)
 		one.Count("a", time.Now())
 		two.Count("a", time.Now())
 		two.Count("b", time.Now())
 		time.Sleep(time.Until(number.End(length).Add(4 * time.Second)))
-		require.Equal(t, map[string]uint64{"a": 2, "b": 1}, countsOf(reportOf(g.platform.reports(), number)))
-		before := len(g.platform.reports())
+		require.Equal(t, map[string]uint64{"a": 2, "b": 1}, countsOf(reportOf(c.platform.reports(), number)))
+		before := len(c.platform.reports())
 		time.Sleep(900 * time.Millisecond)
-		require.Len(t, g.platform.reports(), before, "once")
+		require.Len(t, c.platform.reports(), before, "each window is reported once")
 	})
 }
 
-// A node that cannot write delays the report of its window, but not past its time.
-func TestReportWaitsForANodeOutOfTouchWithinItsTime(t *testing.T) {
-	withCluster(t, func(ctx context.Context, g *cluster) {
-		_, holder := g.node(ctx, "one", 1)
-		leaving, stop := context.WithCancel(ctx)
-		g.node(leaving, "two", 2)
-		holder.set(true)
-		intoWindow(time.Second)
-		number := intoWindow(time.Second)
+// A node that does not append its counts delays the report of a window, but not beyond the
+// time at which the report is due.
+func TestReportWaitsForAMissingNodeUntilItIsDue(t *testing.T) {
+	withCluster(t, func(ctx context.Context, c *cluster) {
+		_, holder := c.startNode(ctx, "one", 1)
+		nodeCtx, stop := context.WithCancel(ctx)
+		c.startNode(nodeCtx, "two", 2)
+		holder.setHeld(true)
+		sleepIntoNextWindow(time.Second)
+		number := sleepIntoNextWindow(time.Second)
 		stop()
-		time.Sleep(time.Until(number.End(length).Add(late - sendReserve - time.Second)))
-		require.Nil(t, reportOf(g.platform.reports(), number))
+		time.Sleep(time.Until(number.End(length).Add(reportDueAfter - sendMargin - time.Second)))
+		require.Nil(t, reportOf(c.platform.reports(), number))
 		time.Sleep(2 * time.Second)
-		require.NotNil(t, reportOf(g.platform.reports(), number))
+		require.NotNil(t, reportOf(c.platform.reports(), number))
 	})
 }
 
-// Two holders at once, of whom each knows other counts, report the same of a window.
+// Guards against differing reports of a window: two nodes that hold the duty at once know
+// different counts but must send the same report.
 func TestReportsOfAWindowNeverDiffer(t *testing.T) {
-	withCluster(t, func(ctx context.Context, g *cluster) {
-		one, first := g.node(ctx, "one", 1)
-		_, second := g.node(ctx, "two", 2)
-		first.set(true)
-		number := intoWindow(time.Second)
+	withCluster(t, func(ctx context.Context, c *cluster) {
+		one, first := c.startNode(ctx, "one", 1)
+		_, second := c.startNode(ctx, "two", 2)
+		first.setHeld(true)
+		number := sleepIntoNextWindow(time.Second)
 		one.Count("a", time.Now())
-		g.platform.setFailing(true)
+		c.platform.setFailing(true)
 		time.Sleep(time.Until(number.End(length).Add(4 * time.Second)))
-		// Counts that come after the decision are not for this window any more.
+		// Counts that arrive after the decision are not reported.
 		one.Count("a", number.End(length).Add(-time.Second))
-		second.set(true)
-		g.platform.setFailing(false)
+		second.setHeld(true)
+		c.platform.setFailing(false)
 		time.Sleep(8 * time.Second)
-		for _, report := range g.platform.reports() {
+		for _, report := range c.platform.reports() {
 			if report.Window == int64(number) {
 				require.Equal(t, map[string]uint64{"a": 1}, countsOf(report))
 			}
 		}
-		require.NotNil(t, reportOf(g.platform.reports(), number))
+		require.NotNil(t, reportOf(c.platform.reports(), number))
 	})
 }
 
-func TestWindowsOfAnOutageAreSentWhenItEndsOldestFirst(t *testing.T) {
-	withCluster(t, func(ctx context.Context, g *cluster) {
-		one, holder := g.node(ctx, "one", 1)
-		holder.set(true)
-		number := intoWindow(time.Second)
-		g.log.setDown(true)
+func TestWindowsOfALogOutageAreReportedOldestFirstAfterIt(t *testing.T) {
+	withCluster(t, func(ctx context.Context, c *cluster) {
+		one, holder := c.startNode(ctx, "one", 1)
+		holder.setHeld(true)
+		number := sleepIntoNextWindow(time.Second)
+		c.log.setUnavailable(true)
 		one.Count("a", time.Now())
 		time.Sleep(2 * length)
-		before := len(g.platform.reports())
-		g.log.setDown(false)
+		before := len(c.platform.reports())
+		c.log.setUnavailable(false)
 		time.Sleep(length)
-		reports := g.platform.reports()[before:]
+		reports := c.platform.reports()[before:]
 		for i, report := range reports[1:] {
 			require.Greater(t, report.Window, reports[i].Window)
 		}
@@ -242,25 +246,25 @@
 	})
 }
 
-// silentLog never answers an append.
-type silentLog struct{ sharedlog.Log }
+// unresponsiveLog never responds to an append.
+type unresponsiveLog struct{ sharedlog.Log }
 
-func (silentLog) Append(ctx context.Context, _ sharedlog.Partition, _ [][]byte) (uint64, error) {
+func (unresponsiveLog) Append(ctx context.Context, _ sharedlog.Partition, _ [][]byte) (uint64, error) {
 	<-ctx.Done()
 	return 0, ctx.Err()
 }
 
-func TestProcessThatStopsDoesNotWaitLongForTheLog(t *testing.T) {
+func TestFinalAppendOfAStoppingProcessIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		clock := &Clock{Now: time.Now}
 		recorder := NewRecorder(NewCounter("n", 1, length, clock.Read()))
-		recorder.Log, recorder.Clock, recorder.Logger = silentLog{}, clock, event.Discard()
+		recorder.Log, recorder.Clock, recorder.Logger = unresponsiveLog{}, clock, event.Discard()
 		recorder.Pause = func() time.Duration { return time.Minute }
 		recorder.Count("a", time.Now())
 		ctx, stop := context.WithCancel(t.Context())
 		stop()
-		began := time.Now()
+		startedAt := time.Now()
 		recorder.Run(ctx)
-		require.Equal(t, lastSaveTimeout, time.Since(began))
+		require.Equal(t, finalSaveTimeout, time.Since(startedAt))
 	})
 }
--- a/internal/metering/window.go
+++ b/internal/metering/window.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Window numbers a window of the clock: window k starts at k lengths after the start of
-// 1970.
+// Window is the number of a fixed time window: window k starts k window lengths after the
+// Unix epoch.
 type Window int64
 
-// WindowAt returns the window of a moment.
+// WindowAt returns the window that contains a moment.
 func WindowAt(moment time.Time, length time.Duration) Window {
 	return Window(moment.UnixNano() / int64(length))
 }
 
-// End returns when a window is over.
+// End returns the end of the window, which is the start of the next one.
 func (w Window) End(length time.Duration) time.Time {
 	return time.Unix(0, (int64(w)+1)*int64(length))
 }
--- a/internal/platformsim/mutants_test.go
+++ b/internal/platformsim/mutants_test.go
@@ -96,10 +96,10 @@
 		mutation.Replace("internal/schedule/ahead.go", "\t\tTenant: i.job.spec.Tenant,\n", ""),
 	}},
 	{Promise: "Duty: a request counts once", Test: "TestSumIsThatOfTheNewestEntriesWhateverIsRepeated", Package: "./internal/metering", Edits: []mutation.Edit{
-		mutation.Replace("internal/metering/book.go", "known.Sequence < counts.Sequence {", "known.Sequence > 0 {"),
+		mutation.Replace("internal/metering/aggregator.go", "known.Sequence < counts.Sequence {", "known.Sequence > 0 {"),
 	}},
 	{Promise: "ONE: the first decision of a window stands", Test: "TestFirstDecisionOfAWindowStands", Package: "./internal/metering", Edits: []mutation.Edit{
-		mutation.Replace("internal/metering/book.go", "if state.decided == nil {", "if true {"),
+		mutation.Replace("internal/metering/aggregator.go", "if state.decided == nil {", "if true {"),
 	}},
 	{Promise: "FAILBACK: a cold sampler gets its budget", Test: "TestColdSamplersAreSpared", Edits: []mutation.Edit{
 		mutation.Replace("internal/warmup/budget.go", "return max(b.limit(now)-len(b.sent), 0)", "return Unlimited"),
