--- a/client/client.go
+++ b/client/client.go
@@ -18,44 +18,45 @@
 	"github.com/pathbend/pathbend/internal/wait"
 )
 
-// Options configure a client.
+// Options holds the settings of a client.
 type Options struct {
 	// Addresses are the HTTP addresses of nodes, host:port, nearest first.
 	Addresses []string
-	Tenant    string
-	// Spread begins each request at the next address instead of the one that
-	// answered last, as many callers together would.
+	// Tenant is the name of the tenant for which all requests are sent.
+	Tenant string
+	// Spread starts each request at the next address in rotation instead of the one that
+	// responded last, so that one client loads the nodes as many callers would.
 	Spread bool
-	// MaxAttempts bounds the sends of one request; 0 means DefaultMaxAttempts.
+	// MaxAttempts is the maximum number of attempts per request; 0 means DefaultMaxAttempts.
 	MaxAttempts int
-	// Network replaces the operating system's, as in simulations.
+	// Network opens the connections; nil uses the network of the operating system.
 	Network Dialer
-	// Random draws jitter; nil uses a source of its own.
+	// Random is the source of jitter; nil uses the global source of math/rand/v2.
 	Random *rand.Rand
 }
 
-// Dialer opens connections; network.TCP of this module is one.
+// Dialer opens connections. A nil Dialer in Options uses TCP.
 type Dialer = network.Network
 
-// DefaultMaxAttempts is the number of sends of one request.
+// DefaultMaxAttempts is the maximum number of attempts per request if Options sets none.
 const DefaultMaxAttempts = 6
 
 const (
-	maxAnswerBytes = 256 << 20
-	retryBase      = 20 * time.Millisecond
-	retryMax       = 2 * time.Second
-	maxIdlePerNode = 256
+	maxResponseBytes          = 256 << 20
+	minRetryDelay             = 20 * time.Millisecond
+	maxRetryDelay             = 2 * time.Second
+	maxIdleConnectionsPerNode = 256
 )
 
-// Client talks to the nodes of a cluster for one tenant. It is safe for
-// concurrent use.
+// Client sends requests of one tenant to the nodes of a cluster. It is safe for concurrent
+// use.
 type Client struct {
 	options Options
 	http    *http.Client
 	nodes   *nodes
 }
 
-// New returns a client.
+// New returns a client with the given options. It opens no connection.
 func New(options Options) *Client {
 	if options.MaxAttempts == 0 {
 		options.MaxAttempts = DefaultMaxAttempts
@@ -63,7 +64,7 @@
 	if options.Network == nil {
 		options.Network = network.TCP{}
 	}
-	transport := network.NewTransport(options.Network, maxIdlePerNode)
+	transport := network.NewTransport(options.Network, maxIdleConnectionsPerNode)
 	return &Client{
 		options: options, http: &http.Client{Transport: transport},
 		nodes: newNodes(options.Addresses, options.Spread),
@@ -75,61 +76,75 @@
 
 // Request is an application request.
 type Request struct {
+	// Route is the name of the tenant's route that serves the request.
 	Route string
 	// Method defaults to POST.
 	Method string
-	// Path is appended to the route, with its leading slash and query.
-	Path   string
+	// Path is appended to the URL of the route, with its leading slash and its query.
+	Path string
+	// Header holds further headers of the request; Call does not change it.
 	Header http.Header
 	Body   []byte
-	// Timeout is the deadline stated to the service; 0 takes the route's.
-	Timeout  time.Duration
+	// Timeout is sent to the service as the deadline of the request; 0 means the deadline of
+	// the route.
+	Timeout time.Duration
+	// Priority is critical, high, normal or low; empty means the priority of the route.
 	Priority string
-	// IdempotencyKey makes an at-most-once request safe to repeat.
+	// IdempotencyKey makes an at-most-once request safe to retry.
 	IdempotencyKey string
-	// AtMostOnce marks the request; the route may be marked already.
+	// AtMostOnce asks the service to run the request at most once, which the route may demand
+	// already.
 	AtMostOnce bool
-	// Repeatable says that the request may run twice.
+	// Repeatable allows retries after which the request may have run more than once.
 	Repeatable bool
 }
 
-// Response is a complete answer.
+// Response is a complete response to an application request.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
-	// Attempts counts how often the client sent the request.
+	// Attempts is the number of times that the client sent the request.
 	Attempts int
 }
 
-// Run tells whether a failed request was executed.
+// Run states whether a failed request was executed.
 type Run string
 
-// Outcomes of a failed request.
 const (
-	NotRun  Run = "not_run"
+	// NotRun means that the request was certainly not executed.
+	NotRun Run = "not_run"
+	// Unknown means that the request may have been executed.
 	Unknown Run = "unknown"
 )
 
-// Error is a failure with its numbered result code (docs/RESULT_CODES.md).
-// Code 0 means that the service could not be asked.
+// Error is a failed request with the result code of the service (docs/RESULT_CODES.md).
 type Error struct {
-	Code       int           `json:"code"`
-	Name       string        `json:"name"`
-	Run        Run           `json:"run"`
-	Detail     string        `json:"detail"`
-	Field      string        `json:"field"`
-	Fix        string        `json:"fix"`
+	// Code is the number of the result code; 0 means that the client received no valid
+	// response, and Name then says why.
+	Code int `json:"code"`
+	// Name is the name of the result code.
+	Name string `json:"name"`
+	// Run states whether the request was executed.
+	Run Run `json:"run"`
+	// Detail describes this failure.
+	Detail string `json:"detail"`
+	// Field is the path of the request field at fault, if there is one.
+	Field string `json:"field"`
+	// Fix says how the caller may correct the request, if the service knows.
+	Fix string `json:"fix"`
+	// RetryAfter is the delay before the next attempt that the service asks for; 0 if none.
 	RetryAfter time.Duration `json:"-"`
 }
 
-// Error implements error.
+// Error implements error as "code name (run): detail".
 func (e *Error) Error() string {
 	return fmt.Sprintf("%d %s (%s): %s", e.Code, e.Name, e.Run, e.Detail)
 }
 
-// Call sends an application request until it has an answer or may not be sent
-// again. The error is an *Error whose Run tells whether the request was run.
+// Call sends an application request and retries it until it receives a response, another
+// attempt is not safe or cannot succeed, the attempts are used up or ctx ends. The error is an
+// *Error whose Run states whether the request was executed.
 func (c *Client) Call(ctx context.Context, request Request) (*Response, error) {
 	if request.Method == "" {
 		request.Method = http.MethodPost
@@ -138,19 +153,20 @@
 	mayRepeat := request.Repeatable || request.IdempotencyKey != ""
 	if request.Timeout > 0 {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, request.Timeout+answerMargin)
+		ctx, cancel = context.WithTimeout(ctx, request.Timeout+responseMargin)
 		defer cancel()
 	}
-	// A request under a key is not cut to be sent elsewhere: its outcome would be lost
-	// with the execution that the cut ends.
-	mayCut := request.Repeatable && request.IdempotencyKey == ""
-	return c.send(ctx, request.Method, path, request.header(), request.Body, repetition{allowed: mayRepeat, mayCut: mayCut})
+	// An attempt with an idempotency key is not cancelled to try another node: cancelling it
+	// ends the execution that the key belongs to, and the outcome is lost with it.
+	mayCancel := request.Repeatable && request.IdempotencyKey == ""
+	return c.send(ctx, request.Method, path, request.header(), request.Body, retryPolicy{repeatable: mayRepeat, mayCancel: mayCancel})
 }
 
-// answerMargin is left for the service's own answer at the deadline that was stated to
-// it (chosen: some round trips between regions).
-const answerMargin = 250 * time.Millisecond
+// responseMargin is added to the client's own timeout, so that the service's response at the
+// deadline sent to it still arrives: some round trips between regions.
+const responseMargin = 250 * time.Millisecond
 
+// header returns the headers of the request, with those of its options.
 func (r *Request) header() http.Header {
 	header := r.Header.Clone()
 	if header == nil {
@@ -171,63 +187,66 @@
 	return header
 }
 
-// repetition is what a request allows.
-type repetition struct {
-	// allowed is set if it may be sent again after an attempt that may have run.
-	allowed bool
-	// mayCut is set if an attempt may be given up for another one.
-	mayCut bool
+// retryPolicy states which retries of a request are safe.
+type retryPolicy struct {
+	// repeatable allows a retry after an attempt that may have run.
+	repeatable bool
+	// mayCancel allows cancelling an attempt without response to try another node.
+	mayCancel bool
 }
 
-// send tries nodes in turn, those last that lately did not answer. maybeRun remembers
-// that an attempt may have run, so that a later refusal is not reported as not run.
-func (c *Client) send(ctx context.Context, method, path string, header http.Header, body []byte, repeats repetition) (*Response, error) {
-	var maybeRun *Error
+// send tries the nodes in turn, recently unresponsive ones last. If any attempt may have
+// run, the last such failure is returned, so that a later rejection does not report the
+// request as not run.
+func (c *Client) send(ctx context.Context, method, path string, header http.Header, body []byte, policy retryPolicy) (*Response, error) {
+	var unknownOutcome *Error
 	var latest *Error
 	order := c.nodes.order(time.Now())
 	for attempt := 1; attempt <= c.options.MaxAttempts; attempt++ {
 		node := order[(attempt-1)%len(order)]
-		attemptCtx, cancel := c.attemptContext(ctx, repeats.mayCut && attempt < c.options.MaxAttempts)
+		attemptCtx, cancel := c.attemptContext(ctx, policy.mayCancel && attempt < c.options.MaxAttempts)
 		response, failure := c.exchange(attemptCtx, c.options.Addresses[node], method, path, header, body)
 		cancel()
 		if failure == nil {
-			c.nodes.answered(node)
+			c.nodes.markResponsive(node)
 			response.Attempts = attempt
 			return response, nil
 		}
 		if failure.Code == 0 {
-			c.nodes.silent(node, time.Now())
+			c.nodes.markUnresponsive(node, time.Now())
 		}
 		latest = failure
 		if failure.Run == Unknown {
-			maybeRun = failure
+			unknownOutcome = failure
 		}
-		// The last failure is reported at once, not after its hint.
+		// The last failure is returned at once, without waiting for its retry delay.
 		last := attempt == c.options.MaxAttempts
-		if last || !retryable(failure, repeats.allowed) || !c.pause(ctx, attempt, failure.RetryAfter) {
+		if last || !retryable(failure, policy.repeatable) || !c.backOff(ctx, attempt, failure.RetryAfter) {
 			break
 		}
 	}
-	if maybeRun != nil {
-		return nil, maybeRun
+	if unknownOutcome != nil {
+		return nil, unknownOutcome
 	}
 	return nil, latest
 }
 
-// attemptParts is the part of the time left that an attempt may take after which
-// another node may be asked: a node may be frozen, and takes requests all the same.
-const attemptParts = 3
+// attemptTimeoutDivisor gives an attempt this fraction of the remaining time if another node
+// may be tried afterwards: a frozen node accepts requests but does not respond.
+const attemptTimeoutDivisor = 3
 
-// attemptContext bounds an attempt that may be repeated elsewhere.
-func (c *Client) attemptContext(ctx context.Context, mayCut bool) (context.Context, context.CancelFunc) {
+// attemptContext returns the context of one attempt, with a shorter timeout if the attempt
+// may be cancelled to try another node.
+func (c *Client) attemptContext(ctx context.Context, mayCancel bool) (context.Context, context.CancelFunc) {
 	deadline, bounded := ctx.Deadline()
-	if !mayCut || !bounded || len(c.options.Addresses) == 1 {
+	if !mayCancel || !bounded || len(c.options.Addresses) == 1 {
 		return context.WithCancel(ctx)
 	}
-	return context.WithTimeout(ctx, time.Until(deadline)/attemptParts)
+	return context.WithTimeout(ctx, time.Until(deadline)/attemptTimeoutDivisor)
 }
 
-// retryable reports whether another attempt is safe and may help.
+// retryable reports whether another attempt is safe and may succeed. mayRepeat allows one
+// after an attempt that may have run.
 func retryable(failure *Error, mayRepeat bool) bool {
 	permanent := failure.Code >= 1000 && failure.Code < 2000 || failure.Code >= 4000 && failure.Code < 4003 || failure.Name == "key_outcome_lost"
 	if permanent {
@@ -236,29 +255,33 @@
 	return failure.Run == NotRun || mayRepeat
 }
 
-// pause waits for the service's hint, or backs off, with jitter so that callers
-// do not come back together.
-func (c *Client) pause(ctx context.Context, attempt int, hint time.Duration) bool {
-	delay := hint
+// backOff waits for the retry delay that the service asked for, or else for an exponential
+// one, plus up to half of it as jitter so that callers do not retry at the same time. It
+// returns false if ctx ends first.
+func (c *Client) backOff(ctx context.Context, attempt int, retryAfter time.Duration) bool {
+	delay := retryAfter
 	if delay == 0 {
-		delay = min(retryBase<<(attempt-1), retryMax)
+		delay = min(minRetryDelay<<(attempt-1), maxRetryDelay)
 	}
-	delay += time.Duration(c.int64N(int64(delay)/2 + 1))
+	delay += time.Duration(c.randomInt64N(int64(delay)/2 + 1))
 	return wait.For(ctx, delay)
 }
 
-func (c *Client) int64N(n int64) int64 {
+// randomInt64N returns a random number in [0, n).
+func (c *Client) randomInt64N(n int64) int64 {
 	if c.options.Random != nil {
 		return c.options.Random.Int64N(n)
 	}
 	return rand.Int64N(n)
 }
 
-// opaqueReader keeps net/http from sending a request again by itself.
+// opaqueReader hides the type of a body, so that net/http cannot rewind the body and resend
+// a request by itself.
 type opaqueReader struct{ reader io.Reader }
 
 func (r *opaqueReader) Read(buffer []byte) (int, error) { return r.reader.Read(buffer) }
 
+// exchange makes one attempt at a node.
 func (c *Client) exchange(ctx context.Context, address, method, path string, header http.Header, body []byte) (*Response, *Error) {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, &opaqueReader{bytes.NewReader(body)})
 	if err != nil {
@@ -271,7 +294,7 @@
 		return nil, connectionError(err)
 	}
 	defer response.Body.Close()
-	content, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
+	content, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return nil, &Error{Name: "answer_cut_off", Run: Unknown, Detail: err.Error()}
 	}
@@ -281,7 +304,8 @@
 	return &Response{Status: response.StatusCode, Header: response.Header, Body: content}, nil
 }
 
-// connectionError tells a connection that was never made from one that broke.
+// connectionError distinguishes a failed dial, after which the request was not run, from a
+// connection that failed later.
 func connectionError(err error) *Error {
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
@@ -290,6 +314,7 @@
 	return &Error{Name: "connection_lost", Run: Unknown, Detail: err.Error()}
 }
 
+// decodeError decodes the error response of a node.
 func decodeError(response *http.Response, content []byte) *Error {
 	var body struct {
 		Error struct {
@@ -305,14 +330,15 @@
 	return &failure
 }
 
-// callJSON sends an operation that is safe to repeat.
+// callJSON sends an idempotent operation with a JSON body and decodes the response into
+// target unless that is nil.
 func (c *Client) callJSON(ctx context.Context, method, path string, body, target any) error {
 	content, err := json.Marshal(body)
 	if err != nil {
 		return err
 	}
 	header := http.Header{"Content-Type": []string{"application/json"}}
-	response, err := c.send(ctx, method, "/v1/tenants/"+c.options.Tenant+path, header, content, repetition{allowed: true})
+	response, err := c.send(ctx, method, "/v1/tenants/"+c.options.Tenant+path, header, content, retryPolicy{repeatable: true})
 	if err != nil {
 		return err
 	}
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -16,8 +16,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// node starts a fake node and returns its address and request count.
-func node(t *testing.T, handler http.HandlerFunc) (string, *atomic.Int64) {
+// startNode starts a fake node and returns its address and its request count.
+func startNode(t *testing.T, handler http.HandlerFunc) (string, *atomic.Int64) {
 	t.Helper()
 	var count atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
@@ -28,7 +28,8 @@
 	return strings.TrimPrefix(server.URL, "http://"), &count
 }
 
-func failing(code int, name string, run Run) http.HandlerFunc {
+// fail returns a handler that responds with an error of the service.
+func fail(code int, name string, run Run) http.HandlerFunc {
 	return func(writer http.ResponseWriter, _ *http.Request) {
 		writer.Header().Set("Pathbend-Result-Code", fmt.Sprint(code))
 		writer.WriteHeader(http.StatusServiceUnavailable)
@@ -36,12 +37,14 @@
 	}
 }
 
-func fine(writer http.ResponseWriter, request *http.Request) {
+// echo responds with the path and the body of the request.
+func echo(writer http.ResponseWriter, request *http.Request) {
 	body, _ := io.ReadAll(request.Body)
 	fmt.Fprintf(writer, "%s %s", request.URL.Path, body)
 }
 
-func cut(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+// abort closes the connection without a response.
+func abort(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
 func call(t *testing.T, request Request, addresses ...string) (*Response, *Error) {
 	t.Helper()
@@ -55,18 +58,18 @@
 	return response, nil
 }
 
-func TestNotRunGoesToAnotherNode(t *testing.T) {
-	draining, _ := node(t, failing(2001, "draining", NotRun))
-	healthy, _ := node(t, fine)
+func TestRequestThatWasNotRunIsSentToAnotherNode(t *testing.T) {
+	draining, _ := startNode(t, fail(2001, "draining", NotRun))
+	healthy, _ := startNode(t, echo)
 	response, failure := call(t, Request{AtMostOnce: true}, draining, healthy)
 	require.Nil(t, failure)
 	require.Equal(t, "/v1/tenants/shop/routes/pay cash", string(response.Body))
 	require.Equal(t, 2, response.Attempts)
 }
 
-func TestUnknownIsRepeatedOnlyIfThatIsSafe(t *testing.T) {
-	broken, runs := node(t, cut)
-	healthy, _ := node(t, fine)
+func TestUnknownOutcomeIsRetriedOnlyIfThatIsSafe(t *testing.T) {
+	broken, runs := startNode(t, abort)
+	healthy, _ := startNode(t, echo)
 	_, failure := call(t, Request{AtMostOnce: true}, broken, healthy)
 	require.Equal(t, Unknown, failure.Run)
 	require.Equal(t, int64(1), runs.Load())
@@ -77,28 +80,28 @@
 	}
 }
 
-func TestRefusalAfterAnUnknownAttemptStaysUnknown(t *testing.T) {
-	broken, _ := node(t, cut)
-	draining, _ := node(t, failing(2001, "draining", NotRun))
+func TestRejectionAfterAnUnknownOutcomeStaysUnknown(t *testing.T) {
+	broken, _ := startNode(t, abort)
+	draining, _ := startNode(t, fail(2001, "draining", NotRun))
 	_, failure := call(t, Request{IdempotencyKey: "k"}, broken, draining, draining)
 	require.Equal(t, Unknown, failure.Run)
 }
 
-func TestPermanentRefusalIsNotRepeated(t *testing.T) {
-	refusing, count := node(t, failing(1003, "unknown_route", NotRun))
-	_, failure := call(t, Request{Repeatable: true}, refusing)
+func TestPermanentRejectionIsNotRetried(t *testing.T) {
+	rejecting, count := startNode(t, fail(1003, "unknown_route", NotRun))
+	_, failure := call(t, Request{Repeatable: true}, rejecting)
 	require.Equal(t, 1003, failure.Code)
 	require.Equal(t, int64(1), count.Load())
 }
 
-// An earlier version waited for the hint of the last refusal before it told.
-func TestLastRefusalIsReportedAtOnce(t *testing.T) {
-	refusing, count := node(t, func(writer http.ResponseWriter, _ *http.Request) {
+// Guards against waiting for the retry delay of the last rejection before returning it.
+func TestLastRejectionIsReturnedAtOnce(t *testing.T) {
+	rejecting, count := startNode(t, func(writer http.ResponseWriter, _ *http.Request) {
 		writer.Header().Set("Pathbend-Result-Code", "2003")
 		writer.WriteHeader(http.StatusTooManyRequests)
 		fmt.Fprint(writer, `{"error": {"code": 2003, "name": "rate_limited", "run": "not_run", "retry_after_ms": 3600000}}`)
 	})
-	c := New(Options{Addresses: []string{refusing}, Tenant: "shop", MaxAttempts: 1})
+	c := New(Options{Addresses: []string{rejecting}, Tenant: "shop", MaxAttempts: 1})
 	defer c.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
@@ -108,7 +111,7 @@
 	require.Equal(t, int64(1), count.Load())
 }
 
-func TestUnreachableNodeIsNotRun(t *testing.T) {
+func TestRequestToAnUnreachableNodeIsNotRun(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	listener.Close()
@@ -116,11 +119,11 @@
 	require.Equal(t, NotRun, failure.Run)
 }
 
-// TestTrainerTakesEachSlotOnceAndNoneTooLate serves repeated, stale and expired
-// samples, loses the job once, and cuts an answer.
-func TestTrainerTakesEachSlotOnceAndNoneTooLate(t *testing.T) {
+// Guards against samples that are returned twice or too late. The fake node sends repeated,
+// stale and expired samples, loses the job once, and drops a response.
+func TestTrainerGetsEachSlotOnceAndNoExpiredSample(t *testing.T) {
 	var submits, pulls atomic.Int64
-	address, _ := node(t, func(writer http.ResponseWriter, request *http.Request) {
+	address, _ := startNode(t, func(writer http.ResponseWriter, request *http.Request) {
 		if !strings.HasSuffix(request.URL.Path, "/pull") {
 			submits.Add(1)
 			fmt.Fprint(writer, "{}")
@@ -130,9 +133,9 @@
 		_ = json.NewDecoder(request.Body).Decode(&pull)
 		switch pulls.Add(1) {
 		case 1:
-			failing(jobUnknown, "job_unknown", NotRun)(writer, request)
+			fail(codeJobUnknown, "job_unknown", NotRun)(writer, request)
 		case 2:
-			cut(writer, request)
+			abort(writer, request)
 		case 3:
 			fmt.Fprint(writer, `{"samples": [
 				{"slot": 0, "max_trainer_version": 4, "discard_after_ms": 60000},
@@ -142,7 +145,7 @@
 		default:
 			held := fmt.Sprint(pull.Held)
 			if held != "[{2 3}]" && held != "[{0 3}]" {
-				t.Errorf("cursor %s", held)
+				t.Errorf("held slots %s in a pull", held)
 			}
 			fmt.Fprint(writer, `{"samples": [
 				{"slot": 0, "max_trainer_version": 6, "discard_after_ms": 60000},
@@ -165,78 +168,80 @@
 		slots = append(slots, sample.Slot)
 	}
 	require.ElementsMatch(t, []int{0, 1, 2}, slots)
-	require.Equal(t, int64(2), submits.Load(), "a lost job is submitted again")
+	require.Equal(t, int64(2), submits.Load(), "a job that the service lost is submitted again")
 	require.Equal(t, []int{0, 1, 2}, job.Held())
 }
 
-// silentNode takes requests and never answers, as a frozen machine does.
-func silentNode(t *testing.T) (string, *atomic.Int64) {
+// startUnresponsiveNode starts a node that accepts requests and never responds, as a frozen
+// machine does.
+func startUnresponsiveNode(t *testing.T) (string, *atomic.Int64) {
 	t.Helper()
 	release := make(chan struct{})
-	address, count := node(t, func(http.ResponseWriter, *http.Request) { <-release })
+	address, count := startNode(t, func(http.ResponseWriter, *http.Request) { <-release })
 	t.Cleanup(func() { close(release) })
 	return address, count
 }
 
-// With the first of three nodes stopped for 8 s, 26 % of the requests were lost: each
-// went to it first and waited there for all of its time.
-func TestSilentNodeIsLeft(t *testing.T) {
-	silent, asked := silentNode(t)
-	healthy, served := node(t, fine)
-	c := New(Options{Addresses: []string{silent, healthy}, Tenant: "shop"})
+// Guards against requests that spend all of their time on a frozen node: with the first of
+// three nodes frozen for 8 s, 26 % of the requests were lost, since each tried it first.
+func TestUnresponsiveNodeIsTriedOnlyOnce(t *testing.T) {
+	unresponsive, attempts := startUnresponsiveNode(t)
+	healthy, served := startNode(t, echo)
+	c := New(Options{Addresses: []string{unresponsive, healthy}, Tenant: "shop"})
 	defer c.Close()
 	for range 5 {
 		response, err := c.Call(t.Context(), Request{Route: "pay", Repeatable: true, Timeout: time.Second})
 		require.NoError(t, err)
 		require.Equal(t, http.StatusOK, response.Status)
 	}
-	require.EqualValues(t, 1, asked.Load())
+	require.EqualValues(t, 1, attempts.Load())
 	require.EqualValues(t, 5, served.Load())
 }
 
-func TestSilentNodeGetsNoSecondRequestThatMustNotBeRepeated(t *testing.T) {
-	silent, asked := silentNode(t)
-	healthy, _ := node(t, fine)
-	c := New(Options{Addresses: []string{silent, healthy}, Tenant: "shop"})
+func TestUnresponsiveNodeGetsNoSecondAtMostOnceRequest(t *testing.T) {
+	unresponsive, attempts := startUnresponsiveNode(t)
+	healthy, _ := startNode(t, echo)
+	c := New(Options{Addresses: []string{unresponsive, healthy}, Tenant: "shop"})
 	defer c.Close()
 	request := Request{Route: "pay", AtMostOnce: true, Timeout: 50 * time.Millisecond}
 	_, err := c.Call(t.Context(), request)
-	require.Equal(t, Unknown, err.(*Error).Run, "it may have run")
+	require.Equal(t, Unknown, err.(*Error).Run, "the request may have run")
 	response, err := c.Call(t.Context(), request)
 	require.NoError(t, err)
 	require.Equal(t, 1, response.Attempts)
-	require.EqualValues(t, 1, asked.Load())
+	require.EqualValues(t, 1, attempts.Load())
 }
 
 func TestSpreadRequestsUseAllNodes(t *testing.T) {
-	first, ofFirst := node(t, fine)
-	second, ofSecond := node(t, fine)
+	first, firstCount := startNode(t, echo)
+	second, secondCount := startNode(t, echo)
 	c := New(Options{Addresses: []string{first, second}, Tenant: "shop", Spread: true})
 	defer c.Close()
 	for range 6 {
 		_, err := c.Call(t.Context(), Request{Route: "pay", Repeatable: true})
 		require.NoError(t, err)
 	}
-	require.EqualValues(t, 3, ofFirst.Load())
-	require.EqualValues(t, 3, ofSecond.Load())
+	require.EqualValues(t, 3, firstCount.Load())
+	require.EqualValues(t, 3, secondCount.Load())
 }
 
-func TestNodeThatWasSilentIsAskedFirstAgainLater(t *testing.T) {
+func TestUnresponsiveNodeIsTriedAfterTheOthers(t *testing.T) {
 	now := time.Unix(100, 0)
 	n := newNodes([]string{"a", "b", "c"}, false)
 	require.Equal(t, []int{0, 1, 2}, n.order(now))
-	n.silent(0, now)
+	n.markUnresponsive(0, now)
 	require.Equal(t, []int{1, 2, 0}, n.order(now))
-	n.answered(1)
-	require.Equal(t, []int{1, 2, 0}, n.order(now.Add(avoidFor)))
+	n.markResponsive(1)
+	require.Equal(t, []int{1, 2, 0}, n.order(now.Add(avoidDuration)))
 }
 
-// A keyed request that was cut for another attempt lost its outcome: the execution that
-// the key belonged to ended with the cut ("key_outcome_lost" in a planned restart).
-func TestRequestUnderAKeyIsNotCutForAnotherAttempt(t *testing.T) {
-	silent, _ := silentNode(t)
-	healthy, served := node(t, fine)
-	c := New(Options{Addresses: []string{silent, healthy}, Tenant: "shop", MaxAttempts: 2})
+// Guards against a lost outcome ("key_outcome_lost", seen in a planned restart): cancelling an
+// attempt with an idempotency key to try another node ends the execution that the key belongs
+// to.
+func TestAttemptWithAnIdempotencyKeyIsNotCancelled(t *testing.T) {
+	unresponsive, _ := startUnresponsiveNode(t)
+	healthy, served := startNode(t, echo)
+	c := New(Options{Addresses: []string{unresponsive, healthy}, Tenant: "shop", MaxAttempts: 2})
 	defer c.Close()
 	_, err := c.Call(t.Context(), Request{Route: "pay", IdempotencyKey: "k", Timeout: 50 * time.Millisecond})
 	require.Equal(t, Unknown, err.(*Error).Run)
--- a/client/nodes.go
+++ b/client/nodes.go
@@ -5,18 +5,20 @@
 	"time"
 )
 
-// avoidFor is how long a node that did not answer is asked last. A frozen machine
-// comes back after seconds; asking it then costs one attempt (chosen).
-const avoidFor = 2 * time.Second
+// avoidDuration is how long a node that did not respond is tried last. A frozen machine
+// recovers after seconds; trying it too early costs one attempt.
+const avoidDuration = 2 * time.Second
 
-// nodes decides which node is asked first. It is safe for concurrent use.
+// nodes determines the order in which nodes are tried. It is safe for concurrent use.
 type nodes struct {
+	// spread rotates the first node instead of preferring the one that responded last.
 	spread bool
 
 	mutex sync.Mutex
-	// first is the index of the node that answered last, or the next one in turn.
+	// first is the index of the node that responded last or, with spread, of the next node
+	// in rotation.
 	first int
-	// avoidUntil is, by node, until when it is asked last.
+	// avoidUntil holds, by node, the time until which the node is tried last.
 	avoidUntil []time.Time
 }
 
@@ -24,7 +26,7 @@
 	return &nodes{spread: spread, avoidUntil: make([]time.Time, len(addresses))}
 }
 
-// order returns the indices of all nodes in the order in which to ask them.
+// order returns the indices of all nodes in the order in which to try them.
 func (n *nodes) order(now time.Time) []int {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -43,8 +45,8 @@
 	return append(order, avoided...)
 }
 
-// answered notes an answer of a node.
-func (n *nodes) answered(node int) {
+// markResponsive records that a node responded.
+func (n *nodes) markResponsive(node int) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.avoidUntil[node] = time.Time{}
@@ -53,9 +55,9 @@
 	}
 }
 
-// silent notes that a node did not answer.
-func (n *nodes) silent(node int, now time.Time) {
+// markUnresponsive records that no valid response came from a node.
+func (n *nodes) markUnresponsive(node int, now time.Time) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.avoidUntil[node] = now.Add(avoidFor)
+	n.avoidUntil[node] = now.Add(avoidDuration)
 }
--- a/internal/simulation/mutation_test.go
+++ b/internal/simulation/mutation_test.go
@@ -18,7 +18,7 @@
 	}},
 	{Promise: "each sample once", Edits: []mutation.Edit{
 		mutation.Replace("client/trainer.go", "usable && !j.held[next.Slot]", "usable"),
-		mutation.Replace("client/trainer.go", "TrainerVersion: j.version(), Held: j.ranges(), WaitMS", "TrainerVersion: j.version(), Held: []SlotRange{}, WaitMS"),
+		mutation.Replace("client/trainer.go", "TrainerVersion: j.trainerVersion(), Held: j.heldRanges(), WaitMS", "TrainerVersion: j.trainerVersion(), Held: []SlotRange{}, WaitMS"),
 	}},
 	{Promise: "whole answer to its own request", Edits: []mutation.Edit{mutation.Replace("internal/dispatch/protocol.go", "case echoed != requestID:", "case false:")}},
 	{Promise: "not run is true", Edits: []mutation.Edit{mutation.Replace("internal/result/definitions.go", `{AnswerLost, "answer_lost", http.StatusBadGateway, Unknown,`,
