--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -10,7 +10,7 @@
 	"github.com/pathbend/pathbend/internal/result"
 )
 
-func TestExamplesLoadAndSurviveEncoding(t *testing.T) {
+func TestExamplesLoadAndRoundTrip(t *testing.T) {
 	document, err := LoadPath("../../examples")
 	require.NoError(t, err)
 	require.Len(t, document.Tenants, 2)
@@ -34,14 +34,14 @@
       deadline: 2s
 `
 
-func TestEachFaultNamesLineFieldAndFix(t *testing.T) {
+func TestEachProblemHasLineFieldAndFix(t *testing.T) {
 	cases := []struct {
 		name, from, to string
 		line           int
 		field, fix     string
 	}{
 		{"unknown field", "deadline: 2s", "dead_line: 2s", 7, "spec.routes[0].dead_line", `did you mean "deadline"?`},
-		{"repeated name", "kind: Tenant", "kind: Tenants", 1, "kind", "write Template or Tenant"},
+		{"unknown kind", "kind: Tenant", "kind: Tenants", 1, "kind", "write Template or Tenant"},
 		{"wrong type", "deadline: 2s", "deadline: [1]", 7, "spec.routes[0].deadline", "right type"},
 		{"out of range", "deadline: 2s", "deadline: -2s", 7, "spec.routes[0].deadline", "greater than 0"},
 		{"bad label", "name: lookup", "name: Look_Up", 5, "spec.routes[0].name", "lower-case"},
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestDiffNamesChangedLeaves(t *testing.T) {
+func TestDiffReturnsChangedScalarFields(t *testing.T) {
 	before, err := ParseDeclarations("a.yaml", []byte(validTenant))
 	require.NoError(t, err)
 	after, err := ParseDeclarations("a.yaml", []byte(strings.Replace(validTenant, "2s", "3s", 1)))
@@ -72,7 +72,7 @@
 	require.Equal(t, []Change{{Path: "tenants.shop.spec.routes.lookup.deadline", Before: "2s", After: "3s"}}, Diff(before, after))
 }
 
-func TestSchemaNamesEveryTopField(t *testing.T) {
+func TestSchemaContainsFieldsOfAllLevels(t *testing.T) {
 	schema, err := Schema()
 	require.NoError(t, err)
 	for _, field := range []string{"at_most_once", "max_versions", "min_serving_percent", "parameters"} {
@@ -80,11 +80,11 @@
 	}
 }
 
-func TestMergeKeepsEveryOverlayLeaf(t *testing.T) {
+func TestMergeKeepsOverlayValuesAndUnreplacedBaseValues(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		leaves := rapid.MapOf(rapid.StringMatching(`[a-c]`), rapid.Int())
-		base := rapid.MapOf(rapid.StringMatching(`[a-c]`), leaves).Draw(t, "base")
-		overlay := rapid.MapOf(rapid.StringMatching(`[a-c]`), leaves).Draw(t, "overlay")
+		fieldsGenerator := rapid.MapOf(rapid.StringMatching(`[a-c]`), rapid.Int())
+		base := rapid.MapOf(rapid.StringMatching(`[a-c]`), fieldsGenerator).Draw(t, "base")
+		overlay := rapid.MapOf(rapid.StringMatching(`[a-c]`), fieldsGenerator).Draw(t, "overlay")
 		merged := mergeMaps(anyMap(base), anyMap(overlay))
 		for outer, fields := range overlay {
 			for inner, value := range fields {
@@ -101,6 +101,7 @@
 	})
 }
 
+// anyMap converts a map to the types that the YAML decoder produces.
 func anyMap(source map[string]map[string]int) map[string]any {
 	converted := make(map[string]any, len(source))
 	for outer, fields := range source {
--- a/internal/config/fields.go
+++ b/internal/config/fields.go
@@ -14,11 +14,12 @@
 
 var placeholderPattern = regexp.MustCompile(`^\$\{([a-z][a-z0-9_]*)\}$`)
 
-// fieldChecker walks a YAML tree beside a Go type. It reports unknown and
-// repeated fields with their line and remembers where each field stands, so
-// that later findings about the merged value can name the line too.
+// fieldChecker compares a YAML tree with the Go type that it is decoded into. It reports
+// unknown and repeated fields with their line, and records the line of each field so that
+// problems found later in the merged value can be located too.
 type fieldChecker struct {
-	file     string
+	file string
+	// lines holds the line of each field by path.
 	lines    map[string]int
 	problems Problems
 }
@@ -27,6 +28,7 @@
 	return &fieldChecker{file: file, lines: make(map[string]int)}
 }
 
+// check checks a node against its target type and records the lines of its fields.
 func (c *fieldChecker) check(node ast.Node, target reflect.Type, path string) {
 	if node == nil {
 		return
@@ -44,6 +46,7 @@
 	}
 }
 
+// isPlaceholder reports whether a node is a scalar of the form "${name}".
 func isPlaceholder(node ast.Node) bool {
 	text, ok := node.(*ast.StringNode)
 	return ok && placeholderPattern.MatchString(text.Value)
@@ -52,7 +55,7 @@
 func (c *fieldChecker) checkStruct(node ast.Node, target reflect.Type, path string) {
 	entries, ok := mappingEntries(node)
 	if !ok {
-		c.report(node, path, "expected a mapping, found "+strings.ToLower(node.Type().String()), "write its fields indented below it")
+		c.addProblem(node, path, "expected a mapping, found "+strings.ToLower(node.Type().String()), "write its fields indented below it")
 		return
 	}
 	fields := yamlFields(target)
@@ -63,9 +66,9 @@
 		fieldType, known := fields[name]
 		switch {
 		case !known:
-			c.report(entry.Key, fieldPath, "unknown field", suggestField(name, fields))
+			c.addProblem(entry.Key, fieldPath, "unknown field", suggestField(name, fields))
 		case seen[name]:
-			c.report(entry.Key, fieldPath, "field is set twice", "remove one of the two")
+			c.addProblem(entry.Key, fieldPath, "field is set twice", "remove one of the two")
 		default:
 			c.check(entry.Value, fieldType, fieldPath)
 			c.lines[fieldPath] = lineOf(entry.Key)
@@ -77,7 +80,7 @@
 func (c *fieldChecker) checkSequence(node ast.Node, target reflect.Type, path string) {
 	sequence, ok := node.(*ast.SequenceNode)
 	if !ok {
-		c.report(node, path, "expected a list, found "+strings.ToLower(node.Type().String()), "start each item with a dash")
+		c.addProblem(node, path, "expected a list, found "+strings.ToLower(node.Type().String()), "start each item with a dash")
 		return
 	}
 	for i, item := range sequence.Values {
@@ -85,12 +88,13 @@
 	}
 }
 
-func (c *fieldChecker) report(node ast.Node, path, message, fix string) {
+func (c *fieldChecker) addProblem(node ast.Node, path, message, fix string) {
 	c.problems = append(c.problems, &Problem{
 		File: c.file, Line: lineOf(node), Field: path, Message: message, Fix: fix,
 	})
 }
 
+// mappingEntries returns the entries of a mapping, none for null, and false for other nodes.
 func mappingEntries(node ast.Node) ([]*ast.MappingValueNode, bool) {
 	switch typed := node.(type) {
 	case *ast.MappingNode:
@@ -104,6 +108,8 @@
 	}
 }
 
+// lineOf returns the line of a node, which for a mapping is that of its first key; 0 if it is
+// not known.
 func lineOf(node ast.Node) int {
 	if mapping, ok := node.(*ast.MappingNode); ok && len(mapping.Values) > 0 {
 		return lineOf(mapping.Values[0].Key)
@@ -114,7 +120,7 @@
 	return 0
 }
 
-// yamlFields maps YAML names of a struct's fields to their types.
+// yamlFields returns the types of the fields of a struct by YAML name.
 func yamlFields(target reflect.Type) map[string]reflect.Type {
 	fields := make(map[string]reflect.Type, target.NumField())
 	for i := range target.NumField() {
@@ -134,22 +140,23 @@
 	return path + "." + name
 }
 
-// suggestField names the nearest known field, or lists them all.
+// suggestField returns a hint with the most similar known field, or with all known fields if
+// none is similar.
 func suggestField(name string, fields map[string]reflect.Type) string {
-	nearest, distance := "", len(name)/2+1
+	closest, minDistance := "", len(name)/2+1
 	for candidate := range fields {
-		d := editDistance(name, candidate)
-		if d < distance || d == distance && candidate < nearest {
-			nearest, distance = candidate, d
+		distance := editDistance(name, candidate)
+		if distance < minDistance || distance == minDistance && candidate < closest {
+			closest, minDistance = candidate, distance
 		}
 	}
-	if nearest != "" {
-		return fmt.Sprintf("did you mean %q?", nearest)
+	if closest != "" {
+		return fmt.Sprintf("did you mean %q?", closest)
 	}
 	return "known fields are " + strings.Join(sortedKeys(fields), ", ")
 }
 
-// editDistance is the Levenshtein distance of two short strings.
+// editDistance returns the Levenshtein distance of two strings, counted in bytes.
 func editDistance(a, b string) int {
 	previous := make([]int, len(b)+1)
 	for j := range previous {
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -17,22 +17,22 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// Kinds of declaration.
+// Kinds of declarations, as written in their kind field.
 const (
 	KindTemplate = "Template"
 	KindTenant   = "Tenant"
 )
 
-// declaration is one YAML document of a file.
+// declaration is a template or a tenant, which is one YAML document of a file.
 type declaration struct {
 	Kind       string            `yaml:"kind" doc:"Template or Tenant."`
 	Name       string            `yaml:"name" doc:"Name of the template or tenant."`
 	Template   string            `yaml:"template,omitempty" doc:"Template that a tenant starts from."`
 	Parameters map[string]any    `yaml:"parameters,omitempty" doc:"Values for the template's ${placeholders}; in a template, their defaults."`
 	Spec       TenantSpec        `yaml:"spec" doc:"Settings; a tenant's replace its template's field by field, lists as a whole."`
-	raw        map[string]any    // spec before merging
-	checker    *fieldChecker     // lines of the fields
-	origin     declarationOrigin // where the document starts
+	raw        map[string]any    // spec before templates are merged
+	checker    *fieldChecker     // holds the lines of the fields
+	origin     declarationOrigin // file and line of the start of the document
 }
 
 type declarationOrigin struct {
@@ -40,8 +40,9 @@
 	line int
 }
 
-// LoadPath reads a file or every .yaml and .yml file below a directory,
-// resolves templates, applies defaults and validates. The error is Problems.
+// LoadPath loads a file, or all .yaml and .yml files below a directory, resolves templates,
+// applies defaults and validates the result. Faults in the declarations are returned as
+// Problems.
 func LoadPath(path string) (*Document, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -50,17 +51,17 @@
 	if info.IsDir() {
 		return LoadFS(os.DirFS(path), path)
 	}
-	return LoadFS(singleFile{os.DirFS(filepath.Dir(path)), filepath.Base(path)}, filepath.Dir(path))
+	return LoadFS(singleFileFS{os.DirFS(filepath.Dir(path)), filepath.Base(path)}, filepath.Dir(path))
 }
 
-// singleFile is a file system in which only one file is listed.
-type singleFile struct {
+// singleFileFS is a file system that lists only one of its files.
+type singleFileFS struct {
 	fs.FS
 	name string
 }
 
 // ReadDir implements fs.ReadDirFS.
-func (s singleFile) ReadDir(string) ([]fs.DirEntry, error) {
+func (s singleFileFS) ReadDir(string) ([]fs.DirEntry, error) {
 	info, err := fs.Stat(s.FS, s.name)
 	if err != nil {
 		return nil, err
@@ -68,31 +69,32 @@
 	return []fs.DirEntry{fs.FileInfoToDirEntry(info)}, nil
 }
 
-// LoadFS does the work of LoadPath for a file system. Problems name files below
-// the display path.
-func LoadFS(files fs.FS, display string) (*Document, error) {
-	names, err := listFiles(files, display)
+// LoadFS is LoadPath for a file system. displayPath is the path of the file system's root that
+// problems show.
+func LoadFS(files fs.FS, displayPath string) (*Document, error) {
+	names, err := listFiles(files, displayPath)
 	if err != nil {
 		return nil, err
 	}
-	var loaded []*declaration
+	var declarations []*declaration
 	var problems Problems
 	for _, name := range names {
 		content, err := fs.ReadFile(files, name)
 		if err != nil {
 			return nil, errors.Wrapf(err, "read %s", name)
 		}
-		declarations, found := parseFile(filepath.Join(display, name), content)
-		loaded = append(loaded, declarations...)
+		parsed, found := parseFile(filepath.Join(displayPath, name), content)
+		declarations = append(declarations, parsed...)
 		problems = append(problems, found...)
 	}
 	if len(problems) > 0 {
 		return nil, problems
 	}
-	return resolve(loaded)
+	return resolve(declarations)
 }
 
-// ParseDeclarations does the work of LoadPath for one file's content.
+// ParseDeclarations is LoadPath for the content of one file. file is the name that problems
+// show.
 func ParseDeclarations(file string, content []byte) (*Document, error) {
 	declarations, problems := parseFile(file, content)
 	if len(problems) > 0 {
@@ -101,7 +103,8 @@
 	return resolve(declarations)
 }
 
-func listFiles(files fs.FS, display string) ([]string, error) {
+// listFiles returns the names of all YAML files, and a problem if there are none.
+func listFiles(files fs.FS, displayPath string) ([]string, error) {
 	var names []string
 	err := fs.WalkDir(files, ".", func(name string, entry fs.DirEntry, err error) error {
 		if err != nil {
@@ -117,11 +120,12 @@
 		return nil, errors.Wrap(err, "list configuration files")
 	}
 	if len(names) == 0 {
-		return nil, Problems{{File: display, Message: "no .yaml file found", Fix: "name a file or directory of declarations"}}
+		return nil, Problems{{File: displayPath, Message: "no .yaml file found", Fix: "give a file or directory that contains declarations"}}
 	}
 	return names, nil
 }
 
+// parseFile parses all declarations of a file.
 func parseFile(file string, content []byte) ([]*declaration, Problems) {
 	tree, err := parser.ParseBytes(content, 0)
 	if err != nil {
@@ -142,12 +146,14 @@
 	return declarations, problems
 }
 
+// syntaxProblem returns the problem for an error of the YAML library, with its line if the
+// error has one.
 func syntaxProblem(file string, err error) *Problem {
 	problem := &Problem{File: file, Line: 1, Message: "not valid YAML: " + firstLine(err.Error()), Fix: "correct the syntax"}
-	var located yaml.Error
-	if errors.As(err, &located) {
-		problem.Message = "not valid YAML: " + located.GetMessage()
-		if token := located.GetToken(); token != nil {
+	var yamlError yaml.Error
+	if errors.As(err, &yamlError) {
+		problem.Message = "not valid YAML: " + yamlError.GetMessage()
+		if token := yamlError.GetToken(); token != nil {
 			problem.Line = token.Position.Line
 		}
 	}
@@ -159,6 +165,8 @@
 	return line
 }
 
+// parseDeclaration parses one YAML document and checks its fields other than the spec, which
+// is decoded once templates are merged.
 func parseDeclaration(file string, body ast.Node) (*declaration, Problems) {
 	checker := newFieldChecker(file)
 	checker.check(body, reflect.TypeFor[declaration](), "")
@@ -182,6 +190,7 @@
 	return parsed, parsed.checkHeader()
 }
 
+// decodeProblem returns the problem for a value of the wrong type.
 func decodeProblem(file string, err error) *Problem {
 	problem := syntaxProblem(file, err)
 	problem.Message = strings.TrimPrefix(problem.Message, "not valid YAML: ")
@@ -189,9 +198,10 @@
 	return problem
 }
 
+// checkHeader checks the fields outside the spec.
 func (d *declaration) checkHeader() Problems {
 	var problems Problems
-	report := func(field, message, fix string) {
+	addProblem := func(field, message, fix string) {
 		line, ok := d.checker.lines[field]
 		if !ok {
 			line = d.origin.line
@@ -199,36 +209,37 @@
 		problems = append(problems, &Problem{File: d.origin.file, Line: line, Field: field, Message: message, Fix: fix})
 	}
 	if d.Kind != KindTemplate && d.Kind != KindTenant {
-		report("kind", fmt.Sprintf("unknown kind %q", d.Kind), "write Template or Tenant")
+		addProblem("kind", fmt.Sprintf("unknown kind %q", d.Kind), "write Template or Tenant")
 	}
 	if !dnsLabel.MatchString(d.Name) {
-		report("name", fmt.Sprintf("invalid name %q", d.Name), dnsLabelFix)
+		addProblem("name", fmt.Sprintf("invalid name %q", d.Name), dnsLabelFix)
 	}
 	if d.Kind == KindTemplate && d.Template != "" {
-		report("template", "a template cannot use a template", "remove the field")
+		addProblem("template", "a template cannot use a template", "remove the field")
 	}
 	return problems
 }
 
-// resolve merges templates into tenants and validates the result.
+// resolve merges templates into tenants and validates the result, whose tenants are sorted by
+// name.
 func resolve(declarations []*declaration) (*Document, error) {
 	templates := make(map[string]*declaration)
 	tenants := make(map[string]*declaration)
 	var problems Problems
 	for _, d := range declarations {
-		index := tenants
+		byName := tenants
 		if d.Kind == KindTemplate {
-			index = templates
+			byName = templates
 		}
-		if former, ok := index[d.Name]; ok {
+		if existing, ok := byName[d.Name]; ok {
 			problems = append(problems, &Problem{
 				File: d.origin.file, Line: d.origin.line, Field: "name",
-				Message: fmt.Sprintf("%s %q is already declared at %s:%d", d.Kind, d.Name, former.origin.file, former.origin.line),
+				Message: fmt.Sprintf("%s %q is already declared at %s:%d", d.Kind, d.Name, existing.origin.file, existing.origin.line),
 				Fix:     "rename or remove one of the two",
 			})
 			continue
 		}
-		index[d.Name] = d
+		byName[d.Name] = d
 	}
 	document := &Document{}
 	for _, name := range sortedKeys(tenants) {
@@ -239,6 +250,8 @@
 	return document, problems.asError()
 }
 
+// resolveTenant merges the template of a tenant, substitutes parameters, applies defaults and
+// validates the result.
 func resolveTenant(tenant *declaration, templates map[string]*declaration) (Tenant, Problems) {
 	resolved := Tenant{Name: tenant.Name}
 	sources := []*declaration{tenant}
@@ -247,7 +260,7 @@
 	if tenant.Template != "" {
 		template, ok := templates[tenant.Template]
 		if !ok {
-			return resolved, Problems{tenant.problemAt("template", fmt.Sprintf("no template %q", tenant.Template),
+			return resolved, Problems{tenant.problemAt("template", fmt.Sprintf("unknown template %q", tenant.Template),
 				"known templates are "+strings.Join(sortedKeys(templates), ", ")+"; load the template's file together with the tenant's")}
 		}
 		if unknown := unknownParameters(tenant, template); len(unknown) > 0 {
@@ -273,6 +286,8 @@
 	return resolved, validateTenant(&resolved, sources)
 }
 
+// unknownParameters returns a problem for each parameter of the tenant that the template does
+// not use.
 func unknownParameters(tenant, template *declaration) Problems {
 	var problems Problems
 	known := placeholders(template.raw)
@@ -286,6 +301,8 @@
 	return problems
 }
 
+// problemAt returns a problem at the line of a field, or at the start of the declaration if it
+// does not set the field.
 func (d *declaration) problemAt(field, message, fix string) *Problem {
 	line, ok := d.checker.lines[field]
 	if !ok {
@@ -294,18 +311,18 @@
 	return &Problem{File: d.origin.file, Line: line, Field: "tenant " + d.Name + ": " + field, Message: message, Fix: fix}
 }
 
-// mergeMaps returns base with the overlay's fields put over it. Mappings merge
-// field by field; lists and scalars are replaced as a whole.
+// mergeMaps returns base overridden by overlay. Mappings are merged field by field; lists and
+// scalars are replaced as a whole.
 func mergeMaps(base, overlay map[string]any) map[string]any {
 	merged := maps.Clone(base)
 	if merged == nil {
 		merged = make(map[string]any)
 	}
 	for key, value := range overlay {
-		below, belowIsMap := merged[key].(map[string]any)
-		above, aboveIsMap := value.(map[string]any)
-		if belowIsMap && aboveIsMap {
-			merged[key] = mergeMaps(below, above)
+		baseMap, baseIsMap := merged[key].(map[string]any)
+		overlayMap, overlayIsMap := value.(map[string]any)
+		if baseIsMap && overlayIsMap {
+			merged[key] = mergeMaps(baseMap, overlayMap)
 			continue
 		}
 		merged[key] = value
@@ -313,7 +330,8 @@
 	return merged
 }
 
-// substitute replaces every "${name}" scalar and lists the names without value.
+// substitute replaces each scalar "${name}" by the value of the parameter and returns the
+// sorted names that have no value.
 func substitute(value any, parameters map[string]any) (any, []string) {
 	missing := make(map[string]bool)
 	replaced := mapScalars(value, func(name string) any {
@@ -326,6 +344,7 @@
 	return replaced, sortedKeys(missing)
 }
 
+// placeholders returns the sorted parameter names of all "${name}" scalars.
 func placeholders(value any) []string {
 	names := make(map[string]bool)
 	mapScalars(value, func(name string) any {
@@ -335,6 +354,7 @@
 	return sortedKeys(names)
 }
 
+// mapScalars returns a copy of the value in which replace has replaced each scalar "${name}".
 func mapScalars(value any, replace func(name string) any) any {
 	switch typed := value.(type) {
 	case map[string]any:
@@ -357,21 +377,22 @@
 	return value
 }
 
+// decodeStrict decodes YAML and fails for unknown fields.
 func decodeStrict(content []byte, target any) error {
 	decoder := yaml.NewDecoder(bytes.NewReader(content), yaml.Strict())
 	return decoder.Decode(target)
 }
 
-// typeProblem translates a decoding error of the merged content to the line of
-// the declaration that set the field.
+// typeProblem returns the problem for a decoding error of the merged content, located in the
+// declaration that set the field.
 func typeProblem(err error, content []byte, sources []*declaration) *Problem {
 	problem := decodeProblem("", err)
 	path := pathAtLine(content, problem.Line)
-	return locate(path, problem.Message, "write a value of the right type", sources)
+	return locateProblem(path, problem.Message, "write a value of the right type", sources)
 }
 
-// pathAtLine finds the path of the field that stands on a line of YAML, or
-// else on the nearest line above it.
+// pathAtLine returns the path of the deepest field on a line of YAML, or on the nearest line
+// above it that has a field.
 func pathAtLine(content []byte, line int) string {
 	tree, err := parser.ParseBytes(content, 0)
 	if err != nil || len(tree.Docs) == 0 {
@@ -389,14 +410,14 @@
 	return nearest
 }
 
-// locate finds the declaration and line that set a field of the spec, or the
-// nearest field around it.
-func locate(path, message, fix string, sources []*declaration) *Problem {
+// locateProblem returns a problem of a field of the spec, located at the declaration and line
+// that set the field or its nearest enclosing field, or else at the start of the tenant.
+func locateProblem(path, message, fix string, sources []*declaration) *Problem {
 	problem := &Problem{Field: "tenant " + sources[0].Name + ": spec." + path, Message: message, Fix: fix}
 	problem.File, problem.Line = sources[0].origin.file, sources[0].origin.line
-	for around := "spec." + path; around != ""; around = parentPath(around) {
+	for ancestor := "spec." + path; ancestor != ""; ancestor = parentPath(ancestor) {
 		for _, source := range sources {
-			if line, ok := source.checker.lines[around]; ok {
+			if line, ok := source.checker.lines[ancestor]; ok {
 				problem.File, problem.Line = source.origin.file, line
 				return problem
 			}
@@ -405,14 +426,15 @@
 	return problem
 }
 
+// parentPath returns the path without its last field or index, empty if there is none.
 func parentPath(path string) string {
-	cut := strings.LastIndexAny(path, ".[")
-	if cut < 0 {
+	separator := strings.LastIndexAny(path, ".[")
+	if separator < 0 {
 		return ""
 	}
-	return path[:cut]
+	return path[:separator]
 }
 
-func sortedKeys[V any](index map[string]V) []string {
-	return slices.Sorted(maps.Keys(index))
+func sortedKeys[V any](values map[string]V) []string {
+	return slices.Sorted(maps.Keys(values))
 }
--- a/internal/config/problem.go
+++ b/internal/config/problem.go
@@ -5,14 +5,14 @@
 	"strings"
 )
 
-// Problem is one fault of a declaration.
+// Problem is one fault in a declaration.
 type Problem struct {
-	// File and Line locate the fault; empty and 0 when it has no single place.
+	// File and Line are the location of the fault; empty and 0 if it has no single location.
 	File string
 	Line int
 	// Field is the path of the field, such as "spec.routes[0].deadline".
 	Field string
-	// Message says what is wrong, Fix what to write instead.
+	// Message describes the fault and Fix how to correct it; Fix may be empty.
 	Message string
 	Fix     string
 }
@@ -33,10 +33,10 @@
 	return text.String()
 }
 
-// Problems is a list of faults, reported together.
+// Problems is a list of faults that are reported together.
 type Problems []*Problem
 
-// Error implements error with one line per problem.
+// Error implements error with one line for each problem.
 func (p Problems) Error() string {
 	lines := make([]string, 0, len(p))
 	for _, problem := range p {
@@ -45,7 +45,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// asError returns nil for an empty list, so that callers can compare with nil.
+// asError returns the list as an error, and an untyped nil for an empty list, so that callers
+// can compare the error with nil.
 func (p Problems) asError() error {
 	if len(p) == 0 {
 		return nil
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -8,6 +8,7 @@
 	"github.com/goccy/go-yaml"
 )
 
+// marshalYAML encodes a value with an indentation of two spaces, also for list items.
 func marshalYAML(value any) ([]byte, error) {
 	return yaml.MarshalWithOptions(value, yaml.Indent(2), yaml.IndentSequence(true))
 }
@@ -27,7 +28,8 @@
 	AnyOf                []*schemaNode          `json:"anyOf,omitempty"`
 }
 
-// Schema returns the JSON Schema of a declaration, for editors.
+// Schema returns the JSON Schema of a declaration, with which editors can validate and
+// complete it.
 func Schema() ([]byte, error) {
 	root := schemaOf(reflect.TypeFor[declaration]())
 	root.Schema = "https://json-schema.org/draft/2020-12/schema"
@@ -37,6 +39,7 @@
 	return json.MarshalIndent(root, "", "  ")
 }
 
+// schemaOf returns the schema of a Go type.
 func schemaOf(target reflect.Type) *schemaNode {
 	switch {
 	case target == durationType:
@@ -58,9 +61,11 @@
 	}
 }
 
+// schemaOfStruct returns the schema of a struct from the yaml, doc and validate tags of its
+// fields. Fields without a yaml tag are left out.
 func schemaOfStruct(target reflect.Type) *schemaNode {
-	closed := false
-	node := &schemaNode{Type: "object", Properties: make(map[string]*schemaNode), AdditionalProperties: &closed}
+	allowsUnknown := false
+	node := &schemaNode{Type: "object", Properties: make(map[string]*schemaNode), AdditionalProperties: &allowsUnknown}
 	for i := range target.NumField() {
 		field := target.Field(i)
 		name, _, _ := strings.Cut(field.Tag.Get("yaml"), ",")
@@ -75,6 +80,7 @@
 	return node
 }
 
+// enumOf returns the values of the oneof rule in a validate tag, nil if there is none.
 func enumOf(rules string) []string {
 	for rule := range strings.SplitSeq(rules, ",") {
 		if values, ok := strings.CutPrefix(rule, "oneof="); ok {
@@ -84,10 +90,11 @@
 	return nil
 }
 
-// allowPlaceholder lets a template write "${name}" where a scalar is expected.
+// allowPlaceholder makes the schema of a scalar accept a template's "${name}" as well. Mappings
+// and lists stay as they are, as do plain strings, which accept it already.
 func allowPlaceholder(property *schemaNode) *schemaNode {
-	plain := property.Type == "string" && property.Enum == nil && property.Pattern == ""
-	if plain || property.Type == "object" || property.Type == "array" {
+	plainString := property.Type == "string" && property.Enum == nil && property.Pattern == ""
+	if plainString || property.Type == "object" || property.Type == "array" {
 		return property
 	}
 	description := property.Description
--- a/internal/config/types.go
+++ b/internal/config/types.go
@@ -1,15 +1,15 @@
-// Package config defines what operators declare: templates, tenants and their
-// parameters. It loads YAML files strictly, merges templates, validates, and
-// renders the one document that is published to the platform's log.
+// Package config defines the configuration that operators declare: templates, tenants and
+// their parameters. It parses YAML files strictly, merges templates into tenants, validates
+// the result, and encodes the single document that is published to the platform's log.
 //
-// Load a directory with LoadDirectory, check the result with Validate, encode
-// it with Encode. Nodes use Decode on the published document. Every problem is
-// a *Problem that names file, line, field and fix.
+// LoadPath loads and validates a file or a directory, Encode encodes the result, and nodes
+// use Decode on the published document. Every fault in a declaration is reported as a
+// *Problem with its file, line, field and fix.
 package config
 
 import "time"
 
-// Document is a whole configuration with every template resolved.
+// Document is a complete configuration in which all templates are resolved.
 type Document struct {
 	Tenants []Tenant `yaml:"tenants" validate:"dive" doc:"All tenants, ordered by name."`
 }
@@ -20,14 +20,14 @@
 	Spec TenantSpec `yaml:"spec" validate:"required" doc:"Settings of the tenant."`
 }
 
-// TenantSpec holds a tenant's settings.
+// TenantSpec holds the settings of a tenant.
 type TenantSpec struct {
 	Capacity Capacity `yaml:"capacity" doc:"How much the tenant may use."`
 	Models   []Model  `yaml:"models,omitempty" validate:"unique=Name,dive" doc:"Models that the tenant samples from."`
 	Routes   []Route  `yaml:"routes,omitempty" validate:"unique=Name,dive" doc:"Application requests that the tenant accepts."`
 }
 
-// Capacity bounds a tenant's use of the cluster.
+// Capacity limits how much of the cluster a tenant may use.
 type Capacity struct {
 	RequestsPerSecond  float64 `yaml:"requests_per_second" validate:"gt=0" doc:"Sustained application requests a second over the whole cluster."`
 	Burst              int     `yaml:"burst" validate:"gte=1" doc:"Requests that may arrive at once over the whole cluster."`
@@ -36,7 +36,7 @@
 	ConcurrentSamples  int     `yaml:"concurrent_samples" validate:"gte=1" doc:"Samples being generated at once per job."`
 }
 
-// Model declares one model and how its samples are made.
+// Model declares a model and how its samples are generated.
 type Model struct {
 	Name       string          `yaml:"name" validate:"required,dns_label" doc:"Name of the model."`
 	Pool       string          `yaml:"pool" validate:"required,dns_label" doc:"Pool of engines that serve the model."`
@@ -48,31 +48,31 @@
 	MaxTokens  int             `yaml:"max_tokens" validate:"gte=1,lte=1000000" doc:"Longest generation in tokens."`
 }
 
-// VersionPolicy chooses the weight version.
+// VersionPolicy selects the weight version from which samples are generated.
 type VersionPolicy struct {
 	Follow string `yaml:"follow" validate:"oneof=trainer pinned" doc:"trainer: the newest version that a trainer announced; pinned: the version in pin."`
 	Pin    uint64 `yaml:"pin,omitempty" validate:"required_if=Follow pinned" doc:"Weight version when follow is pinned."`
 }
 
-// Freshness bounds the age of a sample when a trainer receives it.
+// Freshness limits the age of a sample at the time a trainer receives it.
 type Freshness struct {
 	MaxVersions uint64        `yaml:"max_versions" validate:"lte=1000" doc:"Versions that the oldest token may be behind the trainer."`
 	MaxAge      time.Duration `yaml:"max_age" validate:"gt=0" doc:"Time since the oldest token was generated."`
 }
 
-// StragglerPolicy says how long samples are treated.
+// StragglerPolicy controls the handling of samples that take long to generate.
 type StragglerPolicy struct {
 	Policy     string        `yaml:"policy" validate:"oneof=carry_over restart" doc:"carry_over: a broken sample resumes at another engine; restart: it starts anew."`
 	HedgeAfter time.Duration `yaml:"hedge_after,omitempty" validate:"gte=0" doc:"Start a second attempt of a sample that made no progress for this long; 0 never."`
 }
 
-// SwitchPolicy says how engines change weights.
+// SwitchPolicy controls how engines switch to another weight version.
 type SwitchPolicy struct {
 	Policy            string `yaml:"policy" validate:"oneof=continue restart" doc:"continue: running samples go on with new weights; restart: they start anew."`
 	MinServingPercent int    `yaml:"min_serving_percent" validate:"gte=0,lte=99" doc:"Share of the pool that keeps serving during a switch."`
 }
 
-// Route declares one kind of application request.
+// Route declares a kind of application request and how it is served.
 type Route struct {
 	Name         string        `yaml:"name" validate:"required,dns_label" doc:"Name of the route, used in URLs."`
 	Pool         string        `yaml:"pool" validate:"required,dns_label" doc:"Pool of back ends that serve the route."`
@@ -83,7 +83,7 @@
 	MaxBodyBytes int64         `yaml:"max_body_bytes" validate:"gte=1" doc:"Largest request body in bytes."`
 }
 
-// Defaults are applied to fields that the declarations leave out.
+// Defaults of fields that a declaration omits or sets to their zero value.
 const (
 	DefaultBurst              = 100
 	DefaultConcurrentRequests = 256
@@ -98,7 +98,7 @@
 	defaultRequestsPerSecond  = 1000
 )
 
-// applyDefaults fills every field that is at its zero value.
+// applyDefaults sets every field that has a default and is at its zero value.
 func (s *TenantSpec) applyDefaults() {
 	setDefault(&s.Capacity.RequestsPerSecond, defaultRequestsPerSecond)
 	setDefault(&s.Capacity.Burst, DefaultBurst)
@@ -129,6 +129,7 @@
 	setDefault(&r.MaxBodyBytes, DefaultMaxBodyBytes)
 }
 
+// setDefault sets a field that is at its zero value.
 func setDefault[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
@@ -136,7 +137,7 @@
 	}
 }
 
-// FindTenant returns the tenant of the name, or nil.
+// FindTenant returns the tenant with the given name, or nil if there is none.
 func (d *Document) FindTenant(name string) *Tenant {
 	for i := range d.Tenants {
 		if d.Tenants[i].Name == name {
@@ -146,7 +147,7 @@
 	return nil
 }
 
-// FindRoute returns the route of the name, or nil.
+// FindRoute returns the route with the given name, or nil if there is none.
 func (t *Tenant) FindRoute(name string) *Route {
 	for i := range t.Spec.Routes {
 		if t.Spec.Routes[i].Name == name {
@@ -156,7 +157,7 @@
 	return nil
 }
 
-// FindModel returns the model of the name, or nil.
+// FindModel returns the model with the given name, or nil if there is none.
 func (t *Tenant) FindModel(name string) *Model {
 	for i := range t.Spec.Models {
 		if t.Spec.Models[i].Name == name {
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -16,7 +16,7 @@
 
 const dnsLabelFix = "use 1 to 63 lower-case letters, digits and dashes, starting with a letter"
 
-var checker = newValidator()
+var structValidator = newValidator()
 
 func newValidator() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
@@ -28,29 +28,29 @@
 		return dnsLabel.MatchString(level.Field().String())
 	})
 	if err != nil {
-		panic(err) // only a malformed tag name can cause it
+		panic(err) // fails only for a malformed tag name
 	}
 	return v
 }
 
-// validateTenant checks one resolved tenant. sources say where fields stand;
-// they may be empty for a document that came from the log.
+// validateTenant validates a resolved tenant. sources are the declarations that set its
+// fields and locate the problems; it is empty for a document from the log.
 func validateTenant(tenant *Tenant, sources []*declaration) Problems {
-	err := checker.Struct(tenant)
-	var found validator.ValidationErrors
-	if !errors.As(err, &found) {
+	err := structValidator.Struct(tenant)
+	var fieldErrors validator.ValidationErrors
+	if !errors.As(err, &fieldErrors) {
 		return nil
 	}
 	var problems Problems
-	for _, fault := range found {
-		path := strings.TrimPrefix(fault.Namespace(), "Tenant.spec.")
-		message := fmt.Sprintf("value %v is not allowed", fault.Value())
-		if fault.Tag() == "unique" {
+	for _, fieldError := range fieldErrors {
+		path := strings.TrimPrefix(fieldError.Namespace(), "Tenant.spec.")
+		message := fmt.Sprintf("value %v is not allowed", fieldError.Value())
+		if fieldError.Tag() == "unique" {
 			message = "two items have the same name"
 		}
-		fix := fixFor(fault.Tag(), fault.Param())
+		fix := fixForRule(fieldError.Tag(), fieldError.Param())
 		if len(sources) > 0 {
-			problems = append(problems, locate(path, message, fix, sources))
+			problems = append(problems, locateProblem(path, message, fix, sources))
 			continue
 		}
 		problems = append(problems, &Problem{Field: "tenant " + tenant.Name + ": spec." + path, Message: message, Fix: fix})
@@ -58,7 +58,8 @@
 	return problems
 }
 
-func fixFor(tag, parameter string) string {
+// fixForRule returns the fix for a violated rule of a validate tag.
+func fixForRule(tag, parameter string) string {
 	switch tag {
 	case "required", "required_if":
 		return "set the field"
@@ -79,13 +80,13 @@
 	}
 }
 
-// Encode renders the document as it is published.
+// Encode returns the document as YAML, in the form in which it is published.
 func Encode(document *Document) ([]byte, error) {
 	return marshalYAML(document)
 }
 
-// Decode reads a published document strictly and validates it. The error
-// carries result.ConfigInvalid.
+// Decode strictly decodes a published document and validates it. The error carries
+// result.ConfigInvalid.
 func Decode(content []byte) (*Document, error) {
 	document := &Document{}
 	if err := decodeStrict(content, document); err != nil {
