--- a/internal/credential/doc.go
+++ b/internal/credential/doc.go
@@ -1,8 +1,8 @@
-// Package credential knows which tenant holds a key. A key is what a caller shows
-// to prove for which tenant it calls; a tenant holds any number of keys, and keys are
-// given and taken away by new versions of the configuration.
+// Package credential maps API keys to tenants. A caller authenticates as a tenant with one of
+// the tenant's keys. A tenant may have any number of keys, and new versions of the
+// configuration add and revoke them.
 //
-// Keys are kept as SHA-256 digests only, so that neither a dump of the memory nor a
-// printed Keyring shows one, and are found by their digest, so that the time of a
-// look-up tells nothing of the keys that are known. The package is pure.
+// Keys are stored only as SHA-256 digests, so that neither a memory dump nor a printed Keyring
+// reveals one. They are looked up by digest, so that the time of a lookup reveals nothing about
+// the known keys. The package does no I/O and reads no clock.
 package credential
--- a/internal/credential/keyring.go
+++ b/internal/credential/keyring.go
@@ -6,16 +6,18 @@
 	"github.com/pathbend/pathbend/internal/locality"
 )
 
-// Tenant is who a caller calls for.
+// Tenant is the identity on whose behalf a caller sends requests.
 type Tenant struct {
+	// Name is the unique name of the tenant.
 	Name string
-	// Priority ranks the tenant's work before the priority of a route, 0 first.
+	// Priority orders the work of tenants, 0 first. It takes precedence over the priority of
+	// a route.
 	Priority int
-	// Regions are those in which the tenant's work may be served.
+	// Regions are the regions in which the work of the tenant may be served.
 	Regions locality.Regions
 }
 
-// Grant is a tenant with the keys that it holds.
+// Grant is a tenant with its API keys.
 type Grant struct {
 	Tenant
 	Keys []string
@@ -24,19 +26,19 @@
 // digest is the SHA-256 digest of a key.
 type digest [sha256.Size]byte
 
-// Keyring maps keys to tenants. It is built once and only read afterwards; a nil
-// Keyring knows no key.
+// Keyring maps API keys to tenants. It is immutable and therefore safe for concurrent use. A
+// nil Keyring contains no keys and no tenants.
 type Keyring struct {
-	holders map[digest]Tenant
-	tenants map[string]Tenant
+	tenantsByKey  map[digest]Tenant
+	tenantsByName map[string]Tenant
 }
 
-// NewKeyring returns a keyring of grants. Empty keys are passed over. A key that two
-// tenants hold is the first one's.
+// NewKeyring returns a keyring with the given grants. Empty keys are ignored. A key that is
+// granted to several tenants belongs to the first of them.
 func NewKeyring(grants []Grant) *Keyring {
-	ring := &Keyring{holders: make(map[digest]Tenant), tenants: make(map[string]Tenant, len(grants))}
+	ring := &Keyring{tenantsByKey: make(map[digest]Tenant), tenantsByName: make(map[string]Tenant, len(grants))}
 	for _, grant := range grants {
-		ring.tenants[grant.Name] = grant.Tenant
+		ring.tenantsByName[grant.Name] = grant.Tenant
 		for _, key := range grant.Keys {
 			ring.add(key, grant.Tenant)
 		}
@@ -44,39 +46,40 @@
 	return ring
 }
 
+// add adds a key unless it is empty or already belongs to a tenant.
 func (r *Keyring) add(key string, tenant Tenant) {
 	if key == "" {
 		return
 	}
-	digested := digest(sha256.Sum256([]byte(key)))
-	if _, held := r.holders[digested]; !held {
-		r.holders[digested] = tenant
+	keyDigest := digest(sha256.Sum256([]byte(key)))
+	if _, known := r.tenantsByKey[keyDigest]; !known {
+		r.tenantsByKey[keyDigest] = tenant
 	}
 }
 
-// Holder returns the tenant that holds a key, false if none does.
+// Holder returns the tenant to which a key belongs, and false if there is none.
 func (r *Keyring) Holder(key string) (Tenant, bool) {
 	if r == nil || key == "" {
 		return Tenant{}, false
 	}
-	digested := digest(sha256.Sum256([]byte(key)))
-	tenant, held := r.holders[digested]
-	return tenant, held
+	keyDigest := digest(sha256.Sum256([]byte(key)))
+	tenant, known := r.tenantsByKey[keyDigest]
+	return tenant, known
 }
 
-// Tenant returns a tenant by name, false if it is not known.
+// Tenant returns the tenant with the given name, and false if there is none.
 func (r *Keyring) Tenant(name string) (Tenant, bool) {
 	if r == nil {
 		return Tenant{}, false
 	}
-	tenant, known := r.tenants[name]
+	tenant, known := r.tenantsByName[name]
 	return tenant, known
 }
 
-// Size counts the tenants.
-func (r *Keyring) Size() int {
+// Len returns the number of tenants.
+func (r *Keyring) Len() int {
 	if r == nil {
 		return 0
 	}
-	return len(r.tenants)
+	return len(r.tenantsByName)
 }
--- a/internal/credential/keyring_test.go
+++ b/internal/credential/keyring_test.go
@@ -14,38 +14,38 @@
 		{Tenant: Tenant{Name: "perth"}, Keys: []string{"third", "first"}},
 		{Tenant: Tenant{Name: "keyless"}},
 	})
-	for _, one := range []struct {
-		key, holder string
+	for _, test := range []struct {
+		key, tenantName string
 	}{{"first", "dakar"}, {"second", "dakar"}, {"third", "perth"}, {"", ""}, {"First", ""}, {"dakar", ""}} {
-		tenant, known := ring.Holder(one.key)
-		require.Equal(t, one.holder != "", known, one.key)
-		require.Equal(t, one.holder, tenant.Name, one.key)
+		tenant, known := ring.Holder(test.key)
+		require.Equal(t, test.tenantName != "", known, test.key)
+		require.Equal(t, test.tenantName, tenant.Name, test.key)
 	}
 	tenant, known := ring.Tenant("dakar")
 	require.True(t, known)
 	require.Equal(t, 1, tenant.Priority)
 	_, known = ring.Tenant("keyless")
 	require.True(t, known)
-	require.Equal(t, 3, ring.Size())
+	require.Equal(t, 3, ring.Len())
 }
 
-func TestNoKeyringKnowsNoKey(t *testing.T) {
+func TestNilKeyringIsEmpty(t *testing.T) {
 	var ring *Keyring
 	_, known := ring.Holder("any")
 	require.False(t, known)
 	_, known = ring.Tenant("any")
 	require.False(t, known)
-	require.Zero(t, ring.Size())
+	require.Zero(t, ring.Len())
 }
 
-func TestPrintedKeyringShowsNoKey(t *testing.T) {
+func TestPrintedKeyringRevealsNoKey(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		key := rapid.StringMatching(`[a-z0-9]{12,24}`).Draw(t, "key")
 		ring := NewKeyring([]Grant{{Tenant: Tenant{Name: "T"}, Keys: []string{key}}})
 		require.NotContains(t, fmt.Sprintf("%v %+v %#v", ring, ring, ring), key)
-		holder, known := ring.Holder(key)
+		tenant, known := ring.Holder(key)
 		require.True(t, known)
-		require.Equal(t, "T", holder.Name)
+		require.Equal(t, "T", tenant.Name)
 		_, known = ring.Holder(key + "x")
 		require.False(t, known)
 	})
--- a/internal/report/render.go
+++ b/internal/report/render.go
@@ -18,7 +18,8 @@
 	chartHeight = 4.5 * vg.Inch
 )
 
-// Render writes a PNG for each chart and the HTML page, under base paths.
+// Render writes a PNG file for each chart (base-1.png and so on) and the HTML page (base.html),
+// which embeds the charts.
 func Render(base string, result Result) error {
 	page := pageContent{Result: result}
 	for i, chart := range result.Charts {
@@ -30,7 +31,7 @@
 			return err
 		}
 		source := "data:image/png;base64," + base64.StdEncoding.EncodeToString(image)
-		// The source was built here from a PNG, so it is safe as a URL.
+		// The data URL holds only a PNG drawn here, so that it is safe to mark as trusted.
 		page.Images = append(page.Images, pageImage{Title: chart.Title, Source: template.URL(source)})
 	}
 	var buffer bytes.Buffer
@@ -40,14 +41,15 @@
 	return os.WriteFile(base+".html", buffer.Bytes(), fileMode)
 }
 
+// drawPNG draws a chart as a PNG image. Lines without points are left out.
 func drawPNG(chart Chart) ([]byte, error) {
-	drawing := plot.New()
-	drawing.Title.Text = chart.Title
-	drawing.X.Label.Text = chart.XLabel
-	drawing.Y.Label.Text = chart.YLabel
+	chartPlot := plot.New()
+	chartPlot.Title.Text = chart.Title
+	chartPlot.X.Label.Text = chart.XLabel
+	chartPlot.Y.Label.Text = chart.YLabel
 	if chart.LogX {
-		drawing.X.Scale = plot.LogScale{}
-		drawing.X.Tick.Marker = plot.LogTicks{Prec: -1}
+		chartPlot.X.Scale = plot.LogScale{}
+		chartPlot.X.Tick.Marker = plot.LogTicks{Prec: -1}
 	}
 	for i, line := range chart.Lines {
 		points := make(plotter.XYs, 0, len(line.Points))
@@ -57,18 +59,18 @@
 		if len(points) == 0 {
 			continue
 		}
-		drawn, err := plotter.NewLine(points)
+		linePlot, err := plotter.NewLine(points)
 		if err != nil {
 			return nil, err
 		}
-		drawn.Color = plotutil.Color(i)
-		drawn.Dashes = plotutil.Dashes(i)
-		drawing.Add(drawn)
-		drawing.Legend.Add(line.Name, drawn)
+		linePlot.Color = plotutil.Color(i)
+		linePlot.Dashes = plotutil.Dashes(i)
+		chartPlot.Add(linePlot)
+		chartPlot.Legend.Add(line.Name, linePlot)
 	}
-	drawing.Legend.Top = false
+	chartPlot.Legend.Top = false
 	var buffer bytes.Buffer
-	writer, err := drawing.WriterTo(chartWidth, chartHeight, "png")
+	writer, err := chartPlot.WriterTo(chartWidth, chartHeight, "png")
 	if err != nil {
 		return nil, err
 	}
@@ -76,11 +78,13 @@
 	return buffer.Bytes(), err
 }
 
+// pageContent is the input of pageTemplate.
 type pageContent struct {
 	Result Result
 	Images []pageImage
 }
 
+// pageImage is a chart with its image as a data URL.
 type pageImage struct {
 	Title  string
 	Source template.URL
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -1,5 +1,5 @@
-// Package report holds the results of demos, loads and experiments and writes
-// them as JSON, CSV, plots and one HTML page that opens without a network.
+// Package report writes the results of demos, load tests and experiments as JSON, CSV, PNG
+// charts and a self-contained HTML page that needs no network.
 package report
 
 import (
@@ -15,38 +15,40 @@
 
 // Result is the outcome of one experiment.
 type Result struct {
+	// Name is the base name of the files that Write creates.
 	Name        string    `json:"name"`
 	Description string    `json:"description"`
 	Started     time.Time `json:"started"`
-	// Command repeats the experiment.
+	// Command is the command line that reproduces the experiment.
 	Command string  `json:"command"`
 	Tables  []Table `json:"tables"`
 	Charts  []Chart `json:"charts"`
 }
 
-// Table is a list of figures.
+// Table is a table of formatted values.
 type Table struct {
 	Title   string     `json:"title"`
 	Columns []string   `json:"columns"`
 	Rows    [][]string `json:"rows"`
 }
 
-// Chart is a set of lines over common axes.
+// Chart is a line chart.
 type Chart struct {
 	Title  string `json:"title"`
 	XLabel string `json:"x_label"`
 	YLabel string `json:"y_label"`
-	LogX   bool   `json:"log_x,omitempty"`
-	Lines  []Line `json:"lines"`
+	// LogX makes the x axis logarithmic.
+	LogX  bool   `json:"log_x,omitempty"`
+	Lines []Line `json:"lines"`
 }
 
-// Line is one series of points.
+// Line is a named data series of a chart.
 type Line struct {
 	Name   string  `json:"name"`
 	Points []Point `json:"points"`
 }
 
-// Point is one point of a line.
+// Point is a data point of a line.
 type Point struct {
 	X float64 `json:"x"`
 	Y float64 `json:"y"`
@@ -57,8 +59,8 @@
 	fileMode      = 0o644
 )
 
-// Write writes the result's JSON, CSV, plots and HTML into a directory and
-// returns the path of the HTML page.
+// Write writes a result as JSON, CSV, PNG charts and HTML to a directory, which it creates if
+// needed, and returns the path of the HTML page.
 func Write(directory string, result Result) (string, error) {
 	if err := os.MkdirAll(directory, directoryMode); err != nil {
 		return "", errors.Wrap(err, "create output directory")
@@ -77,7 +79,7 @@
 	return base + ".html", Render(base, result)
 }
 
-// Read reads a result's JSON.
+// Read reads a result from the JSON file that Write wrote.
 func Read(path string) (Result, error) {
 	var result Result
 	content, err := os.ReadFile(path)
@@ -87,6 +89,7 @@
 	return result, errors.Wrapf(json.Unmarshal(content, &result), "decode %s", path)
 }
 
+// writeCSV writes the tables to one file, with the title of its table in front of each row.
 func writeCSV(path string, tables []Table) error {
 	file, err := os.Create(path)
 	if err != nil {
@@ -105,7 +108,7 @@
 	return writer.Error()
 }
 
-// Milliseconds formats a duration for a table.
+// Milliseconds formats a duration in milliseconds with three decimals.
 func Milliseconds(duration time.Duration) string {
 	return strconv.FormatFloat(float64(duration)/float64(time.Millisecond), 'f', 3, 64)
 }
