--- a/client/client.go
+++ b/client/client.go
@@ -231,8 +231,8 @@
 	return nil, latest
 }
 
-// attemptTimeoutDivisor gives an attempt this fraction of the remaining time if another node
-// may be tried afterwards: a frozen node accepts requests but does not respond.
+// attemptTimeoutDivisor divides the remaining time into the timeout of an attempt that may be
+// cancelled to try another node: a frozen node accepts requests but does not respond.
 const attemptTimeoutDivisor = 3
 
 // attemptContext returns the context of one attempt, with a shorter timeout if the attempt
--- a/internal/metering/clock.go
+++ b/internal/metering/clock.go
@@ -45,14 +45,16 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.base.IsZero() {
-		c.base, c.baseSuspended = reading, c.suspendedTime()
+		c.base, c.baseSuspended = reading, c.suspended()
 	}
-	monotonic := c.base.Round(0).Add(reading.Sub(c.base) + c.suspendedTime() - c.baseSuspended)
+	monotonic := c.base.Round(0).Add(reading.Sub(c.base) + c.suspended() - c.baseSuspended)
 	c.adoptStep(reading, reading.Round(0).Sub(monotonic))
 	return monotonic.Add(c.offset)
 }
 
-func (c *Clock) suspendedTime() time.Duration {
+// suspended returns the time for which the machine has been suspended, 0 if the clock is not
+// told.
+func (c *Clock) suspended() time.Duration {
 	if c.Slept == nil {
 		return 0
 	}
--- a/internal/metering/recorder.go
+++ b/internal/metering/recorder.go
@@ -42,8 +42,8 @@
 // exported fields before use.
 func NewRecorder(counter *Counter) *Recorder { return &Recorder{counter: counter} }
 
-// Count counts a request of a tenant. startedAt is a reading of the machine's clock at the
-// begin of the request.
+// Count counts a request of a tenant. startedAt is the reading of the machine's clock when the
+// request began.
 func (r *Recorder) Count(tenant string, startedAt time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/metering/reporter_test.go
+++ b/internal/metering/reporter_test.go
@@ -16,7 +16,7 @@
 	"github.com/pathbend/pathbend/internal/sharedlog"
 )
 
-// memoryLog is a log of one partition in memory, which can be made unavailable.
+// memoryLog is an in-memory log of one partition that can be made unavailable.
 type memoryLog struct {
 	sharedlog.Log
 
@@ -125,12 +125,12 @@
 
 // startNode starts a node that counts requests, and reports windows while its duty holder is
 // set.
-func (c *cluster) startNode(ctx context.Context, name string, fence uint64) (*Recorder, *fakeHolder) {
+func (c *cluster) startNode(ctx context.Context, name string, fencingToken uint64) (*Recorder, *fakeHolder) {
 	gatherInterval := func() time.Duration { return 300 * time.Millisecond }
 	clock := &Clock{Now: time.Now}
-	recorder := NewRecorder(NewCounter(name, fence, length, clock.Read()))
+	recorder := NewRecorder(NewCounter(name, fencingToken, length, clock.Read()))
 	recorder.Log, recorder.Clock, recorder.Pause, recorder.Logger = c.log, clock, gatherInterval, event.Discard()
-	holder := &fakeHolder{permit: duty.Right{Holder: name, Fence: fence}}
+	holder := &fakeHolder{permit: duty.Right{Holder: name, Fence: fencingToken}}
 	reporter := &Reporter{
 		Log: c.log, Observer: c.log, Holder: holder, Sender: c.platform, Clock: clock, Logger: event.Discard(),
 		Length: length, Late: reportDueAfter, Gather: gatherInterval,
