--- a/internal/metering/clock.go
+++ b/internal/metering/clock.go
@@ -52,8 +52,8 @@
 	return monotonic.Add(c.offset)
 }
 
-// suspended returns the time for which the machine has been suspended, 0 if the clock is not
-// told.
+// suspended returns the time for which the machine has been suspended, 0 if no function
+// reports it.
 func (c *Clock) suspended() time.Duration {
 	if c.Slept == nil {
 		return 0
