--- a/internal/platformsim/mutants_test.go
+++ b/internal/platformsim/mutants_test.go
@@ -11,7 +11,8 @@
 	"github.com/pathbend/pathbend/internal/mutation"
 )
 
-// mutants are the mechanisms that TestEachMechanismIsNeeded switches off.
+// mutants lists the mechanisms that TestEachMechanismIsNeeded disables, one at a time, and the
+// promise that each of them protects.
 var mutants = []mutation.Mutant{
 	{Promise: "VERSION: no text of old weights", Edits: []mutation.Edit{
 		mutation.Replace("internal/schedule/runs.go", "if event.Version < entry.job.spec.MinVersion {", "if false {"),
@@ -134,7 +135,7 @@
 	}},
 }
 
-// Code moved to another file, and three mutants edited nothing any more.
+// Guards against mutants that no longer apply, as happens when code moves to another file.
 func TestMutantsEditWhatStands(t *testing.T) {
 	for _, mutant := range mutants {
 		for _, edit := range mutant.Edits {
--- a/internal/platformsim/mutation_test.go
+++ b/internal/platformsim/mutation_test.go
@@ -8,8 +8,8 @@
 	"github.com/pathbend/pathbend/internal/mutation"
 )
 
-// TestEachMechanismIsNeeded expects the simulation to fail with one mechanism
-// switched off at a time.
+// TestEachMechanismIsNeeded checks that the simulation, or the test that a mutant names, fails
+// when any one mechanism is disabled.
 func TestEachMechanismIsNeeded(t *testing.T) {
 	simulated := mutation.Simulation{Package: "./internal/platformsim", Arguments: []string{"-seeds", "60", "-faults", "8"}}
 	simulated.ExpectCaught(t, mutants)
--- a/internal/platformsim/regions_test.go
+++ b/internal/platformsim/regions_test.go
@@ -10,18 +10,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-// twoRegions is a world whose farZone is a region of its own, 8 ms from the others and the
-// store, with a route that is bound to one region and a tenant that is bound to the other.
-func twoRegions(seed uint64, logs io.Writer) Options {
+// twoRegionOptions describes a world whose remoteZone is a region of its own, 8 ms from the
+// other zones and the store. One route is restricted to the one region and one tenant to the
+// other.
+func twoRegionOptions(seed uint64, logs io.Writer) Options {
 	options := example(seed, logs)
-	options.Regions = map[string]string{"a": "north", "b": "north", farZone: "south"}
-	options.Distance = 8 * time.Millisecond
+	options.Regions = map[string]string{"a": "north", "b": "north", remoteZone: "south"}
+	options.RemoteZoneLatency = 8 * time.Millisecond
 	options.Applications = 6
 	return options
 }
 
 func TestCalmDayOfTwoRegions(t *testing.T) {
-	world := play(t, twoRegions(1, nil), nil)
+	world := play(t, twoRegionOptions(1, nil), nil)
 	require.Empty(t, world.Truth.Violations())
 	counts := world.Truth.counts
 	require.Zero(t, counts["requests refused"]+counts["requests lost"], counts)
@@ -31,7 +32,7 @@
 	require.Equal(t, counts["steps"], counts["steps whole"], counts)
 }
 
-// Each fault that changes who decides or who carries, alone, twice.
+// Injects each kind of fault that changes which nodes decide or forward, on its own, twice.
 func TestEachFaultOfTwoRegions(t *testing.T) {
 	kinds := []FaultKind{
 		NodeKill, NodeFreeze, NodeCutFromStore, NodeCutFromAll, NodeTerm, HerdKill, KillAll, NodeReplaced, ConfigChange,
@@ -45,10 +46,10 @@
 					{Kind: kind, At: 6 * time.Second, For: 4 * time.Second, Target: 2 * target},
 					{Kind: kind, At: 25 * time.Second, For: 6 * time.Second, Target: 2*target + 1},
 				}
-				world := play(t, twoRegions(uint64(kind)+200, nil), faults)
+				world := play(t, twoRegionOptions(uint64(kind)+200, nil), faults)
 				require.Empty(t, world.Truth.Violations())
-				require.Positive(t, world.Truth.counts["steps whole of m1"], "the bound tenant's")
-				require.Positive(t, world.Truth.counts["steps whole of m2"], "the bound route's")
+				require.Positive(t, world.Truth.counts["steps whole of m1"], "steps of the tenant restricted to a region")
+				require.Positive(t, world.Truth.counts["steps whole of m2"], "steps of the route restricted to a region")
 			})
 		}
 	}
@@ -59,11 +60,11 @@
 		t.Run(fmt.Sprint("seed=", seed), func(t *testing.T) {
 			t.Parallel()
 			var logs io.Writer
-			if *traceRun {
+			if *traceLogs {
 				logs = os.Stdout
 			}
 			faults := Draw(seed, faultTime, *faultsRun)
-			world := play(t, twoRegions(seed, logs), faults)
+			world := play(t, twoRegionOptions(seed, logs), faults)
 			for _, violation := range world.Truth.Violations() {
 				t.Error(violation)
 			}
@@ -73,9 +74,9 @@
 	}
 }
 
-// Far from the store, items run before their trainer hears that the job was taken. That is
-// no refused job's run, unless the attempt under way is refused too.
-func TestItemsMayRunBeforeTheAnswerToTheirJob(t *testing.T) {
+// With a remote store, items may run before their trainer learns that the job was accepted.
+// This violates the rule on refused jobs only if the unanswered submission is refused too.
+func TestItemsMayRunBeforeTheirSubmissionIsAnswered(t *testing.T) {
 	for _, refused := range []bool{false, true} {
 		truth := NewTruth()
 		job := &jobTruth{id: "j", items: []string{"i"}}
@@ -90,5 +91,5 @@
 	job := &jobTruth{id: "j", items: []string{"i"}, refused: true}
 	truth.Submitted(job, map[string]*itemTruth{"i": {}})
 	truth.RunStarted("i", "s", "n")
-	require.NotEmpty(t, truth.Violations(), "no attempt is under way")
+	require.NotEmpty(t, truth.Violations(), "no submission is unanswered")
 }
--- a/internal/platformsim/sampler.go
+++ b/internal/platformsim/sampler.go
@@ -17,39 +17,40 @@
 )
 
 const (
-	samplerQueue = 16
-	loadTime     = 900 * time.Millisecond
-	heartbeat    = 1200 * time.Millisecond
+	maxQueuedRequests  = 16
+	weightLoadDuration = 900 * time.Millisecond
+	heartbeat          = 1200 * time.Millisecond
 )
 
-// SamplerFaults are the troubles of a sampler. The zero value is none.
+// SamplerFaults are the faults injected into a sampler. The zero value injects none.
 type SamplerFaults struct {
-	// Slow multiplies the work time.
+	// Slow multiplies the service time; values below 1 have no effect.
 	Slow float64
-	// Cut is the share of streams and answers that break off.
+	// Cut is the fraction of streams and answers that are cut off midway.
 	Cut float64
-	// Fail is the share of runs that end with the sampler's own 500.
+	// Fail is the fraction of runs that the sampler answers with status 500.
 	Fail float64
-	// Surplus is the share of answers that are another request's.
+	// Surplus is the fraction of answers that belong to another request.
 	Surplus float64
-	// LateOrders leaves orders unanswered and carries them out seconds later.
+	// LateOrders makes the sampler leave half of the weight orders unanswered and execute them
+	// 2 to 8 s later.
 	LateOrders bool
 }
 
-// SamplerSpec describes a sampler; it outlasts the sampler's restarts.
+// SamplerSpec describes a sampler. It stays the same over the sampler's restarts.
 type SamplerSpec struct {
 	Address, Zone, Service string
 	Slots                  int
-	// Work is the time of one event, or of one answer of an application.
+	// Work is the time to generate one event, or one answer of an application.
 	Work time.Duration
 }
 
-// Sampler stands in for a model sampler or an application server.
+// Sampler simulates a model sampler or an application server.
 type Sampler struct {
 	SamplerSpec
 	ID string
-	// born is when it started, in Unix milliseconds.
-	born int64
+	// startedMS is the time of its start in Unix milliseconds.
+	startedMS int64
 
 	truth  *Truth
 	store  *Store
@@ -57,29 +58,30 @@
 	random *rand.Rand
 	faults SamplerFaults
 
-	models  map[string]uint64
-	loading string
-	orders  uint64
-	running int
-	queued  int
-	leaving bool
-	stopped bool
-	freed   chan struct{}
-	cold    coldState
-	// crash ends the sampler's process under a request.
+	models          map[string]uint64
+	loadingModel    string
+	acceptedOrders  uint64
+	runningRequests int
+	queuedRequests  int
+	draining        bool
+	removed         bool
+	slotFreed       chan struct{}
+	cold            coldState
+	// crash terminates the sampler's process while it runs a request from a node; key
+	// identifies the request over its retries.
 	crash func(key, node string)
 }
 
 func newSampler(id string, spec SamplerSpec, models map[string]uint64, truth *Truth, store *Store, seed uint64, coldUntil time.Time) *Sampler {
 	sampler := &Sampler{
-		SamplerSpec: spec, ID: id, born: time.Now().UnixMilli(), truth: truth, store: store, models: models,
-		random: rand.New(rand.NewPCG(seed, 7)), freed: make(chan struct{}), cold: coldState{until: coldUntil},
+		SamplerSpec: spec, ID: id, startedMS: time.Now().UnixMilli(), truth: truth, store: store, models: models,
+		random: rand.New(rand.NewPCG(seed, 7)), slotFreed: make(chan struct{}), cold: coldState{until: coldUntil},
 	}
 	sampler.register()
 	return sampler
 }
 
-// SetFaults puts troubles in force.
+// SetFaults replaces the faults in force.
 func (s *Sampler) SetFaults(faults SamplerFaults) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -92,15 +94,15 @@
 	return s.document()
 }
 
-// document is the sampler's entry. It is called under the lock.
+// document returns the sampler's registry entry; the caller holds s.mutex.
 func (s *Sampler) document() platform.SamplerDocument {
 	state := platform.StateReady
-	if s.leaving {
+	if s.draining {
 		state = platform.StateDraining
 	}
 	document := platform.SamplerDocument{
 		Service: s.Service, Address: s.Address, Zone: s.Zone, Software: "v1", Slots: s.Slots, State: state,
-		Orders: s.orders, Born: s.born,
+		Orders: s.acceptedOrders, Born: s.startedMS,
 	}
 	document.ColdLeftMS = float64(s.cold.left(time.Now()).Milliseconds())
 	for model, version := range s.models {
@@ -109,12 +111,12 @@
 	return document
 }
 
-// register writes the sampler's entry.
+// register writes the sampler's registry entry to the store, unless it was removed.
 func (s *Sampler) register() {
 	s.mutex.Lock()
-	document, stopped := s.document(), s.stopped
+	document, removed := s.document(), s.removed
 	s.mutex.Unlock()
-	if stopped {
+	if removed {
 		return
 	}
 	content, err := json.Marshal(document)
@@ -124,34 +126,35 @@
 	s.store.Put(platform.TopicSamplers, s.ID, content)
 }
 
-// Leave says that the sampler drains.
+// Leave announces that the sampler is draining.
 func (s *Sampler) Leave() {
 	s.mutex.Lock()
-	s.leaving = true
+	s.draining = true
 	s.mutex.Unlock()
 	s.register()
 	s.truth.Gone(s.ID)
 }
 
-// Remove drops the sampler's entry, some heartbeats after its end.
+// Remove deletes the sampler's registry entry. It is called some heartbeats after the
+// sampler's end.
 func (s *Sampler) Remove() {
 	s.mutex.Lock()
-	s.stopped = true
+	s.removed = true
 	s.mutex.Unlock()
 	s.store.Put(platform.TopicSamplers, s.ID, nil)
 	s.truth.Gone(s.ID)
 }
 
-func (s *Sampler) snapshot() SamplerFaults {
+func (s *Sampler) currentFaults() SamplerFaults {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.faults
 }
 
-func (s *Sampler) draw(share float64) bool {
+func (s *Sampler) randomChance(probability float64) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.random.Float64() < share
+	return s.random.Float64() < probability
 }
 
 // ServeHTTP implements http.Handler.
@@ -168,46 +171,46 @@
 	}
 	switch request.URL.Path {
 	case platform.PathReport:
-		s.report(writer)
+		s.serveReport(writer)
 		return
 	case platform.PathOrder:
-		s.order(writer, request, body)
+		s.serveOrder(writer, request, body)
 		return
 	}
 	id := request.Header.Get(platform.HeaderRequestID)
-	s.truth.Arrived(s.ID, s.Zone, node, id)
-	s.truth.judgeTenant(id, node, request.Header)
+	s.truth.RequestArrived(s.ID, s.Zone, node, id)
+	s.truth.checkTenant(id, node, request.Header)
 	s.truth.judgeHome(id, s.ID, s.Zone)
 	writer.Header().Set(platform.HeaderRequestID, id)
 	model := request.Header.Get(platform.HeaderModel)
 	if s.takeCold(node) {
 		panic(http.ErrAbortHandler)
 	}
-	if !s.enter(request, model) {
+	if !s.acquireSlot(request, model) {
 		writer.Header().Set(platform.HeaderNotRun, "1")
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	defer s.leave()
+	defer s.releaseSlot()
 	if crashes(body) {
 		s.crash(s.crashKey(request, id), node)
 		panic(http.ErrAbortHandler)
 	}
-	if s.draw(s.snapshot().Fail) {
-		s.truth.ItemFailed(id)
+	if s.randomChance(s.currentFaults().Fail) {
+		s.truth.RunFailed(id)
 		writer.Header().Set(platform.HeaderStamp, "failed")
 		writer.WriteHeader(http.StatusInternalServerError)
 		return
 	}
 	if len(s.models) > 0 {
-		s.stream(writer, request, id, model, node)
+		s.serveStream(writer, request, id, model, node)
 		return
 	}
-	s.answer(writer, request, id, body)
+	s.serveAnswer(writer, request, id, body)
 }
 
-// crashKey names a request that comes again, by what stays the same: items and their reward
-// calls keep their ids.
+// crashKey identifies a crashing request over its retries. Items and reward calls keep their
+// ids; a client's request, whose id begins with "k", gets a new one each time but keeps its path.
 func (s *Sampler) crashKey(request *http.Request, id string) string {
 	if strings.HasPrefix(id, "k") {
 		return "request " + request.URL.Path
@@ -215,7 +218,7 @@
 	return "item or reward call " + id
 }
 
-// hostOf returns the host of an address, with or without a port.
+// hostOf returns the host of an address that may or may not have a port.
 func hostOf(address string) string {
 	name, _, err := net.SplitHostPort(address)
 	if err != nil {
@@ -224,46 +227,47 @@
 	return name
 }
 
-// enter waits for a slot.
-func (s *Sampler) enter(request *http.Request, model string) bool {
+// acquireSlot waits for a free slot. It reports false if the queue is full, the model is being
+// loaded or the request is canceled.
+func (s *Sampler) acquireSlot(request *http.Request, model string) bool {
 	s.mutex.Lock()
-	if s.queued >= samplerQueue || (model != "" && s.loading == model) {
+	if s.queuedRequests >= maxQueuedRequests || (model != "" && s.loadingModel == model) {
 		s.mutex.Unlock()
 		return false
 	}
-	s.queued++
-	for s.running >= s.Slots {
-		freed := s.freed
+	s.queuedRequests++
+	for s.runningRequests >= s.Slots {
+		freed := s.slotFreed
 		s.mutex.Unlock()
 		select {
 		case <-freed:
 		case <-request.Context().Done():
 			s.mutex.Lock()
-			s.queued--
+			s.queuedRequests--
 			s.mutex.Unlock()
 			return false
 		}
 		s.mutex.Lock()
 	}
-	s.queued--
-	s.running++
+	s.queuedRequests--
+	s.runningRequests++
 	s.mutex.Unlock()
 	return true
 }
 
-func (s *Sampler) leave() {
+func (s *Sampler) releaseSlot() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.running--
-	close(s.freed)
-	s.freed = make(chan struct{})
+	s.runningRequests--
+	close(s.slotFreed)
+	s.slotFreed = make(chan struct{})
 }
 
-func (s *Sampler) work(request *http.Request) bool {
+func (s *Sampler) simulateWork(request *http.Request) bool {
 	s.mutex.Lock()
-	pause := time.Duration(float64(s.Work) * max(s.faults.Slow, 1))
+	delay := time.Duration(float64(s.Work) * max(s.faults.Slow, 1))
 	s.mutex.Unlock()
-	timer := time.NewTimer(pause)
+	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -273,38 +277,38 @@
 	}
 }
 
-// weights returns the versions that the sampler serves.
-func (s *Sampler) weights() map[string]uint64 {
+// weightVersions returns the weight version that the sampler serves of each model.
+func (s *Sampler) weightVersions() map[string]uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return maps.Clone(s.models)
 }
 
-func (s *Sampler) version(model string) uint64 {
+func (s *Sampler) weightVersion(model string) uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.models[model]
 }
 
-func (s *Sampler) stream(writer http.ResponseWriter, request *http.Request, id, model, node string) {
+func (s *Sampler) serveStream(writer http.ResponseWriter, request *http.Request, id, model, node string) {
 	from, _ := strconv.Atoi(request.Header.Get(platform.HeaderLastEvent))
-	_, out, _ := strings.Cut(request.Header.Get(platform.HeaderTokens), ",")
-	total, _ := strconv.Atoi(out)
+	_, outputTokens, _ := strings.Cut(request.Header.Get(platform.HeaderTokens), ",")
+	total, _ := strconv.Atoi(outputTokens)
 	run := s.truth.RunStarted(id, s.ID, node)
-	version := s.version(model)
+	version := s.weightVersion(model)
 	writer.Header().Set("Content-Type", "text/event-stream")
 	writer.Header().Set(platform.HeaderStamp, "stream")
 	writer.Header().Set(platform.HeaderVersions, strconv.FormatUint(version, 10))
 	controller := http.NewResponseController(writer)
 	cutAt := -1
-	if s.draw(s.snapshot().Cut) {
+	if s.randomChance(s.currentFaults().Cut) {
 		cutAt = from + 1 + run%max(total-from, 1)
 	}
 	for event := from + 1; event <= total; event++ {
-		if !s.work(request) {
+		if !s.simulateWork(request) {
 			return
 		}
-		current := s.version(model)
+		current := s.weightVersion(model)
 		text := fmt.Sprintf("id: %d\ndata: %s\n\n", event, eventData(id, event, run, from, current))
 		if current != version {
 			text = fmt.Sprintf("%s: %d\n", platform.EventVersionField, current) + text
@@ -315,7 +319,7 @@
 			_ = controller.Flush()
 			panic(http.ErrAbortHandler)
 		}
-		s.truth.EventMade(id)
+		s.truth.EventGenerated(id)
 		if _, err := io.WriteString(writer, text); err != nil {
 			return
 		}
@@ -325,39 +329,39 @@
 	}
 }
 
-// answer serves a request of an application or a reward call.
-func (s *Sampler) answer(writer http.ResponseWriter, request *http.Request, id string, body []byte) {
+// serveAnswer serves a request to an application or a reward call.
+func (s *Sampler) serveAnswer(writer http.ResponseWriter, request *http.Request, id string, body []byte) {
 	s.truth.Began(id)
-	if !s.work(request) {
+	if !s.simulateWork(request) {
 		return
 	}
-	faults := s.snapshot()
+	faults := s.currentFaults()
 	s.mutex.Lock()
 	stamp := fmt.Sprintf("%s.%x", s.ID, s.random.Uint64())
 	s.mutex.Unlock()
-	s.truth.RewardAnswered(id, stamp)
+	s.truth.AnswerSent(id, stamp)
 	content := answerTo(id, request.Host, request.RequestURI, body)
-	if s.draw(faults.Surplus) {
+	if s.randomChance(faults.Surplus) {
 		writer.Header().Set(platform.HeaderRequestID, "another")
 		content = "the answer to another request"
 	}
 	writer.Header().Set(platform.HeaderStamp, stamp)
 	writer.Header().Set("Content-Length", strconv.Itoa(len(content)))
-	if s.draw(faults.Cut) {
+	if s.randomChance(faults.Cut) {
 		_, _ = io.WriteString(writer, content[:len(content)/2])
 		panic(http.ErrAbortHandler)
 	}
 	_, _ = io.WriteString(writer, content)
 }
 
-// answerTo is the right answer to a request.
+// answerTo returns the correct answer to a request.
 func answerTo(id, host, path string, body []byte) string {
 	return fmt.Sprintf("answer to %s at %s%s with %q", id, host, path, body)
 }
 
-func (s *Sampler) report(writer http.ResponseWriter) {
+func (s *Sampler) serveReport(writer http.ResponseWriter) {
 	s.mutex.Lock()
-	document := platform.ReportDocument{Busy: s.loading != "", Orders: s.orders, Born: s.born}
+	document := platform.ReportDocument{Busy: s.loadingModel != "", Orders: s.acceptedOrders, Born: s.startedMS}
 	for model, version := range s.models {
 		document.Models = append(document.Models, platform.ModelDocument{Name: model, Version: version})
 	}
@@ -365,38 +369,40 @@
 	writeDocument(writer, document)
 }
 
-func (s *Sampler) order(writer http.ResponseWriter, request *http.Request, body []byte) {
+func (s *Sampler) serveOrder(writer http.ResponseWriter, request *http.Request, body []byte) {
 	var document platform.OrderDocument
 	if json.Unmarshal(body, &document) != nil || document.Holder == "" || document.Fence == 0 {
 		writer.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	s.truth.Ordered(s.ID, s.Zone, document.Holder, document.Fence)
-	faults := s.snapshot()
-	if faults.LateOrders && s.draw(0.5) {
-		time.AfterFunc(2*time.Second+time.Duration(document.Fence%7)*time.Second, func() { s.carryOut(document) })
+	s.truth.OrderReceived(s.ID, s.Zone, document.Holder, document.Fence)
+	faults := s.currentFaults()
+	if faults.LateOrders && s.randomChance(0.5) {
+		time.AfterFunc(2*time.Second+time.Duration(document.Fence%7)*time.Second, func() { s.executeOrder(document) })
 		<-request.Context().Done()
 		panic(http.ErrAbortHandler)
 	}
-	writer.WriteHeader(s.carryOut(document))
+	writer.WriteHeader(s.executeOrder(document))
 }
 
-// carryOut takes an order and returns the status of its answer.
-func (s *Sampler) carryOut(document platform.OrderDocument) int {
+// executeOrder starts loading the ordered weights and returns the status of the answer: 200 if
+// the version is already served, 409 if a load is in progress or the order's count of previous
+// orders is stale.
+func (s *Sampler) executeOrder(document platform.OrderDocument) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.models[document.Model] == document.Version {
 		return http.StatusOK
 	}
-	if s.loading != "" || document.Expected != s.orders {
+	if s.loadingModel != "" || document.Expected != s.acceptedOrders {
 		return http.StatusConflict
 	}
-	s.orders++
-	s.loading = document.Model
-	time.AfterFunc(loadTime, func() {
+	s.acceptedOrders++
+	s.loadingModel = document.Model
+	time.AfterFunc(weightLoadDuration, func() {
 		s.mutex.Lock()
 		s.models[document.Model] = document.Version
-		s.loading = ""
+		s.loadingModel = ""
 		s.mutex.Unlock()
 		s.register()
 	})
--- a/internal/platformsim/sharing_test.go
+++ b/internal/platformsim/sharing_test.go
@@ -11,9 +11,9 @@
 	"github.com/pathbend/pathbend/platform"
 )
 
-// sharing is a world of twelve nodes, of which one in each zone reads the samplers' entries
-// for the others.
-func sharing(seed uint64, logs *lines) Options {
+// sharingOptions describes a world of twelve nodes, of which one in each zone reads the shared
+// topics for the others.
+func sharingOptions(seed uint64, logs *lines) Options {
 	options := example(seed, nil)
 	if logs != nil {
 		options.Logs = logs
@@ -23,9 +23,10 @@
 	return options
 }
 
-// Nodes that hear of samplers through others keep all rules while readers are killed, cut
-// off, frozen and replaced, samplers leave and start again, and other writers' entries come.
-func TestRulesHoldWhereNodesShareReadings(t *testing.T) {
+// Nodes that learn of samplers through other nodes keep all rules while readers are killed,
+// isolated, paused and replaced, samplers leave and restart, and another writer adds entries to
+// the samplers' topic.
+func TestRulesHoldWhenNodesShareReads(t *testing.T) {
 	for name, faults := range map[string][]Fault{
 		"samplers leave": {
 			{Kind: SamplerReplaced, At: 3 * time.Second, Target: 1},
@@ -44,7 +45,7 @@
 			{Kind: StoreForgets, At: 30 * time.Second},
 			{Kind: SamplerReplaced, At: 31 * time.Second, Target: 5},
 		},
-		"samplers start again": {
+		"samplers restart": {
 			{Kind: SamplerReborn, At: 4 * time.Second, For: time.Second, Target: 1},
 			{Kind: ForeignEntries, At: 8 * time.Second, For: 6 * time.Second, Target: 8},
 			{Kind: NodeReplaced, At: 16 * time.Second, For: 3 * time.Second},
@@ -55,7 +56,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			logs := &lines{}
-			world := play(t, sharing(320, logs), faults)
+			world := play(t, sharingOptions(320, logs), faults)
 			require.Empty(t, world.Truth.Violations())
 			counts := world.Truth.counts
 			require.GreaterOrEqual(t, counts["steps whole"], counts["steps"]*3/4, counts)
@@ -64,16 +65,15 @@
 	}
 }
 
-// On a calm day the readers alone follow the topics that are shared, one of four nodes of
-// each zone.
-func TestFewNodesReadForTheOthers(t *testing.T) {
-	world := play(t, sharing(321, nil), nil)
+// Without faults, only the readers, one of the four nodes of each zone, follow the shared topics.
+func TestOnlyReadersFollowSharedTopics(t *testing.T) {
+	world := play(t, sharingOptions(321, nil), nil)
 	require.Empty(t, world.Truth.Violations())
 	counts := world.Truth.counts
 	require.Zero(t, counts["requests refused"]+counts["requests lost"], counts)
 	require.Equal(t, counts["steps"], counts["steps whole"], counts)
 	for _, topic := range []string{platform.TopicSamplers, platform.TopicOperator} {
-		followers, reads := 0, world.Store.Reads(topic)
+		followers, reads := 0, world.Store.ReadCounts(topic)
 		for _, count := range reads {
 			if count > 60 {
 				followers++
@@ -83,17 +83,17 @@
 	}
 }
 
-// What the log hands out of the topics that are shared grows with the readers, and not with
-// the nodes: twice as many nodes with as many readers read it no more often.
-func TestReadsOfTheLogGrowWithReadersAndNotWithNodes(t *testing.T) {
+// The number of reads of the shared topics grows with the number of readers, not of nodes: with
+// twice the nodes and the same number of readers it grows by less than a quarter.
+func TestLogReadsGrowWithReadersNotNodes(t *testing.T) {
 	total := func(nodesPerZone int) map[string]int {
-		options := sharing(322, nil)
+		options := sharingOptions(322, nil)
 		options.NodesPerZone, options.Sharing.PerReader = nodesPerZone, nodesPerZone
 		world := play(t, options, nil)
 		require.Empty(t, world.Truth.Violations())
 		sums := make(map[string]int)
 		for _, topic := range []string{platform.TopicSamplers, platform.TopicOperator} {
-			for _, count := range world.Store.Reads(topic) {
+			for _, count := range world.Store.ReadCounts(topic) {
 				sums[topic] += count
 			}
 		}
@@ -105,13 +105,13 @@
 	}
 }
 
-// Drawn faults, as TestSeeds has.
-func TestSeedsWhereNodesShareReadings(t *testing.T) {
+// Runs random faults, as TestSeeds does, in a world whose nodes share reads.
+func TestSeedsWithSharedReads(t *testing.T) {
 	for seed := *firstSeed; seed < *firstSeed+min(*seeds, 3); seed++ {
 		t.Run(fmt.Sprint("seed=", seed), func(t *testing.T) {
 			t.Parallel()
 			faults := Draw(seed+5000, faultTime, *faultsRun)
-			world := play(t, sharing(seed+5000, nil), faults)
+			world := play(t, sharingOptions(seed+5000, nil), faults)
 			require.Empty(t, world.Truth.Violations(), "%v", faults)
 			require.Positive(t, world.Truth.counts["steps whole"], "%v", faults)
 		})
--- a/internal/platformsim/simulation_test.go
+++ b/internal/platformsim/simulation_test.go
@@ -21,8 +21,8 @@
 var (
 	firstSeed = flag.Uint64("first-seed", 1, "first seed of TestSeeds")
 	seeds     = flag.Uint64("seeds", 6, "number of seeds of TestSeeds")
-	faultsRun = flag.Int("faults", 6, "faults of a run")
-	traceRun  = flag.Bool("trace", false, "print the nodes' logs")
+	faultsRun = flag.Int("faults", 6, "number of faults in a run")
+	traceLogs = flag.Bool("trace", false, "print the nodes' logs")
 )
 
 const (
@@ -32,16 +32,17 @@
 	closeTime  = 30 * time.Second
 )
 
-// play runs a world through faults and returns it closed.
+// play runs a world under traffic, injects the faults, checks the accepted jobs at the end and
+// returns the closed world.
 func play(t *testing.T, options Options, faults []Fault) *World {
 	t.Helper()
 	var world *World
 	synctest.Test(t, func(t *testing.T) {
 		world = NewWorld(options)
-		if options.Suspends {
-			defer clock.Simulate(world.Slept)()
+		if options.SimulateSuspension {
+			defer clock.Simulate(world.SuspendedTime)()
 		}
-		// Handlers of the stand-ins end after their last pause.
+		// Handlers of the simulated servers end only after their current sleep.
 		defer time.Sleep(closeTime)
 		defer world.Close()
 		background, stop := context.WithCancel(context.Background())
@@ -73,7 +74,7 @@
 	return Options{Seed: seed, NodesPerZone: 2, Samplers: 6, Applications: 3, Models: []string{"m1", "m2"}, Logs: logs}
 }
 
-func TestCalmDayIsServedWhole(t *testing.T) {
+func TestAllRequestsAreServedWithoutFaults(t *testing.T) {
 	world := play(t, example(1, nil), nil)
 	require.Empty(t, world.Truth.Violations())
 	counts := world.Truth.counts
@@ -93,7 +94,7 @@
 		t.Run(fmt.Sprint("seed=", seed), func(t *testing.T) {
 			t.Parallel()
 			var logs io.Writer
-			if *traceRun {
+			if *traceLogs {
 				logs = os.Stdout
 			}
 			faults := Draw(seed, faultTime, *faultsRun)
@@ -111,15 +112,15 @@
 	}
 }
 
-// A zone of three lies in another region than the store. All rules hold there, calm or
-// under faults.
-func TestDistantStore(t *testing.T) {
+// All rules hold, with and without faults, if one of the three zones is in another region than
+// the store.
+func TestRemoteStore(t *testing.T) {
 	for _, distance := range []time.Duration{45 * time.Millisecond, 120 * time.Millisecond} {
 		for seed := uint64(1); seed <= 2; seed++ {
 			t.Run(fmt.Sprint(distance, "/seed=", seed), func(t *testing.T) {
 				t.Parallel()
 				options := example(seed, nil)
-				options.Distance = distance
+				options.RemoteZoneLatency = distance
 				var faults []Fault
 				if seed > 1 {
 					faults = Draw(seed, faultTime, *faultsRun)
@@ -132,7 +133,7 @@
 	}
 }
 
-// Each kind of fault alone, twice, under all kinds of work.
+// Injects each kind of fault on its own, twice, under all kinds of traffic.
 func TestEachFault(t *testing.T) {
 	for kind := range faultKinds {
 		t.Run(kind.String(), func(t *testing.T) {
@@ -148,10 +149,10 @@
 	}
 }
 
-// "Since then, when a machine comes back empty at another address, batches of two
-// models stop and the trainer sits idle" (letter on size). The machine is the one that
-// executes and orders, removed for good.
-func TestReplacedExecutorStopsNoModel(t *testing.T) {
+// Guards against batches of a model stopping, with its trainer idle, after a machine is replaced
+// by an empty one at another address. The replaced machine is the one that executes jobs and
+// sends weight orders.
+func TestModelsContinueAfterExecutorReplacement(t *testing.T) {
 	faults := []Fault{
 		{Kind: NodeReplaced, At: 8 * time.Second, For: 2 * time.Second},
 		{Kind: NodeReplaced, At: 26 * time.Second, For: 4 * time.Second},
@@ -161,15 +162,15 @@
 	counts := world.Truth.counts
 	for _, model := range []string{"m1", "m2"} {
 		require.GreaterOrEqual(t, counts["steps of "+model], 15, counts)
-		// A step in each loss may run out of its time; none after it does.
+		// One step per replacement may time out, but no later one.
 		require.GreaterOrEqual(t, counts["steps whole of "+model], counts["steps of "+model]-len(faults), "%s: %v", model, counts)
 	}
 }
 
-// A machine that was down when its replacement was drawn counted as removed, was started
-// again by the fault that had it down, and ran on after the end of the run (seed 11 with
-// eight faults).
-func TestMachineThatIsDownIsNotReplaced(t *testing.T) {
+// Guards against replacing a machine that another fault has stopped: it was marked as removed,
+// then restarted by the other fault, and kept running after the end of the simulation (seed 11
+// with eight faults).
+func TestDownMachineIsNotReplaced(t *testing.T) {
 	faults := []Fault{
 		{Kind: KillAll, At: 8 * time.Second, For: 4 * time.Second},
 		{Kind: NodeReplaced, At: 9 * time.Second, For: 2 * time.Second},
@@ -179,9 +180,9 @@
 	require.Len(t, world.present(), len(world.nodes))
 }
 
-// An executor that could not reach the store lost its share after 1.5 s, and each step
-// under way with it what was not saved of its texts.
-func TestNodesThatAreCutOffFromTheStoreKeepTheirWork(t *testing.T) {
+// Guards against an executor that cannot reach the store losing its partition assignment after
+// 1.5 s, and with it the unsaved texts of every step in progress.
+func TestNodesIsolatedFromTheStoreKeepTheirWork(t *testing.T) {
 	const cutFor, pause = 5 * time.Second, 7 * time.Second
 	var faults []Fault
 	for node := range uint64(6) {
@@ -194,10 +195,10 @@
 	require.Equal(t, counts["steps"], counts["steps whole"], counts)
 	text := logs.String()
 	require.Contains(t, text, `"msg":"log_reached_through_peer"`)
-	require.NotContains(t, text, `"msg":"group_contact_lost"`, "the executor's share is at risk")
+	require.NotContains(t, text, `"msg":"group_contact_lost"`, "the executor may lose its partition assignment")
 }
 
-// lines collects what nodes log.
+// lines is a concurrency-safe buffer of the nodes' logs.
 type lines struct {
 	mutex sync.Mutex
 	text  strings.Builder
@@ -215,10 +216,10 @@
 	return l.text.String()
 }
 
-// Drawn seeds hardly ever have a back end fail what it runs while another zone is
-// evacuated: 60 of them let through attempts after the first that did not ask.
+// Guards against retries that ignore evacuations. Random faults hardly ever make a back end
+// fail requests while another zone is evacuated: 60 seeds did not detect it.
 func TestFailedRequestsStayOutOfAnEvacuatedZone(t *testing.T) {
-	const zoneA, applicationB, applicationC = 3, 7, 8 // targets of the example
+	const zoneA, applicationB, applicationC = 3, 7, 8 // fault targets in the world of example
 	faults := []Fault{
 		{Kind: Evacuate, At: 8 * time.Second, For: 20 * time.Second, Target: zoneA},
 		{Kind: SamplerFail, At: 8 * time.Second, For: 20 * time.Second, Target: applicationB},
@@ -230,16 +231,16 @@
 	require.Positive(t, world.Truth.counts[countRewardFailures])
 }
 
-// Machines that were suspended give up what may have lapsed, and take it up again. One world
-// at a time: there is one clock for all.
-func TestSuspendedMachinesTakeTheirWorkUpAgain(t *testing.T) {
+// Machines that were suspended give up leases and assignments that may have expired, and acquire
+// them again. The test is not parallel because the simulated clock is global.
+func TestSuspendedMachinesResumeTheirWork(t *testing.T) {
 	faults := []Fault{
 		{Kind: Suspension, At: 6 * time.Second, For: 900 * time.Millisecond},
 		{Kind: Suspension, At: 15 * time.Second, For: 4 * time.Second},
 		{Kind: Suspension, At: 30 * time.Second, For: time.Minute},
 	}
 	options := example(303, nil)
-	options.Suspends = true
+	options.SimulateSuspension = true
 	world := play(t, options, faults)
 	require.Empty(t, world.Truth.Violations())
 	counts := world.Truth.counts
--- a/internal/platformsim/store.go
+++ b/internal/platformsim/store.go
@@ -19,46 +19,47 @@
 	storeParts     = 8
 	storeLatency   = 4 * time.Millisecond
 	maxReadBytes   = 1 << 20
-	lateAppendMost = 5 * time.Second
+	maxAppendDelay = 5 * time.Second
 )
 
-// StoreFaults are the troubles of the store. The zero value is none.
+// StoreFaults are the faults injected into the store. The zero value injects none.
 type StoreFaults struct {
-	// Down refuses every call; Silent lets calls hang instead.
+	// Down refuses every call with status 503; Silent leaves every new call unanswered.
 	Down, Silent bool
-	// Slow multiplies the time of an answer.
+	// Slow multiplies the response time; values below 1 have no effect.
 	Slow float64
-	// Lose is the share of writes that are done and not answered; Late lets
-	// them be done seconds later.
+	// Lose is the fraction of writes that are executed but not answered; Late delays their
+	// execution by up to maxAppendDelay.
 	Lose float64
 	Late bool
 }
 
-// Store is the platform's metadata store in its log form.
+// Store simulates the platform's metadata store, an append-only log with topics, partitions
+// and consumer groups.
 type Store struct {
 	mutex  sync.Mutex
 	random *rand.Rand
 	topics map[string][][][]byte
-	// first is the oldest offset that reads of a topic's partition 0 still get.
-	first   map[string]int
-	groups  map[string]*group
-	faults  StoreFaults
-	changed chan struct{}
-	// handed is told which records a machine gets; it may be nil.
-	handed func(machine string, records []byte)
-	// reads counts the reads of a topic by a machine.
-	reads map[topicReader]int
+	// firstOffsets is the oldest offset of partition 0 of each topic that can still be read.
+	firstOffsets map[string]int
+	groups       map[string]*group
+	faults       StoreFaults
+	changed      chan struct{}
+	// onRead is called with the records that are returned to a machine; it may be nil.
+	onRead func(machine string, records []byte)
+	// readCounts is the number of reads of each topic by each machine.
+	readCounts map[topicReader]int
 }
 
-// topicReader is a machine that reads a topic.
+// topicReader identifies a machine that reads a topic.
 type topicReader struct{ topic, machine string }
 
-// Reads returns how often machines read a topic, by machine.
-func (s *Store) Reads(topic string) map[string]int {
+// ReadCounts returns the number of reads of a topic by machine.
+func (s *Store) ReadCounts(topic string) map[string]int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	reads := make(map[string]int)
-	for reader, count := range s.reads {
+	for reader, count := range s.readCounts {
 		if reader.topic == topic {
 			reads[reader.machine] = count
 		}
@@ -70,28 +71,29 @@
 func NewStore(seed uint64) *Store {
 	return &Store{
 		random: rand.New(rand.NewPCG(seed, 1)), topics: make(map[string][][][]byte),
-		first: make(map[string]int), groups: make(map[string]*group),
-		changed: make(chan struct{}), reads: make(map[topicReader]int),
+		firstOffsets: make(map[string]int), groups: make(map[string]*group),
+		changed: make(chan struct{}), readCounts: make(map[topicReader]int),
 	}
 }
 
-// SetFaults puts troubles in force.
+// SetFaults replaces the faults in force.
 func (s *Store) SetFaults(faults StoreFaults) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.faults = faults
-	s.wake()
+	s.notifyReaders()
 }
 
-// Forget drops the history of a keyed topic; the newest record of each key stays.
+// Forget drops the history of a keyed topic: reads from before its end get status 410, while
+// the newest record of each key stays available.
 func (s *Store) Forget(topic string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.first[topic] = len(s.topic(topic)[0])
-	s.wake()
+	s.firstOffsets[topic] = len(s.topicPartitions(topic)[0])
+	s.notifyReaders()
 }
 
-// Put writes a keyed record, as the operator and the samplers do.
+// Put appends a record with a key, as the operator and the samplers do.
 func (s *Store) Put(topic, key string, value []byte) {
 	record := append([]byte{byte(len(key))}, key...)
 	s.mutex.Lock()
@@ -99,37 +101,38 @@
 	s.append(topic, 0, [][]byte{append(record, value...)})
 }
 
-// PutRaw writes a record of a keyed topic as it is.
+// PutRaw appends a record to a keyed topic without encoding it, so that it may be malformed.
 func (s *Store) PutRaw(topic string, record []byte) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.append(topic, 0, [][]byte{record})
 }
 
-func (s *Store) draw(share float64) bool {
+func (s *Store) draw(probability float64) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.random.Float64() < share
+	return s.random.Float64() < probability
 }
 
-func (s *Store) wake() {
+func (s *Store) notifyReaders() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-func (s *Store) topic(name string) [][][]byte {
+func (s *Store) topicPartitions(name string) [][][]byte {
 	if s.topics[name] == nil {
 		s.topics[name] = make([][][]byte, storeParts)
 	}
 	return s.topics[name]
 }
 
-// append is called under the lock.
-func (s *Store) append(topic string, part int, records [][]byte) int {
-	parts := s.topic(topic)
-	offset := len(parts[part])
-	parts[part] = append(parts[part], records...)
-	s.wake()
+// append adds records to a partition and returns the offset of the first; the caller holds
+// s.mutex.
+func (s *Store) append(topic string, partition int, records [][]byte) int {
+	partitions := s.topicPartitions(topic)
+	offset := len(partitions[partition])
+	partitions[partition] = append(partitions[partition], records...)
+	s.notifyReaders()
 	return offset
 }
 
@@ -141,8 +144,8 @@
 	}
 	s.mutex.Lock()
 	faults := s.faults
-	lose := request.Method == http.MethodPost && s.random.Float64() < faults.Lose
-	delay := time.Duration(s.random.Int64N(int64(lateAppendMost)))
+	loseAnswer := request.Method == http.MethodPost && s.random.Float64() < faults.Lose
+	delay := time.Duration(s.random.Int64N(int64(maxAppendDelay)))
 	s.mutex.Unlock()
 	time.Sleep(time.Duration(float64(storeLatency) * max(faults.Slow, 1)))
 	switch {
@@ -152,11 +155,11 @@
 	case faults.Silent:
 		<-request.Context().Done()
 		panic(http.ErrAbortHandler)
-	case lose && faults.Late:
+	case loseAnswer && faults.Late:
 		time.AfterFunc(delay, func() { s.serve(discardWriter{}, request, body) })
 		<-request.Context().Done()
 		panic(http.ErrAbortHandler)
-	case lose:
+	case loseAnswer:
 		s.serve(discardWriter{}, request, body)
 		<-request.Context().Done()
 		panic(http.ErrAbortHandler)
@@ -164,7 +167,7 @@
 	s.serve(writer, request, body)
 }
 
-// discardWriter is where the answer of a lost call goes.
+// discardWriter is the response writer of a call whose answer is lost.
 type discardWriter struct{}
 
 func (discardWriter) Header() http.Header               { return http.Header{} }
@@ -188,12 +191,12 @@
 	}
 }
 
-func partOf(request *http.Request) (topic string, part int) {
-	part, err := strconv.Atoi(request.URL.Query().Get("part"))
-	if err != nil || part >= storeParts {
-		part = 0
+func topicPartition(request *http.Request) (topic string, partition int) {
+	partition, err := strconv.Atoi(request.URL.Query().Get("part"))
+	if err != nil || partition >= storeParts {
+		partition = 0
 	}
-	return request.URL.Query().Get("topic"), part
+	return request.URL.Query().Get("topic"), partition
 }
 
 func (s *Store) serveAppend(writer http.ResponseWriter, request *http.Request, body []byte) {
@@ -203,26 +206,26 @@
 		records = append(records, slices.Clone(body[4:4+length]))
 		body = body[4+length:]
 	}
-	topic, part := partOf(request)
+	topic, partition := topicPartition(request)
 	s.mutex.Lock()
-	offset := s.append(topic, part, records)
+	offset := s.append(topic, partition, records)
 	s.mutex.Unlock()
 	writeDocument(writer, platform.AppendDocument{Offset: uint64(offset), End: uint64(offset + len(records))})
 }
 
 func (s *Store) serveRead(writer http.ResponseWriter, request *http.Request) {
-	topic, part := partOf(request)
+	topic, partition := topicPartition(request)
 	s.mutex.Lock()
-	s.reads[topicReader{topic, hostOf(request.RemoteAddr)}]++
+	s.readCounts[topicReader{topic, hostOf(request.RemoteAddr)}]++
 	s.mutex.Unlock()
 	from, _ := strconv.Atoi(request.URL.Query().Get("from"))
-	hold, _ := strconv.Atoi(request.URL.Query().Get("waitMs"))
-	kilobytes, _ := strconv.Atoi(request.URL.Query().Get("max_kb"))
-	timer := time.NewTimer(time.Duration(hold) * time.Millisecond)
+	waitMS, _ := strconv.Atoi(request.URL.Query().Get("waitMs"))
+	maxKB, _ := strconv.Atoi(request.URL.Query().Get("max_kb"))
+	timer := time.NewTimer(time.Duration(waitMS) * time.Millisecond)
 	defer timer.Stop()
-	for waiting := hold > 0; ; {
+	for waiting := waitMS > 0; ; {
 		s.mutex.Lock()
-		records, changed, first := s.topic(topic)[part], s.changed, s.first[topic]
+		records, changed, first := s.topicPartitions(topic)[partition], s.changed, s.firstOffsets[topic]
 		down := s.faults.Down || s.faults.Silent
 		s.mutex.Unlock()
 		if down {
@@ -237,9 +240,9 @@
 			return
 		}
 		if from < len(records) || !waiting {
-			answer := recordsFrom(records, from, min(kilobytes<<10, maxReadBytes))
-			if s.handed != nil {
-				s.handed(hostOf(request.RemoteAddr), answer)
+			answer := encodeRecords(records, from, min(maxKB<<10, maxReadBytes))
+			if s.onRead != nil {
+				s.onRead(hostOf(request.RemoteAddr), answer)
 			}
 			_, _ = writer.Write(answer)
 			return
@@ -254,7 +257,7 @@
 	}
 }
 
-func recordsFrom(records [][]byte, from, maxBytes int) []byte {
+func encodeRecords(records [][]byte, from, maxBytes int) []byte {
 	answer := binary.BigEndian.AppendUint64(nil, uint64(len(records)))
 	answer = binary.BigEndian.AppendUint64(answer, 0)
 	empty := len(answer)
@@ -269,15 +272,15 @@
 }
 
 func (s *Store) serveNewest(writer http.ResponseWriter, request *http.Request) {
-	topic, part := partOf(request)
+	topic, partition := topicPartition(request)
 	s.mutex.Lock()
-	records := s.topic(topic)[part]
+	records := s.topicPartitions(topic)[partition]
 	s.mutex.Unlock()
 	newest := make(map[string]platform.NewestRecord)
 	var order []string
 	for offset, record := range records {
 		if len(record) == 0 || len(record) < 1+int(record[0]) {
-			// It has no key under which it would be the newest.
+			// The record is malformed and has no key.
 			continue
 		}
 		end := 1 + int(record[0])
--- a/internal/platformsim/surroundings.go
+++ b/internal/platformsim/surroundings.go
@@ -13,106 +13,110 @@
 	"github.com/pathbend/pathbend/platform"
 )
 
-// Surroundings are what the machines of a world stand on: links and processes,
-// simulated ones or real ones.
+// Surroundings is the environment in which the machines of a world run: network links and
+// processes, either simulated or real.
 type Surroundings interface {
-	// Network is the network as a machine in a zone sees it.
+	// Network returns the network as seen by a machine in a zone.
 	Network(machine, zone string) network.Network
-	// Listen opens a port of a machine and returns the address at which others reach
-	// it, the same each time.
+	// Listen opens a port of a machine and returns the address at which others reach it. The
+	// address stays the same over restarts of the machine.
 	Listen(machine, zone, port string) (net.Listener, string, error)
-	// Front and Readiness are the addresses of a node as its callers know them.
+	// Front and Readiness return the addresses at which callers reach a node.
 	Front(node string) string
 	Readiness(node string) string
 	// StartNode starts the process of a node.
 	StartNode(settings platform.Settings, logs io.Writer) (NodeProcess, error)
-	// Pause holds a node's process until Resume; its clock goes on.
+	// Pause stops a node's process until Resume; its clock keeps running.
 	Pause(node string)
 	Resume(node string)
-	// Crash cuts all links of a machine until Restore.
+	// Crash disconnects all links of a machine until Restore.
 	Crash(machine string)
 	Restore(machine string)
-	// Isolate keeps back all that machines inside send to those outside, and the other way
-	// round, until Rejoin.
+	// Isolate holds back all traffic between the machines inside and those outside, in both
+	// directions, until Rejoin.
 	Isolate(inside, outside []string)
 	Rejoin(inside, outside []string)
 }
 
 // NodeProcess is a running process of a node.
 type NodeProcess interface {
-	// Kill ends it at once, Terminate asks it to stop in order.
+	// Kill ends the process immediately; Terminate requests an orderly shutdown.
 	Kill()
 	Terminate()
-	// Done is closed once it has ended.
+	// Done is closed once the process has ended.
 	Done() <-chan struct{}
 }
 
-// simulated is a world of in-memory links, with its nodes as goroutines.
-type simulated struct{ links }
+// simulatedEnvironment implements Surroundings with in-memory links and a goroutine per node.
+type simulatedEnvironment struct{ links }
 
-// links gives the embedded network a name that does not hide the method Network.
+// links is an alias, so that the name of the embedded field does not hide the method Network.
 type links = *simnet.Network
 
-// latency returns the time between zones, one way, of which farZone lies at a distance from
-// the others, none if that is 0.
-func latency(distance time.Duration) simnet.Latency {
+// zoneLatency returns the one-way latency between zones. If remoteLatency is not 0, it is the
+// latency between remoteZone and every other zone.
+func zoneLatency(remoteLatency time.Duration) simnet.Latency {
 	return func(from, to string) time.Duration {
 		switch {
 		case from == to:
 			return 100 * time.Microsecond
-		case distance > 0 && (from == farZone || to == farZone):
-			return distance
+		case remoteLatency > 0 && (from == remoteZone || to == remoteZone):
+			return remoteLatency
 		default:
 			return 700 * time.Microsecond
 		}
 	}
 }
 
-func newSimulated(seed uint64, distance time.Duration) simulated {
-	return simulated{simnet.New(seed, latency(distance))}
+func newSimulatedEnvironment(seed uint64, remoteLatency time.Duration) simulatedEnvironment {
+	return simulatedEnvironment{simnet.New(seed, zoneLatency(remoteLatency))}
 }
 
-func (s simulated) Network(machine, zone string) network.Network { return s.For(machine, zone) }
+func (s simulatedEnvironment) Network(machine, zone string) network.Network {
+	return s.For(machine, zone)
+}
 
-func (s simulated) Listen(machine, zone, port string) (net.Listener, string, error) {
+func (s simulatedEnvironment) Listen(machine, zone, port string) (net.Listener, string, error) {
 	listener, err := s.For(machine, zone).Listen(machine + port)
 	return listener, machine + port, err
 }
 
-func (simulated) Front(node string) string     { return node + frontPort }
-func (simulated) Readiness(node string) string { return node + readinessPort }
+func (simulatedEnvironment) Front(node string) string     { return node + frontPort }
+func (simulatedEnvironment) Readiness(node string) string { return node + readinessPort }
 
-// peerPort is the first port at which nodes may listen to each other, lastPeerPort the last.
+// minPeerPort and maxPeerPort bound the ports at which nodes listen for other nodes.
 const (
-	peerPort     = 7000
-	lastPeerPort = 7003
+	minPeerPort = 7000
+	maxPeerPort = 7003
 )
 
-func (s simulated) StartNode(settings platform.Settings, logs io.Writer) (NodeProcess, error) {
-	settings.PortRange = []int{peerPort, lastPeerPort}
+func (s simulatedEnvironment) StartNode(settings platform.Settings, logs io.Writer) (NodeProcess, error) {
+	settings.PortRange = []int{minPeerPort, maxPeerPort}
 	logger := event.Discard()
 	if logs != nil {
 		logger = event.NewLogger(logs, slog.LevelDebug, "node", settings.Node)
 	}
-	started := &simulatedNode{process: platform.NewProcess(settings, s.For(settings.Node, settings.Zone), logger), done: make(chan struct{})}
+	node := &simulatedNode{process: platform.NewProcess(settings, s.For(settings.Node, settings.Zone), logger), done: make(chan struct{})}
 	var ctx context.Context
-	ctx, started.stop = context.WithCancel(context.Background())
+	ctx, node.stop = context.WithCancel(context.Background())
 	go func() {
-		defer close(started.done)
-		// The process ends because it is killed or told to: either is no error.
-		_ = started.process.Run(ctx, "")
+		defer close(node.done)
+		// The process only ends when it is killed or asked to stop; neither is an error.
+		_ = node.process.Run(ctx, "")
 	}()
-	return started, nil
+	return node, nil
 }
 
-func (s simulated) Isolate(inside, outside []string) { eachLink(inside, outside, s.Hold) }
-func (s simulated) Rejoin(inside, outside []string)  { eachLink(inside, outside, s.Release) }
+func (s simulatedEnvironment) Isolate(inside, outside []string) { forEachLink(inside, outside, s.Hold) }
+func (s simulatedEnvironment) Rejoin(inside, outside []string) {
+	forEachLink(inside, outside, s.Release)
+}
 
-func eachLink(inside, outside []string, act func(from, to string)) {
+func forEachLink(inside, outside []string, apply func(from, to string)) {
 	for _, one := range inside {
 		for _, other := range outside {
-			act(one, other)
-			act(other, one)
+			apply(one, other)
+			apply(other, one)
 		}
 	}
 }
--- a/internal/platformsim/tenants.go
+++ b/internal/platformsim/tenants.go
@@ -12,86 +12,85 @@
 )
 
 const (
-	tenantCount = 3
-	// keysEach is the number of keys of a tenant.
-	keysEach = 2
-	// configBound is how long after its acknowledgement a configuration must be in
-	// force.
-	configBound = 3 * time.Second
-	// neverAKey is held by no tenant in any configuration.
-	neverAKey = "never-a-key"
+	tenantCount   = 3
+	keysPerTenant = 2
+	// configDeadline is the time from its acknowledgement within which a configuration must be
+	// in force.
+	configDeadline = 3 * time.Second
+	// unknownKey is a key that no tenant holds in any configuration.
+	unknownKey = "never-a-key"
 )
 
-// keyTruth is what the operator said of a key.
-type keyTruth struct {
+// keyHistory records what the operator did with a key.
+type keyHistory struct {
 	tenant string
-	// given and taken are when the store acknowledged it; taken is zero while the key
-	// is held.
-	given, taken time.Time
+	// grantedAt and revokedAt are the times at which the store acknowledged the change (the
+	// operator's writes take no time here); revokedAt is zero while the key is valid.
+	grantedAt, revokedAt time.Time
 }
 
-// tenantBook holds the tenants of a world and the keys of all its configurations.
-type tenantBook struct {
-	mutex sync.Mutex
-	names []string
-	keys  map[string]*keyTruth
-	drawn int
-	// bound is set where the first tenant is bound to a region.
-	bound bool
+// tenantRegistry holds the tenants of a world and the keys of all its configurations.
+type tenantRegistry struct {
+	mutex    sync.Mutex
+	names    []string
+	keys     map[string]*keyHistory
+	keyCount int
+	// regionBound is set where the first tenant is restricted to tenantRegion.
+	regionBound bool
 }
 
-func newTenantBook() *tenantBook {
-	book := &tenantBook{keys: make(map[string]*keyTruth)}
+func newTenantRegistry() *tenantRegistry {
+	registry := &tenantRegistry{keys: make(map[string]*keyHistory)}
 	for i := range tenantCount {
 		name := fmt.Sprintf("tenant-%d", i+1)
-		book.names = append(book.names, name)
-		for range keysEach {
-			book.give(name)
+		registry.names = append(registry.names, name)
+		for range keysPerTenant {
+			registry.addKey(name)
 		}
 	}
-	return book
+	return registry
 }
 
-// give adds a key. It is called under the lock, or before the book is shared.
-func (b *tenantBook) give(tenant string) {
-	b.drawn++
-	b.keys[fmt.Sprintf("key-%d-of-%s", b.drawn, tenant)] = &keyTruth{tenant: tenant, given: time.Now()}
+// addKey grants a tenant a new key; the caller holds r.mutex, or r is not shared yet.
+func (r *tenantRegistry) addKey(tenant string) {
+	r.keyCount++
+	r.keys[fmt.Sprintf("key-%d-of-%s", r.keyCount, tenant)] = &keyHistory{tenant: tenant, grantedAt: time.Now()}
 }
 
-// rotate takes all keys of a tenant away and gives it others.
-func (b *tenantBook) rotate(target uint64) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	tenant := b.names[target%uint64(len(b.names))]
-	for _, key := range b.keys {
-		if key.tenant == tenant && key.taken.IsZero() {
-			key.taken = time.Now()
+// rotate revokes all keys of a tenant and grants it new ones.
+func (r *tenantRegistry) rotate(target uint64) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	tenant := r.names[target%uint64(len(r.names))]
+	for _, key := range r.keys {
+		if key.tenant == tenant && key.revokedAt.IsZero() {
+			key.revokedAt = time.Now()
 		}
 	}
-	for range keysEach {
-		b.give(tenant)
+	for range keysPerTenant {
+		r.addKey(tenant)
 	}
 }
 
-// documents are the tenants as the configuration lists them.
-func (b *tenantBook) documents() []platform.TenantDocument {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
+// documents returns the tenants as the configuration lists them.
+func (r *tenantRegistry) documents() []platform.TenantDocument {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
 	var documents []platform.TenantDocument
-	for i, name := range b.names {
-		documents = append(documents, platform.TenantDocument{Name: name, Keys: b.held(name), Priority: i % 2})
-		if b.bound && i == 0 {
+	for i, name := range r.names {
+		documents = append(documents, platform.TenantDocument{Name: name, Keys: r.heldKeys(name), Priority: i % 2})
+		if r.regionBound && i == 0 {
 			documents[i].Regions = []string{tenantRegion}
 		}
 	}
 	return documents
 }
 
-// held lists the keys that a tenant holds. It is called under the lock.
-func (b *tenantBook) held(tenant string) []string {
+// heldKeys returns the valid keys of a tenant, sorted; the caller holds r.mutex.
+func (r *tenantRegistry) heldKeys(tenant string) []string {
 	var held []string
-	for key, known := range b.keys {
-		if known.tenant == tenant && known.taken.IsZero() {
+	for key, known := range r.keys {
+		if known.tenant == tenant && known.revokedAt.IsZero() {
 			held = append(held, key)
 		}
 	}
@@ -99,36 +98,36 @@
 	return held
 }
 
-// keyFor draws a key that a tenant holds now.
-func (b *tenantBook) keyFor(tenant string, random *rand.Rand) string {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	held := b.held(tenant)
+// keyFor returns a random valid key of a tenant.
+func (r *tenantRegistry) keyFor(tenant string, random *rand.Rand) string {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	held := r.heldKeys(tenant)
 	return held[random.IntN(len(held))]
 }
 
-// takenKey returns a key that was taken away for longer than a configuration needs,
-// or one that nobody ever held, and what the operator said of it.
-func (b *tenantBook) takenKey() (string, keyTruth) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	var taken []string
-	for key, known := range b.keys {
-		if !known.taken.IsZero() && time.Since(known.taken) > configBound {
-			taken = append(taken, key)
+// takenKey returns a key that was revoked more than configDeadline ago and its history, or
+// unknownKey and a zero history if there is none.
+func (r *tenantRegistry) takenKey() (string, keyHistory) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	var revoked []string
+	for key, known := range r.keys {
+		if !known.revokedAt.IsZero() && time.Since(known.revokedAt) > configDeadline {
+			revoked = append(revoked, key)
 		}
 	}
-	if len(taken) == 0 {
-		return neverAKey, keyTruth{}
+	if len(revoked) == 0 {
+		return unknownKey, keyHistory{}
 	}
-	slices.Sort(taken)
-	newest := taken[len(taken)-1]
-	return newest, *b.keys[newest]
+	slices.Sort(revoked)
+	newest := revoked[len(revoked)-1]
+	return newest, *r.keys[newest]
 }
 
-// other returns a tenant other than one.
-func (b *tenantBook) other(tenant string) string {
-	for _, name := range b.names {
+// other returns a tenant other than the given one.
+func (r *tenantRegistry) other(tenant string) string {
+	for _, name := range r.names {
 		if name != tenant {
 			return name
 		}
@@ -136,84 +135,86 @@
 	return tenant
 }
 
-// heldFor is how long a key has been held.
-func (b *tenantBook) heldFor(key string) time.Duration {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	known := b.keys[key]
-	if known == nil || !known.taken.IsZero() {
+// heldFor returns the time since a key was granted, or 0 if it is revoked or unknown.
+func (r *tenantRegistry) heldFor(key string) time.Duration {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	known := r.keys[key]
+	if known == nil || !known.revokedAt.IsZero() {
 		return 0
 	}
-	return time.Since(known.given)
+	return time.Since(known.grantedAt)
 }
 
-// authorization is the header that shows a key.
+// authorization returns the value of the Authorization header that carries a key.
 func authorization(key string) string { return platform.SchemeToken + " " + key }
 
-// Claims notes for which tenant a request or an item runs.
+// Claims records the tenant for which a request or an item runs.
 func (t *Truth) Claims(id, tenant string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.tenants[id] = tenant
 }
 
-// Intrudes notes a request, sent now, whose key the operator has taken away or never gave.
-func (t *Truth) Intrudes(id string, key keyTruth) {
+// Intrudes records a request, sent now, whose key was revoked or never granted.
+func (t *Truth) Intrudes(id string, key keyHistory) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.tenants[id] = key.tenant
-	t.intruders[id] = intrusion{taken: key.taken, sent: time.Now()}
+	t.unauthorized[id] = unauthorizedRequest{revokedAt: key.revokedAt, sentAt: time.Now()}
 }
 
-// intrusion is a request with a key that no tenant holds.
-type intrusion struct {
-	// taken is when the store acknowledged that the key was taken away, zero if nobody
-	// ever held it.
-	taken, sent time.Time
+// unauthorizedRequest is a request with a key that no tenant holds.
+type unauthorizedRequest struct {
+	// revokedAt is the time at which the store acknowledged the revocation of the key, zero if the
+	// key was never granted; sentAt is the time at which the request was sent.
+	revokedAt, sentAt time.Time
 }
 
-// judgeTenant rules on the tenant that a request from a node names to a sampler, and on
-// a key that reaches one. A machine out of touch may know a key that was taken away; it
-// then names the tenant that held it.
-func (t *Truth) judgeTenant(id, node string, header http.Header) {
+// checkTenant checks the tenant that a request from a node names to a sampler, and that no
+// invalid key and no authorization header reaches one. A disturbed machine may still accept a
+// revoked key; it then names the tenant that held the key.
+func (t *Truth) checkTenant(id, node string, header http.Header) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if shown := header.Get(platform.HeaderAuthorization); shown != "" {
-		t.broken("UNASKED", "request %s shows a sampler %q", id, shown)
+	if credentials := header.Get(platform.HeaderAuthorization); credentials != "" {
+		t.broken("UNASKED", "request %s passed authorization header %q to a sampler", id, credentials)
 	}
 	if named := header.Get(platform.HeaderTenant); named != t.tenants[id] {
-		t.broken("UNASKED", "request %s of tenant %q names %q to a sampler", id, t.tenants[id], named)
+		t.broken("UNASKED", "request %s of tenant %q named tenant %q to a sampler", id, t.tenants[id], named)
 	}
-	known, intrudes := t.intruders[id]
-	if !intrudes {
+	known, unauthorized := t.unauthorized[id]
+	if !unauthorized {
 		return
 	}
-	late := known.sent.Sub(known.taken)
+	delay := known.sentAt.Sub(known.revokedAt)
 	switch {
-	case known.taken.IsZero():
-		t.broken("ROUTE", "request %s of a key that nobody ever held reached a sampler from %s", id, node)
-	case late > configBound+t.lateness(time.Now()) && t.inTouch(node, time.Now()):
-		t.broken("CONFIG", "request %s, sent %v after its key was taken away, reached a sampler from %s", id, late, node)
+	case known.revokedAt.IsZero():
+		t.broken("ROUTE", "request %s with a key that was never granted reached a sampler from %s", id, node)
+	case delay > configDeadline+t.lateness(time.Now()) && t.inTouch(node, time.Now()):
+		t.broken("CONFIG", "request %s, sent %v after its key was revoked, reached a sampler from %s", id, delay, node)
 	}
 }
 
-// judgeDenial rules on a 401 to a key that every node must know.
+// judgeDenial reports a 401 to a key that has been valid for long enough that every node must
+// know it.
 func (t *Truth) judgeDenial(got answered, id, key string, heldFor time.Duration) {
 	if got.status != http.StatusUnauthorized {
 		return
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if heldFor > configBound+t.allowance(time.Now()) {
-		t.broken("DENIED", "%s denies request %s with key %s, held for %v", got.node, id, key, heldFor)
+	if heldFor > configDeadline+t.allowance(time.Now()) {
+		t.broken("DENIED", "node %s denied request %s with key %s, valid for %v", got.node, id, key, heldFor)
 	}
 }
 
-// judgeIntrusion rules on the answer to a key that no tenant holds any more.
+// judgeIntrusion reports a successful answer to a key that no tenant holds. A disturbed node may
+// still accept a key that was revoked, but never one that was not granted.
 func (t *Truth) judgeIntrusion(got answered, id, key string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if got.status < http.StatusMultipleChoices && (key == neverAKey || t.inTouch(got.node, got.began)) {
-		t.broken("ROUTE", "%s serves request %s with key %s", got.node, id, key)
+	if got.status < http.StatusMultipleChoices && (key == unknownKey || t.inTouch(got.node, got.began)) {
+		t.broken("ROUTE", "node %s served request %s with invalid key %s", got.node, id, key)
 	}
 }
--- a/internal/platformsim/tenants_test.go
+++ b/internal/platformsim/tenants_test.go
@@ -12,10 +12,10 @@
 	"github.com/pathbend/pathbend/platform"
 )
 
-// Keys were taken away while the store was silent, and nodes out of touch went on with
-// them: the judge called the tenant that had held the key a wrong one (seed 7014 with
-// eight faults).
-func TestKeysTakenWhileTheStoreIsSilent(t *testing.T) {
+// Guards against a false violation. When keys are revoked while the store does not answer, nodes
+// that are out of touch keep accepting them and name the tenant that held the key, which the
+// check took for a wrong tenant (seed 7014 with eight faults).
+func TestKeysRevokedWhileTheStoreIsSilent(t *testing.T) {
 	faults := []Fault{
 		{Kind: StoreSilent, At: 17 * time.Second, For: 4 * time.Second},
 		{Kind: StoreSilent, At: 27 * time.Second, For: 7 * time.Second},
@@ -25,47 +25,47 @@
 	require.Empty(t, world.Truth.Violations())
 }
 
-func TestKeysThatNobodyHoldsAreJudged(t *testing.T) {
-	const tenant, sampled = "tenant-1", "a node"
+func TestUnauthorizedRequestsAreChecked(t *testing.T) {
+	const tenant, node = "tenant-1", "a node"
 	for _, example := range []struct {
-		name      string
-		takenFor  time.Duration
-		disturbed string
-		names     string
-		want      string
+		name        string
+		revokedFor  time.Duration
+		disturbed   string
+		namedTenant string
+		want        string
 	}{
-		{name: "taken long ago", takenFor: configBound + time.Second, names: tenant, want: "CONFIG"},
-		{name: "taken just now", takenFor: configBound - time.Second, names: tenant},
-		{name: "machine out of touch", takenFor: configBound + time.Second, disturbed: sampled, names: tenant},
-		{name: "another machine out of touch", takenFor: configBound + time.Second, disturbed: "other", names: tenant, want: "CONFIG"},
-		{name: "store in trouble", takenFor: configBound + time.Second, disturbed: storeTrouble, names: tenant},
-		{name: "another tenant's", takenFor: configBound + time.Second, disturbed: sampled, names: "tenant-2", want: "UNASKED"},
-		{name: "never held", disturbed: sampled, names: "", want: "ROUTE"},
+		{name: "revoked long ago", revokedFor: configDeadline + time.Second, namedTenant: tenant, want: "CONFIG"},
+		{name: "revoked just now", revokedFor: configDeadline - time.Second, namedTenant: tenant},
+		{name: "node disturbed", revokedFor: configDeadline + time.Second, disturbed: node, namedTenant: tenant},
+		{name: "another node disturbed", revokedFor: configDeadline + time.Second, disturbed: "other", namedTenant: tenant, want: "CONFIG"},
+		{name: "store disturbed", revokedFor: configDeadline + time.Second, disturbed: storeDisturbed, namedTenant: tenant},
+		{name: "wrong tenant named", revokedFor: configDeadline + time.Second, disturbed: node, namedTenant: "tenant-2", want: "UNASKED"},
+		{name: "key never granted", disturbed: node, namedTenant: "", want: "ROUTE"},
 	} {
 		t.Run(example.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				truth := NewTruth()
 				time.Sleep(time.Minute)
 				if example.disturbed != "" {
-					truth.Disturb(strings.TrimPrefix(example.disturbed, storeTrouble), time.Now())
+					truth.Disturb(strings.TrimPrefix(example.disturbed, storeDisturbed), time.Now())
 				}
-				key := keyTruth{tenant: example.names}
-				if example.takenFor > 0 {
-					key = keyTruth{tenant: tenant, taken: time.Now().Add(-example.takenFor)}
+				key := keyHistory{tenant: example.namedTenant}
+				if example.revokedFor > 0 {
+					key = keyHistory{tenant: tenant, revokedAt: time.Now().Add(-example.revokedFor)}
 				}
 				truth.Intrudes("x", key)
-				truth.judgeTenant("x", sampled, http.Header{platform.HeaderTenant: {example.names}})
-				broken := truth.Violations()
+				truth.checkTenant("x", node, http.Header{platform.HeaderTenant: {example.namedTenant}})
+				violations := truth.Violations()
 				if example.want == "" {
-					require.Empty(t, broken)
+					require.Empty(t, violations)
 					return
 				}
-				require.Len(t, broken, 1)
-				require.True(t, strings.HasPrefix(broken[0], example.want+":"), broken)
+				require.Len(t, violations, 1)
+				require.True(t, strings.HasPrefix(violations[0], example.want+":"), violations)
 			})
 		})
 	}
 }
 
-// storeTrouble stands for the store, whose name in a Truth is empty.
-const storeTrouble = "store"
+// storeDisturbed selects the store, whose name in a Truth is empty.
+const storeDisturbed = "store"
--- a/internal/platformsim/truth.go
+++ b/internal/platformsim/truth.go
@@ -13,225 +13,236 @@
 )
 
 const (
-	// cancelBound, settleBound, drainBound and leaseBound are the bounds of the
-	// users' rules.
-	cancelBound = 3 * time.Second
-	settleBound = time.Second
-	drainBound  = 2 * time.Second
-	leaseBound  = 3 * time.Second
-	// thawBound is how long after a thaw or heal an order may still be one of before;
-	// somewhat longer than the users' 300 ms, which real processes need to be
-	// scheduled again.
+	// cancelDeadline, settleBound, drainBound and leaseDuration are required by the users'
+	// rules: the time within which runs of an ended job stop, an accepted job is visible at
+	// every node, and a draining sampler gets no new requests, and the minimum time between
+	// orders of two lease holders.
+	cancelDeadline = 3 * time.Second
+	settleBound    = time.Second
+	drainBound     = 2 * time.Second
+	leaseDuration  = 3 * time.Second
+	// thawBound is the time after the resumption of a process or a link within which an order
+	// may still arrive that was sent before. It is longer than the 300 ms of the users' rules
+	// because real processes take time to be scheduled again.
 	thawBound = time.Second
-	// touchTime is how long a machine must be undisturbed to be in touch.
+	// touchTime is the time for which a machine must have been undisturbed to count as in touch
+	// with the store and the other nodes.
 	touchTime = 3 * time.Second
-	// slack is given to what is measured at the far end of a link.
+	// slack is added to deadlines that are measured at the far end of a link.
 	slack = 100 * time.Millisecond
 )
 
-// Truth records what clients, samplers and the store saw, and what broke a rule.
+// Truth records what clients, samplers and the store observed, checks it against the users'
+// rules and collects the violations.
 type Truth struct {
 	mutex      sync.Mutex
 	violations []string
-	runs       int
+	runCount   int
 	items      map[string]*itemTruth
 	jobs       map[string]*jobTruth
-	stamps     map[string]stampTruth
-	orders     map[string]orderTruth
-	// disturbed is when a machine was last in trouble; "" stands for the store.
-	disturbed map[string]time.Time
-	// held is when the links of a machine last held what it sent.
+	stamps     map[string]stampRecord
+	lastOrders map[string]orderRecord
+	// disturbedUntil is the end of the last disturbance of each machine; "" stands for the
+	// store.
+	disturbedUntil map[string]time.Time
+	// held is the time at which the links of each machine last held back its traffic.
 	held map[string]time.Time
-	// gone is when a sampler was last acknowledged as draining or gone.
-	gone map[string]time.Time
-	// orderedBy is who gave the last order.
-	orderedBy string
-	// ordersExcused is until when orders are not judged.
+	// goneAt is the time at which each sampler was first recorded as draining or removed.
+	goneAt map[string]time.Time
+	// orderSender is the node that sent the last order.
+	orderSender string
+	// ordersExcused is the time until which orders are not checked.
 	ordersExcused time.Time
 	counts        map[string]int
-	// evacuatedAt is when a zone was acknowledged as evacuated, zero once it was taken
-	// back.
+	// evacuatedAt is the time at which the evacuation of each zone was acknowledged, zero once
+	// the evacuation is over.
 	evacuatedAt map[string]time.Time
-	// tenants tells for whom a request or an item runs.
+	// tenants is the tenant for which each request or item runs, by id.
 	tenants map[string]string
-	// intruders are the requests with keys that no tenant holds.
-	intruders map[string]intrusion
-	// homes tells to which region a request or an item is bound, regions the region of
-	// each zone.
+	// unauthorized holds the requests with keys that no tenant holds, by id.
+	unauthorized map[string]unauthorizedRequest
+	// homes is the region to which a request or an item is restricted, by id; regions is the
+	// region of each zone.
 	homes   map[string]string
 	regions map[string]string
 	cloud   cloudTruth
-	// crashing is what is known of requests that crash their samplers.
+	// crashing holds what is known of requests that crash their samplers.
 	crashing map[string]*crashTruth
-	// troubles are what a run did, in the order of their begin, causes counts why requests
-	// were lost or refused, late are late wakes, each later than those after it, and latest
-	// the latest of all.
+	// troubles are the disruptions of a run in the order of their start. causes counts the
+	// causes of lost and refused requests. late holds the recent wake-up delays, each longer
+	// than those after it, and latest the longest delay of all.
 	troubles []*trouble
 	causes   map[string]int
 	late     []lateWake
 	latest   time.Duration
-	// nameless is set where nobody can tell from which node a call comes.
+	// nameless is set where samplers cannot identify the node that a call comes from.
 	nameless bool
-	// started is when the world began.
+	// started is the time at which the world was created.
 	started time.Time
 }
 
-// itemTruth is what samplers saw of an item.
+// itemTruth records what a trainer requested, and samplers observed, of an item.
 type itemTruth struct {
-	events    int
-	failures  int
-	lastEvent time.Time
-	reward    string
-	body      string
+	events      int
+	failures    int
+	lastEventAt time.Time
+	reward      string
+	body        string
 }
 
-// jobTruth is what clients saw of a batch job.
+// jobTruth records what clients observed of a batch job.
 type jobTruth struct {
 	id         string
 	items      []string
 	tenant     string
 	minVersion uint64
 	accepted   time.Time
-	// unsure is set once an attempt got no promise.
-	unsure  bool
-	refused bool
-	// asking is set while an attempt has no answer; early are the items that ran meanwhile,
-	// though all attempts before were refused: the attempt must not be refused either.
-	asking  bool
-	early   []string
-	ended   time.Time
-	results map[int]platform.ResultDocument
+	// outcomeUnknown is set once a submission got an answer, or none, that leaves open whether
+	// the job was accepted.
+	outcomeUnknown bool
+	refused        bool
+	// asking is set while a submission is unanswered. earlyItems are the items that ran
+	// meanwhile although all previous submissions were refused; the current submission must
+	// then not be refused.
+	asking     bool
+	earlyItems []string
+	ended      time.Time
+	results    map[int]platform.ResultDocument
 }
 
-type stampTruth struct {
+type stampRecord struct {
 	request string
 	at      time.Time
 }
 
-type orderTruth struct {
+type orderRecord struct {
 	holder string
 	fence  uint64
 	at     time.Time
 }
 
-// NewTruth returns an empty record.
+// NewTruth returns a Truth without observations.
 func NewTruth() *Truth {
 	return &Truth{
-		items: make(map[string]*itemTruth), jobs: make(map[string]*jobTruth), stamps: make(map[string]stampTruth),
-		orders: make(map[string]orderTruth), disturbed: make(map[string]time.Time), gone: make(map[string]time.Time),
+		items: make(map[string]*itemTruth), jobs: make(map[string]*jobTruth), stamps: make(map[string]stampRecord),
+		lastOrders: make(map[string]orderRecord), disturbedUntil: make(map[string]time.Time), goneAt: make(map[string]time.Time),
 		counts: make(map[string]int), tenants: make(map[string]string), cloud: newCloudTruth(), homes: make(map[string]string), held: make(map[string]time.Time),
-		evacuatedAt: make(map[string]time.Time), intruders: make(map[string]intrusion),
+		evacuatedAt: make(map[string]time.Time), unauthorized: make(map[string]unauthorizedRequest),
 		causes: make(map[string]int), crashing: make(map[string]*crashTruth),
 		started: time.Now(),
 	}
 }
 
-// broken notes a broken rule. It is called under the lock.
+// broken records a violation of a rule; the caller holds t.mutex.
 func (t *Truth) broken(rule, format string, arguments ...any) {
 	t.violations = append(t.violations, rule+": "+fmt.Sprintf(format, arguments...))
 }
 
-// Violations returns the broken rules.
+// Violations returns the violations recorded so far, each prefixed with the name of its rule.
 func (t *Truth) Violations() []string {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return slices.Clone(t.violations)
 }
 
-// Counts returns what was counted, by name.
+// Counts returns a copy of all counters by name.
 func (t *Truth) Counts() map[string]int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return maps.Clone(t.counts)
 }
 
-// Count counts something by name.
+// Count increments the counter of the given name.
 func (t *Truth) Count(name string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.counts[name]++
 }
 
-// Disturb notes that a machine is in trouble until a time.
+// Disturb records that a machine is disturbed until a time; "" stands for the store.
 func (t *Truth) Disturb(machine string, until time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if until.After(t.disturbed[machine]) {
-		t.disturbed[machine] = until
+	if until.After(t.disturbedUntil[machine]) {
+		t.disturbedUntil[machine] = until
 	}
 }
 
-// inTouch is called under the lock.
+// inTouch reports whether neither a machine nor the store was disturbed within touchTime; the
+// caller holds t.mutex.
 func (t *Truth) inTouch(machine string, now time.Time) bool {
-	return now.Sub(t.disturbed[machine]) > touchTime && now.Sub(t.disturbed[""]) > touchTime
+	return now.Sub(t.disturbedUntil[machine]) > touchTime && now.Sub(t.disturbedUntil[""]) > touchTime
 }
 
-// Gone notes that a sampler was acknowledged as draining or gone.
+// Gone records that the store acknowledged a sampler as draining or removed.
 func (t *Truth) Gone(sampler string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if _, known := t.gone[sampler]; !known {
-		t.gone[sampler] = time.Now()
+	if _, known := t.goneAt[sampler]; !known {
+		t.goneAt[sampler] = time.Now()
 	}
 }
 
-// Arrived judges a request that reached a sampler.
-func (t *Truth) Arrived(sampler, zone, node, id string) {
+// RequestArrived checks a request that reached a sampler against the deadlines for draining
+// samplers and evacuated zones.
+func (t *Truth) RequestArrived(sampler, zone, node, id string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	now := time.Now()
-	if since, leaving := t.gone[sampler]; leaving && now.Sub(since) > drainBound+t.allowance(now) && t.inTouch(node, now) {
-		t.broken("DRAIN", "request %s reached %s from %s %v after its leave", id, sampler, node, now.Sub(since))
+	if since, leaving := t.goneAt[sampler]; leaving && now.Sub(since) > drainBound+t.allowance(now) && t.inTouch(node, now) {
+		t.broken("DRAIN", "request %s reached sampler %s from %s %v after it began to drain", id, sampler, node, now.Sub(since))
 	}
 	t.judgeEvacuation(sampler, zone, node, "request "+id, now)
 }
 
-// RunStarted judges a run of an item and returns its number.
+// RunStarted checks that an item that starts to run belongs to an open job that was not
+// refused, and returns the number of the run.
 func (t *Truth) RunStarted(item, sampler, node string) int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.runs++
+	t.runCount++
 	now := time.Now()
 	if t.items[item] == nil {
 		t.broken("UNASKED", "item %s was never submitted", item)
 	}
-	wanted, lastEnd := false, time.Time{}
+	hasOpenJob, lastEnd := false, time.Time{}
 	for _, job := range t.jobs {
 		if !slices.Contains(job.items, item) {
 			continue
 		}
 		if job.ended.IsZero() {
-			wanted = true
+			hasOpenJob = true
 		}
 		lastEnd = maxTime(lastEnd, job.ended)
 		switch {
-		case !job.refused || job.unsure || !job.accepted.IsZero():
+		case !job.refused || job.outcomeUnknown || !job.accepted.IsZero():
 		case job.asking:
-			job.early = append(job.early, item)
+			job.earlyItems = append(job.earlyItems, item)
 		default:
-			t.broken("REFUSED", "item %s of refused job %s runs", item, job.id)
+			t.broken("REFUSED", "item %s of refused job %s was run", item, job.id)
 		}
 	}
-	if !wanted && now.Sub(lastEnd) > cancelBound+t.allowance(now) && t.inTouch(node, now) {
+	if !hasOpenJob && now.Sub(lastEnd) > cancelDeadline+t.allowance(now) && t.inTouch(node, now) {
 		t.broken("UNASKED", "item %s reached %s from %s %v after the end of its job", item, sampler, node, now.Sub(lastEnd))
 	}
-	return t.runs
+	return t.runCount
 }
 
-// answered notes the answer to an attempt to submit a job. It is called under the lock.
+// answered records the answer to a submission of a job; notRun is set for a refusal that
+// promises that nothing ran. The caller holds t.mutex.
 func (t *Truth) answered(job *jobTruth, accepted, notRun bool) {
 	switch {
 	case accepted:
 		job.accepted = time.Now()
 	case notRun:
 		job.refused = true
-		for _, item := range job.early {
+		for _, item := range job.earlyItems {
 			t.broken("REFUSED", "item %s ran before its job %s was refused", item, job.id)
 		}
 	default:
-		job.unsure = true
+		job.outcomeUnknown = true
 	}
-	job.asking, job.early = false, nil
+	job.asking, job.earlyItems = false, nil
 }
 
 func maxTime(a, b time.Time) time.Time {
@@ -241,17 +252,17 @@
 	return a
 }
 
-// EventMade notes an event of an item.
-func (t *Truth) EventMade(item string) {
+// EventGenerated records that a sampler generated an event of an item.
+func (t *Truth) EventGenerated(item string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if known := t.items[item]; known != nil {
-		known.lastEvent = time.Now()
+		known.lastEventAt = time.Now()
 	}
 }
 
-// ItemFailed notes a failed run of an item or reward call.
-func (t *Truth) ItemFailed(item string) {
+// RunFailed records a failed run of an item or a failed reward call.
+func (t *Truth) RunFailed(item string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if known := t.items[item]; known != nil {
@@ -261,53 +272,54 @@
 	t.counts[countRewardFailures]++
 }
 
-// RewardAnswered notes an answer to a reward call or a client's request.
-func (t *Truth) RewardAnswered(request, stamp string) {
+// AnswerSent records the stamp of an answer to a reward call or a client's request.
+func (t *Truth) AnswerSent(request, stamp string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.stamps[stamp] = stampTruth{request: request, at: time.Now()}
+	t.stamps[stamp] = stampRecord{request: request, at: time.Now()}
 }
 
-// Ordered judges an order to a sampler.
-func (t *Truth) Ordered(sampler, zone, holder string, fence uint64) {
+// OrderReceived checks a weight order to a sampler: fencing tokens must be unique to a holder
+// and grow, and orders of two holders must lie leaseDuration apart.
+func (t *Truth) OrderReceived(sampler, zone, holder string, fence uint64) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	now := time.Now()
-	t.orderedBy = holder
+	t.orderSender = holder
 	if now.Before(t.ordersExcused) {
 		return
 	}
 	t.judgeEvacuation(sampler, zone, holder, "an order", now)
-	last, known := t.orders[sampler]
+	last, known := t.lastOrders[sampler]
 	if known && last.holder != holder {
 		switch {
 		case fence == last.fence:
-			t.broken("ONE", "%s and %s share fence %d at %s", last.holder, holder, fence, sampler)
+			t.broken("ONE", "%s and %s used the same fencing token %d at sampler %s", last.holder, holder, fence, sampler)
 		case fence < last.fence:
-			t.broken("ONE", "%s orders %s with fence %d after %s with %d", holder, sampler, fence, last.holder, last.fence)
-		case now.Sub(last.at) < leaseBound-t.lateness(now):
-			t.broken("ONE", "%s orders %s %v after %s", holder, sampler, now.Sub(last.at), last.holder)
+			t.broken("ONE", "%s ordered sampler %s with fencing token %d after %s with %d", holder, sampler, fence, last.holder, last.fence)
+		case now.Sub(last.at) < leaseDuration-t.lateness(now):
+			t.broken("ONE", "%s ordered sampler %s %v after %s", holder, sampler, now.Sub(last.at), last.holder)
 		}
 	}
-	t.orders[sampler] = orderTruth{holder: holder, fence: fence, at: now}
+	t.lastOrders[sampler] = orderRecord{holder: holder, fence: fence, at: now}
 	t.counts["orders"]++
 }
 
 func (t *Truth) lastHolder() string {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.orderedBy
+	return t.orderSender
 }
 
-// ExcuseOrders leaves orders out until a time: a machine that was thawed, or whose
-// link was healed, may send what it held.
+// ExcuseOrders suspends the check of orders until a time, because a machine that was resumed,
+// or whose link was restored, may send orders from before.
 func (t *Truth) ExcuseOrders(until time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.ordersExcused = maxTime(t.ordersExcused, until)
 }
 
-// Submitted notes a job before its first send.
+// Submitted records a job and its items before the first submission.
 func (t *Truth) Submitted(job *jobTruth, items map[string]*itemTruth) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -319,103 +331,104 @@
 	}
 }
 
-// Update changes what is known of a job.
+// Update runs a change to the record of a job under the lock.
 func (t *Truth) Update(job *jobTruth, change func()) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	change()
 }
 
-// Read judges a page of a job's results.
+// Read checks a page of a job's results that begins at position from: results never change
+// their position or content, and each item is listed once.
 func (t *Truth) Read(job *jobTruth, from int, page platform.PageDocument) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if page.Total != len(job.items) {
-		t.broken("MIXED", "job %s has total %d, not %d", job.id, page.Total, len(job.items))
+		t.broken("MIXED", "job %s has a total of %d items, want %d", job.id, page.Total, len(job.items))
 	}
-	for i, listed := range page.Results {
+	for i, result := range page.Results {
 		position := from + i
 		if before, known := job.results[position]; known {
-			if before.ID != listed.ID || textOf(before) != textOf(listed) || before.Score != listed.Score {
-				t.broken("TWICE", "position %d of job %s held %s and now holds %s", position, job.id, before.ID, listed.ID)
+			if before.ID != result.ID || textOf(before) != textOf(result) || before.Score != result.Score {
+				t.broken("TWICE", "position %d of job %s changed from item %s to %s", position, job.id, before.ID, result.ID)
 			}
 			continue
 		}
-		job.results[position] = listed
+		job.results[position] = result
 		for other, known := range job.results {
-			if other != position && known.ID == listed.ID {
-				t.broken("TWICE", "item %s stands at %d and %d of job %s", listed.ID, other, position, job.id)
+			if other != position && known.ID == result.ID {
+				t.broken("TWICE", "item %s is listed at positions %d and %d of job %s", result.ID, other, position, job.id)
 			}
 		}
-		t.judgeResult(job, listed)
+		t.checkResult(job, result)
 	}
 }
 
-func textOf(listed platform.ResultDocument) string {
-	if listed.Text == nil {
+func textOf(result platform.ResultDocument) string {
+	if result.Text == nil {
 		return ""
 	}
-	return *listed.Text
+	return *result.Text
 }
 
-func (t *Truth) judgeResult(job *jobTruth, listed platform.ResultDocument) {
-	item := t.items[listed.ID]
-	if item == nil || !slices.Contains(job.items, listed.ID) {
-		t.broken("MIXED", "job %s lists item %s of another job", job.id, listed.ID)
+func (t *Truth) checkResult(job *jobTruth, result platform.ResultDocument) {
+	item := t.items[result.ID]
+	if item == nil || !slices.Contains(job.items, result.ID) {
+		t.broken("MIXED", "job %s lists item %s of another job", job.id, result.ID)
 		return
 	}
-	t.counts[listed.State]++
-	if listed.State == platform.ResultDead {
+	t.counts[result.State]++
+	if result.State == platform.ResultDead {
 		if item.failures < itemAttempts && t.counts[countRewardFailures] == 0 {
-			t.broken("MIXED", "item %s is dead after %d failures", listed.ID, item.failures)
+			t.broken("MIXED", "item %s was given up after %d failures", result.ID, item.failures)
 		}
 		return
 	}
-	lines := strings.Split(textOf(listed), "\n")
+	lines := strings.Split(textOf(result), "\n")
 	if len(lines) != item.events {
-		t.broken("MIXED", "item %s has %d of %d events", listed.ID, len(lines), item.events)
+		t.broken("MIXED", "item %s has %d events, want %d", result.ID, len(lines), item.events)
 	}
-	t.judgeLines(job, listed, lines)
-	if stamp, known := t.stamps[listed.Score]; !known || stamp.request != item.reward {
-		t.broken("MIXED", "item %s has score %q of request %q", listed.ID, listed.Score, stamp.request)
+	t.checkLines(job, result, lines)
+	if stamp, known := t.stamps[result.Score]; !known || stamp.request != item.reward {
+		t.broken("MIXED", "item %s has score %q, which belongs to request %q", result.ID, result.Score, stamp.request)
 	}
 }
 
-// judgeLines rules on the text of an item: each line names the item, its
-// number, its run, the event that the run was asked to continue after, and the
-// version that made it.
-func (t *Truth) judgeLines(job *jobTruth, listed platform.ResultDocument, lines []string) {
+// checkLines checks the text of an item. Each line holds the item's id, the event's number, the
+// run's number, the event after which the run was asked to continue, and the weight version that
+// generated it.
+func (t *Truth) checkLines(job *jobTruth, result platform.ResultDocument, lines []string) {
 	var versions []uint64
 	lastRun := ""
 	for i, line := range lines {
 		parts := strings.Split(line, "/")
-		if len(parts) != eventParts || parts[0] != listed.ID || parts[1] != strconv.Itoa(i+1) {
-			t.broken("ORDER", "line %d of item %s is %q", i+1, listed.ID, line)
+		if len(parts) != eventFieldCount || parts[0] != result.ID || parts[1] != strconv.Itoa(i+1) {
+			t.broken("ORDER", "line %d of item %s is %q", i+1, result.ID, line)
 			return
 		}
 		if parts[2] != lastRun && parts[3] != strconv.Itoa(i) {
-			t.broken("ORDER", "item %s goes on after event %d with a run asked to begin after %s", listed.ID, i, parts[3])
+			t.broken("ORDER", "item %s continues after event %d with a run asked to continue after %s", result.ID, i, parts[3])
 		}
 		lastRun = parts[2]
 		version, _ := strconv.ParseUint(parts[4], 10, 64)
 		versions = append(versions, version)
 		if version < job.minVersion {
-			t.broken("VERSION", "item %s has text of version %d, under %d", listed.ID, version, job.minVersion)
+			t.broken("VERSION", "item %s has text of version %d, older than the minimum %d", result.ID, version, job.minVersion)
 		}
 	}
 	slices.Sort(versions)
-	if !slices.Equal(slices.Compact(versions), listed.Versions) {
-		t.broken("VERSION", "item %s names versions %v, not %v", listed.ID, listed.Versions, versions)
+	if !slices.Equal(slices.Compact(versions), result.Versions) {
+		t.broken("VERSION", "item %s lists versions %v, want %v", result.ID, result.Versions, versions)
 	}
 }
 
-// countRewardFailures counts the failed reward calls.
+// countRewardFailures is the name of the counter of failed reward calls.
 const countRewardFailures = "reward failures"
 
-// eventParts is the number of parts of an event's data.
-const eventParts = 5
+// eventFieldCount is the number of fields that eventData joins.
+const eventFieldCount = 5
 
-// eventData is the data of one event.
+// eventData returns the data of one event.
 func eventData(item string, event, run, from int, version uint64) string {
 	return fmt.Sprintf("%s/%d/%d/%d/%d", item, event, run, from, version)
 }
--- a/internal/platformsim/world.go
+++ b/internal/platformsim/world.go
@@ -29,14 +29,14 @@
 	storePort     = ":82"
 	samplerPort   = ":90"
 	storeMachine  = "store"
-	farZone       = "c"
+	remoteZone    = "c"
 	graceS        = 8
 
 	host              = "app.example"
 	applicationPrefix = "/app/"
 	rolloutPrefix     = "/roll/"
-	// boundPrefix is that of a rollout route which is bound to routeRegion; the first
-	// tenant is bound to tenantRegion.
+	// boundPrefix is the path prefix of a rollout route that is restricted to routeRegion.
+	// The first tenant is restricted to tenantRegion.
 	boundPrefix  = "/bound/"
 	routeRegion  = "north"
 	tenantRegion = "south"
@@ -45,9 +45,9 @@
 	applicationName = "api"
 )
 
-var zones = []string{"a", "b", farZone}
+var zones = []string{"a", "b", remoteZone}
 
-// Options describe a world.
+// Options configure a World.
 type Options struct {
 	Seed         uint64
 	NodesPerZone int
@@ -55,46 +55,50 @@
 	Applications int
 	Models       []string
 	Logs         io.Writer
-	// Surroundings are simulated ones unless set.
+	// Surroundings provides links and processes; if nil, they are simulated in memory.
 	Surroundings Surroundings
-	// Distance is how far away farZone lies, with its nodes, samplers and callers, from the
-	// store and all else, one way; next door if it is 0.
-	Distance time.Duration
-	// Regions tells the region of each zone where there are two; then a route and a tenant
-	// are bound to one region each.
+	// RemoteZoneLatency is the one-way network latency between remoteZone, with its nodes,
+	// samplers and callers, and the other zones and the store. If it is 0, remoteZone is as
+	// near as any other zone.
+	RemoteZoneLatency time.Duration
+	// Regions maps each zone to its region in a world of two regions, where one route and
+	// one tenant are restricted to one region each. It is nil in a world of one region.
 	Regions map[string]string
-	// Nameless is set where samplers cannot tell from which node a request comes:
-	// then trouble of one machine counts as trouble of all.
+	// Nameless is set where samplers cannot identify the node that a request comes from.
+	// A disturbance of one machine then counts as a disturbance of all.
 	Nameless bool
-	// Sharing tells from when on nodes share what they read of the samplers.
+	// Sharing sets the cluster size from which nodes share what they read from the log,
+	// and the number of nodes per reader.
 	Sharing fanout.Sizes
-	// Suspends is set where machines are suspended. Then no other world may run beside it.
-	Suspends bool
+	// SimulateSuspension is set where machines are suspended. The simulated clock is global,
+	// so no other world may run at the same time.
+	SimulateSuspension bool
 }
 
-// World is a cluster of real nodes with everything around it.
+// World is a cluster of real nodes together with the store, the platform's API, the samplers
+// and the callers around it.
 type World struct {
 	Truth *Truth
 	Store *Store
 
-	options      Options
-	network      Surroundings
-	tenants      *tenantBook
-	servers      []*http.Server
-	storeAddress string
-	cloudAddress string
-	cloudFaults  atomic.Pointer[CloudFaults]
-	config       uint64
+	options       Options
+	network       Surroundings
+	tenants       *tenantRegistry
+	servers       []*http.Server
+	storeAddress  string
+	cloudAddress  string
+	cloudFaults   atomic.Pointer[CloudFaults]
+	configVersion uint64
 
-	// slept is for how long the machines of the nodes were suspended.
+	// slept is the total time, in nanoseconds, for which the nodes' machines were suspended.
 	slept atomic.Int64
 
-	mutex    sync.Mutex
-	nodes    []*nodeMachine
-	samplers []*samplerMachine
-	ready    []string
-	versions map[string]uint64
-	// evacuated counts the reasons to evacuate a zone.
+	mutex      sync.Mutex
+	nodes      []*nodeMachine
+	samplers   []*samplerMachine
+	readyNodes []string
+	versions   map[string]uint64
+	// evacuated counts the faults that currently evacuate each zone.
 	evacuated map[string]int
 	work      conc.WaitGroup
 }
@@ -104,23 +108,24 @@
 	name, zone string
 	process    NodeProcess
 	down       bool
-	// removed is set once the machine is gone for good.
+	// removed is set once the machine is permanently removed.
 	removed bool
 }
 
 // samplerMachine is a machine that runs a sampler.
 type samplerMachine struct {
-	host    string
-	spec    SamplerSpec
-	sampler *Sampler
-	server  *http.Server
-	starts  int
-	down    bool
-	// claimed is set while a fault takes the machine down and up again.
+	host       string
+	spec       SamplerSpec
+	sampler    *Sampler
+	server     *http.Server
+	startCount int
+	down       bool
+	// claimed is set while a fault stops and restarts the machine.
 	claimed bool
 }
 
-// claim reserves a machine for a fault that takes it down, unless another has it.
+// claim reserves a machine for a fault that stops it. It reports false if another fault
+// already holds the machine.
 func (w *World) claim(machine *samplerMachine) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -147,15 +152,16 @@
 	return machine.down
 }
 
-// NewWorld starts the store, the samplers and the nodes.
+// NewWorld starts the store, the platform's API, the samplers and the nodes. It panics if a
+// listener or a node cannot be started.
 func NewWorld(options Options) *World {
 	w := &World{
 		Truth: NewTruth(), Store: NewStore(options.Seed), options: options,
 		network: options.Surroundings, versions: make(map[string]uint64), evacuated: make(map[string]int),
-		tenants: newTenantBook(),
+		tenants: newTenantRegistry(),
 	}
 	if w.network == nil {
-		w.network = newSimulated(options.Seed, options.Distance)
+		w.network = newSimulatedEnvironment(options.Seed, options.RemoteZoneLatency)
 	}
 	for _, model := range options.Models {
 		w.versions[model] = 1
@@ -164,7 +170,7 @@
 	w.storeAddress = address
 	w.serve(listener, w.Store)
 	w.cloudFaults.Store(&CloudFaults{})
-	w.Truth.regions, w.Store.handed = options.Regions, w.handed
+	w.Truth.regions, w.Store.onRead = options.Regions, w.handed
 	w.Truth.nameless = options.Nameless
 	listener, w.cloudAddress = w.listen(cloudMachine, zones[0], cloudPort)
 	w.serve(listener, http.HandlerFunc(w.serveCloud))
@@ -201,10 +207,10 @@
 	return server
 }
 
-func (w *World) addSampler(service string, index, slots int, pace time.Duration) {
+func (w *World) addSampler(service string, index, slots int, serviceTime time.Duration) {
 	machine := &samplerMachine{host: fmt.Sprintf("s%d", index)}
 	machine.spec = SamplerSpec{
-		Zone: zones[index%len(zones)], Service: service, Slots: slots, Work: pace,
+		Zone: zones[index%len(zones)], Service: service, Slots: slots, Work: serviceTime,
 	}
 	w.samplers = append(w.samplers, machine)
 	w.startSampler(machine)
@@ -220,25 +226,24 @@
 		}
 		w.mutex.Unlock()
 	}
-	machine.starts++
-	w.serveSampler(machine, fmt.Sprintf("i-%s-%d", machine.host, machine.starts), models)
+	machine.startCount++
+	w.serveSampler(machine, fmt.Sprintf("i-%s-%d", machine.host, machine.startCount), models)
 }
 
-// startSamplerAs starts a sampler again under an id that it had, with the weights that it
-// had.
+// startSamplerAs restarts a sampler under an earlier id and with the weights that it served.
 func (w *World) startSamplerAs(machine *samplerMachine, id string) {
-	machine.starts++
-	w.serveSampler(machine, id, machine.sampler.weights())
+	machine.startCount++
+	w.serveSampler(machine, id, machine.sampler.weightVersions())
 }
 
 func (w *World) serveSampler(machine *samplerMachine, id string, models map[string]uint64) {
 	listener, address := w.listen(machine.host, machine.spec.Zone, samplerPort)
 	machine.spec.Address = address
 	var coldUntil time.Time
-	if machine.starts > 1 {
+	if machine.startCount > 1 {
 		coldUntil = time.Now().Add(coldTime)
 	}
-	sampler := newSampler(id, machine.spec, models, w.Truth, w.Store, w.options.Seed+uint64(machine.starts)*1000, coldUntil)
+	sampler := newSampler(id, machine.spec, models, w.Truth, w.Store, w.options.Seed+uint64(machine.startCount)*1000, coldUntil)
 	sampler.crash = func(key, node string) { w.crashRun(sampler, key, node) }
 	server := w.serve(listener, sampler)
 	w.mutex.Lock()
@@ -246,7 +251,7 @@
 	machine.sampler, machine.server, machine.down = sampler, server, false
 }
 
-func (w *World) settings(machine *nodeMachine) platform.Settings {
+func (w *World) nodeSettings(machine *nodeMachine) platform.Settings {
 	var settings platform.Settings
 	settings.Node, settings.Zone, settings.IP = machine.name, machine.zone, machine.name
 	settings.Listen.Front, settings.Listen.Readiness = w.network.Front(machine.name), w.network.Readiness(machine.name)
@@ -264,16 +269,16 @@
 	}
 	settings.Bounds.ReportWindowS, settings.Bounds.UsageLateS = reportWindow.Seconds(), usageLate.Seconds()
 	settings.Cloud.Address, settings.Cloud.Duties = w.cloudAddress, []string{platform.DutyUsage, platform.DutyScale}
-	if w.options.Suspends {
-		// The time of day goes on while a machine is suspended, and here it does not: windows
-		// of usage would be told of before they are over.
+	if w.options.SimulateSuspension {
+		// Wall-clock time advances while a real machine is suspended; the simulated one does
+		// not, so usage windows would be reported before they end.
 		settings.Bounds.ReportWindowS, settings.Cloud.Duties = 0, []string{platform.DutyScale}
 	}
 	return settings
 }
 
 func (w *World) startNode(machine *nodeMachine) {
-	process, err := w.network.StartNode(w.settings(machine), w.options.Logs)
+	process, err := w.network.StartNode(w.nodeSettings(machine), w.options.Logs)
 	if err != nil {
 		panic(err)
 	}
@@ -282,10 +287,11 @@
 	machine.process, machine.down = process, false
 }
 
-// pickNode returns a node that calls itself ready, or any if none does.
+// pickNode returns a random node among those that report ready, or among all nodes if none
+// does.
 func (w *World) pickNode(random *rand.Rand) string {
 	w.mutex.Lock()
-	ready := w.ready
+	ready := w.readyNodes
 	w.mutex.Unlock()
 	if len(ready) == 0 {
 		ready = w.Nodes()
@@ -293,25 +299,25 @@
 	return ready[random.IntN(len(ready))]
 }
 
-// present returns the nodes whose machines were not removed.
+// present returns the nodes whose machines have not been removed.
 func (w *World) present() []*nodeMachine {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return slices.DeleteFunc(slices.Clone(w.nodes), func(machine *nodeMachine) bool { return machine.removed })
 }
 
-// WatchReadiness asks every node each second whether it is ready.
+// WatchReadiness polls the readiness endpoint of every node each second until ctx ends.
 func (w *World) WatchReadiness(ctx context.Context) {
-	asker := w.newCaller("entry", zones[0], "", 0)
+	prober := w.newCaller("entry", zones[0], "", 0)
 	for ctx.Err() == nil {
 		var ready []string
 		for _, machine := range w.present() {
-			askCtx, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
-			request, err := http.NewRequestWithContext(askCtx, http.MethodGet, "http://"+w.network.Readiness(machine.name)+platform.PathReady, nil)
+			requestCtx, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
+			request, err := http.NewRequestWithContext(requestCtx, http.MethodGet, "http://"+w.network.Readiness(machine.name)+platform.PathReady, nil)
 			if err != nil {
 				panic(err)
 			}
-			response, err := asker.client.Do(request)
+			response, err := prober.client.Do(request)
 			if err == nil {
 				response.Body.Close()
 				if response.StatusCode == http.StatusOK {
@@ -321,17 +327,18 @@
 			cancel()
 		}
 		w.mutex.Lock()
-		w.ready = ready
+		w.readyNodes = ready
 		w.mutex.Unlock()
 		wait.For(ctx, time.Second)
 	}
 }
 
-// PutConfig writes the next version of the configuration.
+// PutConfig writes the next version of the configuration, with the given number of routes in
+// addition to the standard ones.
 func (w *World) PutConfig(extraRoutes int) {
-	w.config += 2
-	document := platform.ConfigDocument{Version: w.config}
-	w.tenants.bound = w.options.Regions != nil
+	w.configVersion += 2
+	document := platform.ConfigDocument{Version: w.configVersion}
+	w.tenants.regionBound = w.options.Regions != nil
 	add := func(name, prefix, kind, service string, dueMS float64) {
 		document.Routes = append(document.Routes, platform.RouteDocument{
 			Name: name, Host: host, Prefix: prefix, Kind: kind, TimeoutMS: 1500, ObjectiveMS: 150,
@@ -356,7 +363,7 @@
 	w.Store.Put(platform.TopicOperator, platform.KeyConfig, content)
 }
 
-// modelServiceDocument describes the model samplers, of which more may be ordered.
+// modelServiceDocument describes the model samplers, a service that nodes may scale up.
 func (w *World) modelServiceDocument() platform.ServiceDocument {
 	document := platform.ServiceDocument{Name: modelService, Scaling: &platform.ScalingDocument{
 		Min: 1, Max: mostSamplers, BootS: 4, SpotPrice: 0.2, ZonePrices: make(map[string]float64),
@@ -371,7 +378,7 @@
 	return document
 }
 
-// nameVersion writes a trainer's new version.
+// nameVersion publishes a trainer's new weight version of a model.
 func (w *World) nameVersion(model string, version uint64) {
 	content, err := json.Marshal(platform.VersionDocument{Model: model, Version: version})
 	if err != nil {
@@ -383,7 +390,7 @@
 	w.Store.Put(platform.TopicOperator, platform.KeyVersionPrefix+model, content)
 }
 
-// Heartbeats keep the samplers' entries fresh until ctx ends.
+// Heartbeats renews the registry entries of all running samplers until ctx ends.
 func (w *World) Heartbeats(ctx context.Context) {
 	for ctx.Err() == nil {
 		wait.For(ctx, heartbeat)
@@ -398,7 +405,7 @@
 	}
 }
 
-// Traffic runs trainers, clients and lookers until ctx ends.
+// Traffic runs trainers, clients, job readers and unauthorized callers until ctx ends.
 func (w *World) Traffic(ctx context.Context) {
 	var callers conc.WaitGroup
 	for i, model := range w.options.Models {
@@ -413,25 +420,26 @@
 		client := w.newCaller("client-"+zone, zone, host, w.options.Seed+uint64(i)*19+5)
 		client.tenant = w.tenants.names[i%tenantCount]
 		callers.Go(func() { client.runClient(ctx, 250*time.Millisecond) })
-		looker := w.newCaller("looker-"+zone, zone, host, w.options.Seed+uint64(i)*23+7)
-		callers.Go(func() { looker.runLooker(ctx) })
-		intruder := w.newCaller("intruder-"+zone, zone, host, w.options.Seed+uint64(i)*29+9)
-		callers.Go(func() { intruder.runIntruder(ctx) })
+		jobReader := w.newCaller("looker-"+zone, zone, host, w.options.Seed+uint64(i)*23+7)
+		callers.Go(func() { jobReader.runLooker(ctx) })
+		unauthorizedCaller := w.newCaller("intruder-"+zone, zone, host, w.options.Seed+uint64(i)*29+9)
+		callers.Go(func() { unauthorizedCaller.runIntruder(ctx) })
 	}
 	callers.Wait()
 }
 
-// readableFor is how long an accepted job is read and judged: somewhat shorter than
-// the time for which its results must be readable.
-const readableFor = 100 * time.Second
+// maxCheckedJobAge is the time since its acceptance for which a job is read and checked. It is
+// somewhat shorter than the time for which results must stay readable.
+const maxCheckedJobAge = 100 * time.Second
 
-// acceptedJobs returns the jobs accepted of late, ordered.
+// acceptedJobs returns the jobs accepted within maxCheckedJobAge, ordered by time of
+// acceptance, then id.
 func (t *Truth) acceptedJobs() []*jobTruth {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	var accepted []*jobTruth
 	for _, job := range t.jobs {
-		if !job.accepted.IsZero() && time.Since(job.accepted) < readableFor {
+		if !job.accepted.IsZero() && time.Since(job.accepted) < maxCheckedJobAge {
 			accepted = append(accepted, job)
 		}
 	}
@@ -441,26 +449,26 @@
 	return accepted
 }
 
-// JudgeEnd reads every accepted job from the start at every node, once all is
-// healed.
+// JudgeEnd reads every recently accepted job from its first result at every node and reports
+// results that are missing. It is called once all faults are over.
 func (w *World) JudgeEnd(ctx context.Context) {
 	reader := w.newCaller("judge", zones[0], host, 99)
 	for _, machine := range w.present() {
 		w.mutex.Lock()
-		w.ready = []string{machine.name}
+		w.readyNodes = []string{machine.name}
 		w.mutex.Unlock()
 		for _, job := range w.Truth.acceptedJobs() {
-			w.judgeJob(ctx, reader, machine.name, job)
+			w.checkJob(ctx, reader, machine.name, job)
 		}
 	}
 }
 
-func (w *World) judgeJob(ctx context.Context, reader *caller, node string, job *jobTruth) {
+func (w *World) checkJob(ctx context.Context, reader *caller, node string, job *jobTruth) {
 	seen := 0
 	for from := 0; ; {
 		page, ok := reader.read(ctx, job, from)
 		if !ok {
-			w.Truth.Update(job, func() { w.Truth.broken("LOST", "%s does not show job %s", node, job.id) })
+			w.Truth.Update(job, func() { w.Truth.broken("LOST", "node %s did not return job %s", node, job.id) })
 			return
 		}
 		seen += len(page.Results)
@@ -471,12 +479,12 @@
 	}
 	w.Truth.Update(job, func() {
 		if seen < len(job.results) {
-			w.Truth.broken("LOST", "%s shows %d of %d results of job %s", node, seen, len(job.results), job.id)
+			w.Truth.broken("LOST", "node %s returned %d of %d results of job %s", node, seen, len(job.results), job.id)
 		}
 	})
 }
 
-// Close ends everything.
+// Close stops all nodes and servers and waits for the background work to end.
 func (w *World) Close() {
 	for _, machine := range w.present() {
 		w.kill(machine)
@@ -487,29 +495,30 @@
 	w.work.Wait()
 }
 
-// kill ends a node's process at once.
+// kill crashes a node: it cuts the machine's links and kills the process. It does nothing if
+// the node is down.
 func (w *World) kill(machine *nodeMachine) {
 	w.mutex.Lock()
-	already := machine.down
+	wasDown := machine.down
 	machine.down = true
 	w.mutex.Unlock()
-	if already {
+	if wasDown {
 		return
 	}
 	w.network.Crash(machine.name)
 	machine.process.Kill()
 }
 
-// restart starts a node's process again.
+// restart restores the machine's links and starts a new process of the node.
 func (w *World) restart(machine *nodeMachine) {
 	w.network.Restore(machine.name)
 	w.startNode(machine)
 }
 
-// Slept is for how long the machines of the nodes were suspended.
-func (w *World) Slept() time.Duration { return time.Duration(w.slept.Load()) }
+// SuspendedTime returns the total time for which the nodes' machines were suspended.
+func (w *World) SuspendedTime() time.Duration { return time.Duration(w.slept.Load()) }
 
-// Nodes returns the names of the nodes' machines.
+// Nodes returns the names of the node machines that have not been removed.
 func (w *World) Nodes() []string {
 	var names []string
 	for _, machine := range w.present() {
@@ -527,5 +536,5 @@
 	return names
 }
 
-// Healed notes that trouble which was made from outside is over.
+// Healed records that a disturbance caused from outside the simulation is over.
 func (w *World) Healed() { w.healed("") }
--- a/internal/platformsim/zones.go
+++ b/internal/platformsim/zones.go
@@ -7,28 +7,29 @@
 	"github.com/sourcegraph/conc"
 )
 
-// cutZone cuts the nodes and samplers of a zone off from all others.
+// cutZone isolates the nodes and samplers of a zone from all other machines.
 func (w *World) cutZone(fault Fault, zone string) {
-	w.cutOff(fault, func(lies string) bool { return lies == zone }, w.nodesIn(zone))
+	w.isolateZones(fault, func(candidate string) bool { return candidate == zone }, w.nodesIn(zone))
 }
 
-// nodesIn lists the nodes of a zone.
+// nodesIn returns the nodes of a zone that have not been removed.
 func (w *World) nodesIn(zone string) []*nodeMachine {
 	return slices.DeleteFunc(w.present(), func(machine *nodeMachine) bool { return machine.zone != zone })
 }
 
-// cutRegion cuts the machines of the region without the store off from all others.
+// cutRegion isolates the machines of the region that does not contain the store.
 func (w *World) cutRegion(fault Fault) {
-	near := w.options.Regions[zones[0]]
-	w.cutOff(fault, func(zone string) bool { return w.options.Regions[zone] != near }, w.present())
+	storeRegion := w.options.Regions[zones[0]]
+	w.isolateZones(fault, func(zone string) bool { return w.options.Regions[zone] != storeRegion }, w.present())
 }
 
-// cutOff cuts the machines of some zones off from all others, which disturbs some nodes.
-// The store and the platform's API are of no zone.
-func (w *World) cutOff(fault Fault, belongs func(zone string) bool, disturbed []*nodeMachine) {
+// isolateZones isolates the machines of the zones that belongs selects from all others, and
+// records the given nodes as disturbed. The store and the platform's API belong to no zone and
+// stay outside.
+func (w *World) isolateZones(fault Fault, belongs func(zone string) bool, disturbed []*nodeMachine) {
 	var inside []string
 	outside := []string{storeMachine, cloudMachine}
-	place := func(name, zone string) {
+	assign := func(name, zone string) {
 		if belongs(zone) {
 			inside = append(inside, name)
 			return
@@ -36,10 +37,10 @@
 		outside = append(outside, name)
 	}
 	for _, machine := range w.present() {
-		place(machine.name, machine.zone)
+		assign(machine.name, machine.zone)
 	}
 	for _, machine := range w.samplers {
-		place(machine.host, machine.spec.Zone)
+		assign(machine.host, machine.spec.Zone)
 	}
 	for _, machine := range disturbed {
 		w.disturb(fault, machine.name)
@@ -48,7 +49,7 @@
 	time.Sleep(fault.For)
 	w.network.Rejoin(inside, outside)
 	for _, machine := range w.present() {
-		// Requests of any node to samplers that were cut off were held.
+		// The isolated links held back requests from any node to their samplers.
 		w.Truth.Held(machine.name)
 	}
 	for _, machine := range disturbed {
@@ -56,48 +57,50 @@
 	}
 }
 
-// loseZone kills the nodes of a zone and takes its samplers down, which come back cold.
+// loseZone kills the nodes of a zone and stops its samplers, which restart cold.
 func (w *World) loseZone(fault Fault, zone string) {
-	var losing conc.WaitGroup
-	losing.Go(func() { w.killFor(fault, w.nodesIn(zone)...) })
-	losing.Go(func() { w.returnCold(fault, zone) })
-	losing.Wait()
+	var stopping conc.WaitGroup
+	stopping.Go(func() { w.killFor(fault, w.nodesIn(zone)...) })
+	stopping.Go(func() { w.returnCold(fault, zone) })
+	stopping.Wait()
 }
 
-// noteTrouble names what a fault does, so that the cause of a lost request is known, until
-// it is called over.
-func (w *World) noteTrouble(fault Fault, node *nodeMachine) (over func()) {
+// noteTrouble records which machines a fault affects, so that lost requests can be attributed
+// to it. The returned function records that the fault is over.
+func (w *World) noteTrouble(fault Fault, node *nodeMachine) (end func()) {
 	name, until := fault.Kind.String(), time.Now().Add(fault.For)
-	var overs []func()
-	at := func(place string, until time.Time) { overs = append(overs, w.Truth.Trouble(place, name, until, false)) }
+	var endings []func()
+	record := func(place string, until time.Time) {
+		endings = append(endings, w.Truth.Trouble(place, name, until, false))
+	}
 	switch fault.Kind {
 	case NodeKill, NodeFreeze, NodeCutFromStore, NodeCutFromAll:
-		at(node.name, until)
+		record(node.name, until)
 	case NodeTerm:
-		overs = append(overs, w.Truth.Trouble(node.name, name, time.Now().Add((graceS+1)*time.Second), true))
+		endings = append(endings, w.Truth.Trouble(node.name, name, time.Now().Add((graceS+1)*time.Second), true))
 	case HerdKill, KillAll, RegionCut:
 		for _, machine := range w.present() {
-			at(machine.name, until)
+			record(machine.name, until)
 		}
 	case NodeReplaced:
-		at(w.lastToOrder(node).name, until)
+		record(w.lastToOrder(node).name, until)
 	case ZoneCut, ZoneLost:
 		for _, machine := range w.nodesIn(zones[fault.Target%uint64(len(zones))]) {
-			at(machine.name, until)
+			record(machine.name, until)
 		}
-		at(AtSamplers, until)
+		record(AtSamplers, until)
 	case StoreDown, StoreSilent, StoreSlow, StoreLost, StoreLate, StoreRebalance, StoreForgets:
-		at(atStore, until)
+		record(atStore, until)
 	case ConfigChange, KeysTaken, Evacuate:
-		at(atOperator, until)
+		record(atOperator, until)
 	case SamplerCrash, SamplerReplaced, ColdReturn, SamplersTurnCold:
-		// Their samplers are cold, or gone, for some seconds more.
-		at(AtSamplers, until.Add(drainBound+coldTime+silentBeats*heartbeat))
+		// The samplers stay cold, or out of the registry, for some more seconds.
+		record(AtSamplers, until.Add(drainBound+coldTime+silentBeats*heartbeat))
 	default:
-		at(AtSamplers, until)
+		record(AtSamplers, until)
 	}
 	return func() {
-		for _, end := range overs {
+		for _, end := range endings {
 			end()
 		}
 	}
