--- a/internal/platformsim/truth.go
+++ b/internal/platformsim/truth.go
@@ -289,7 +289,7 @@
 	if now.Before(t.ordersExcused) {
 		return
 	}
-	t.judgeEvacuation(sampler, zone, holder, "an order", now)
+	t.judgeEvacuation(sampler, zone, holder, "a weight order", now)
 	last, known := t.lastOrders[sampler]
 	if known && last.holder != holder {
 		switch {
@@ -350,7 +350,7 @@
 		position := from + i
 		if before, known := job.results[position]; known {
 			if before.ID != result.ID || textOf(before) != textOf(result) || before.Score != result.Score {
-				t.broken("TWICE", "position %d of job %s changed from item %s to %s", position, job.id, before.ID, result.ID)
+				t.broken("TWICE", "result at position %d of job %s changed (item %s before, item %s now)", position, job.id, before.ID, result.ID)
 			}
 			continue
 		}
