--- a/internal/emulator/backend.go
+++ b/internal/emulator/backend.go
@@ -11,29 +11,35 @@
 	"github.com/pathbend/pathbend/internal/dispatch"
 )
 
-// BackEndFaults are the faults of an application back end.
+// BackEndFaults are the faults injected into an application back end. The zero
+// value injects none.
 type BackEndFaults struct {
-	// Refuse answers that the request was not run.
+	// Refuse answers every request with status 503 and states that it was not run.
 	Refuse bool
-	// LoseAnswers runs requests and cuts the connection without an answer.
-	LoseAnswers float64
-	// Truncate runs requests and cuts the answer short.
-	Truncate float64
-	// Cross runs requests and echoes the id of another request.
-	Cross float64
-	// Slow multiplies the service time; 0 means 1.
-	Slow float64
-	// Leaving makes the back end say that it takes no new work.
+	// LostAnswerShare is the share of requests, 0 to 1, that are run and whose
+	// connection is closed without an answer.
+	LostAnswerShare float64
+	// TruncatedAnswerShare is the share of requests, 0 to 1, that are run and
+	// whose answer ends half-way through its body.
+	TruncatedAnswerShare float64
+	// MismatchedAnswerShare is the share of requests, 0 to 1, that are run and
+	// answered with the id and the body of another request.
+	MismatchedAnswerShare float64
+	// SlowFactor multiplies the service time; values below 1 mean 1.
+	SlowFactor float64
+	// Leaving makes the back end announce that it accepts no new requests. It
+	// still runs those that it receives.
 	Leaving bool
 }
 
-// BackEnd is an application back end. It runs every request that it receives
-// and records each execution in the truth.
+// BackEnd emulates an application back end. It runs each request that it
+// receives, unless a fault prevents this, and records the execution in Truth.
 type BackEnd struct {
 	ID string
 	// ServiceTime is the mean time of one execution.
 	ServiceTime time.Duration
-	// Crasher ends the back end's process under some requests; nil under none.
+	// Crasher terminates the back end on requests that carry CrashMarker; nil
+	// disables crashes.
 	Crasher *Crasher
 	truth   *Truth
 
@@ -43,60 +49,61 @@
 	leaving bool
 }
 
-// NewBackEnd returns a back end that records into truth.
+// NewBackEnd returns a back end that records its executions in truth.
 func NewBackEnd(id string, serviceTime time.Duration, truth *Truth, random *rand.Rand) *BackEnd {
 	return &BackEnd{ID: id, ServiceTime: serviceTime, truth: truth, random: random}
 }
 
-// SetFaults switches faults on and off.
+// SetFaults replaces the injected faults.
 func (b *BackEnd) SetFaults(faults BackEndFaults) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.faults = faults
 }
 
-// Leave makes the back end say that it leaves.
+// Leave makes the back end announce in all further answers that it is leaving.
 func (b *BackEnd) Leave() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.leaving = true
 }
 
-// plan is what happens to one request.
-type plan struct {
-	service                       time.Duration
-	refuse, lose, truncate, cross bool
-	leaving                       bool
+// requestPlan states how one request is handled.
+type requestPlan struct {
+	serviceTime                                        time.Duration
+	refuse, loseAnswer, truncateAnswer, mismatchAnswer bool
+	leaving                                            bool
 }
 
-func (b *BackEnd) plan() plan {
+func (b *BackEnd) planRequest() requestPlan {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	slow := max(b.faults.Slow, 1)
-	// Exponential service times with the mean ServiceTime.
-	service := time.Duration(b.random.ExpFloat64() * float64(b.ServiceTime) * slow)
-	return plan{
-		service: service, refuse: b.faults.Refuse, leaving: b.leaving || b.faults.Leaving,
-		lose:     b.random.Float64() < b.faults.LoseAnswers,
-		truncate: b.random.Float64() < b.faults.Truncate,
-		cross:    b.random.Float64() < b.faults.Cross,
+	slowFactor := max(b.faults.SlowFactor, 1)
+	// Service times are exponentially distributed with the mean ServiceTime.
+	serviceTime := time.Duration(b.random.ExpFloat64() * float64(b.ServiceTime) * slowFactor)
+	return requestPlan{
+		serviceTime: serviceTime, refuse: b.faults.Refuse, leaving: b.leaving || b.faults.Leaving,
+		loseAnswer:     b.random.Float64() < b.faults.LostAnswerShare,
+		truncateAnswer: b.random.Float64() < b.faults.TruncatedAnswerShare,
+		mismatchAnswer: b.random.Float64() < b.faults.MismatchedAnswerShare,
 	}
 }
 
-// AnswerHeader names the caller's request in an answer, for the truth.
+// AnswerHeader is the request header that carries the caller's own request id,
+// by which Truth matches executions with outcomes.
 const AnswerHeader = "Emulator-Request"
 
-// ServeHTTP implements http.Handler. The answer's body names the caller's
-// request, so that the caller can tell whose answer it got.
+// ServeHTTP implements http.Handler. The body of an answer contains the caller's
+// request id, so that the caller can detect the answer to another request.
 func (b *BackEnd) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
-	plan := b.plan()
+	plan := b.planRequest()
 	body, err := io.ReadAll(request.Body)
 	if err != nil {
-		return // the request was cut off and is not run
+		return // An incomplete request is not run.
 	}
 	header := writer.Header()
 	requestID := request.Header.Get(dispatch.HeaderRequestID)
-	if plan.cross {
+	if plan.mismatchAnswer {
 		requestID += "-other"
 	}
 	header.Set(dispatch.HeaderRequestID, requestID)
@@ -108,33 +115,33 @@
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	if b.Crasher.crashes(body) {
-		b.Crasher.under(request.URL.Path, plan.service)
+	if b.Crasher.triggeredBy(body) {
+		b.Crasher.run(request.URL.Path, plan.serviceTime)
 		panic(http.ErrAbortHandler)
 	}
-	caller := request.Header.Get(AnswerHeader)
-	b.truth.Executed(Execution{
-		BackEnd: b.ID, Caller: caller, Key: request.Header.Get(dispatch.HeaderIdempotencyKey),
+	callerRequestID := request.Header.Get(AnswerHeader)
+	b.truth.RecordExecution(Execution{
+		BackEnd: b.ID, RequestID: callerRequestID, IdempotencyKey: request.Header.Get(dispatch.HeaderIdempotencyKey),
 		Tenant: request.Header.Get(dispatch.HeaderTenant), Path: request.URL.Path, Leaving: plan.leaving, At: time.Now(),
 	})
-	time.Sleep(plan.service)
-	if plan.lose {
+	time.Sleep(plan.serviceTime)
+	if plan.loseAnswer {
 		panic(http.ErrAbortHandler)
 	}
-	answered := caller
-	if plan.cross {
-		answered = "somebody else"
+	answeredID := callerRequestID
+	if plan.mismatchAnswer {
+		answeredID = "somebody else"
 	}
-	answer := answerTo(answered, request.URL.Path, body)
+	answer := expectedAnswer(answeredID, request.URL.Path, body)
 	header.Set("Content-Length", fmt.Sprint(len(answer)))
-	if plan.truncate {
+	if plan.truncateAnswer {
 		_, _ = io.WriteString(writer, answer[:len(answer)/2])
 		panic(http.ErrAbortHandler)
 	}
 	_, _ = io.WriteString(writer, answer)
 }
 
-// answerTo is the right answer to a caller's request.
-func answerTo(caller, path string, body []byte) string {
-	return fmt.Sprintf("answer to %s at %s with %d bytes", caller, path, len(body))
+// expectedAnswer returns the body of the correct answer to a caller's request.
+func expectedAnswer(requestID, path string, body []byte) string {
+	return fmt.Sprintf("answer to %s at %s with %d bytes", requestID, path, len(body))
 }
--- a/internal/emulator/cache.go
+++ b/internal/emulator/cache.go
@@ -5,21 +5,22 @@
 	"slices"
 )
 
-// prefixCache keeps prompts in limited memory, least recently used out first,
-// and tells what it does in events, of which some are lost.
+// prefixCache is an LRU cache of prompt prefixes, limited by their total number
+// of tokens. It publishes an event for each change, of which some are lost.
 type prefixCache struct {
-	limit  int
-	used   int
-	tokens map[uint64]int
-	recent []uint64 // least recently used first
-	random *rand.Rand
-	events []CacheEvent
-	next   uint64
-	hits   int
-	misses int
+	capacityTokens int
+	usedTokens     int
+	tokens         map[uint64]int
+	lruOrder       []uint64 // least recently used prefix first
+	random         *rand.Rand
+	events         []CacheEvent
+	lastSequence   uint64
+	hits           int
+	misses         int
 }
 
-// CacheEvent tells that a prefix was stored or removed.
+// CacheEvent reports that a prefix was stored in or removed from an engine's
+// prefix cache.
 type CacheEvent struct {
 	Sequence uint64 `json:"sequence"`
 	Prefix   uint64 `json:"prefix"`
@@ -29,18 +30,21 @@
 const (
 	// eventLossShare is the share of cache events that are never published.
 	eventLossShare = 0.01
+	// maxCacheEvents is how many events an engine retains for readers.
 	maxCacheEvents = 1024
 )
 
-func newPrefixCache(limit int, random *rand.Rand) *prefixCache {
-	return &prefixCache{limit: limit, tokens: make(map[uint64]int), random: random}
+func newPrefixCache(capacityTokens int, random *rand.Rand) *prefixCache {
+	return &prefixCache{capacityTokens: capacityTokens, tokens: make(map[uint64]int), random: random}
 }
 
-// use looks a prefix up, stores it and returns how many tokens were missing.
-func (c *prefixCache) use(prefix uint64, tokens int) int {
+// lookupAndStore marks a prefix as most recently used, stores it and evicts
+// others to stay within the capacity. It returns how many of the prefix's tokens
+// were not cached.
+func (c *prefixCache) lookupAndStore(prefix uint64, tokens int) int {
 	cached := c.tokens[prefix]
-	if at := slices.Index(c.recent, prefix); at >= 0 {
-		c.recent = slices.Delete(c.recent, at, at+1)
+	if index := slices.Index(c.lruOrder, prefix); index >= 0 {
+		c.lruOrder = slices.Delete(c.lruOrder, index, index+1)
 	}
 	missing := max(tokens-cached, 0)
 	if cached > 0 {
@@ -49,35 +53,37 @@
 		c.misses++
 		c.publish(prefix, false)
 	}
-	c.recent = append(c.recent, prefix)
+	c.lruOrder = append(c.lruOrder, prefix)
 	c.tokens[prefix] = max(tokens, cached)
-	c.used += c.tokens[prefix] - cached
-	for c.used > c.limit && len(c.recent) > 1 {
-		oldest := c.recent[0]
-		c.recent = c.recent[1:]
-		c.used -= c.tokens[oldest]
+	c.usedTokens += c.tokens[prefix] - cached
+	for c.usedTokens > c.capacityTokens && len(c.lruOrder) > 1 {
+		oldest := c.lruOrder[0]
+		c.lruOrder = c.lruOrder[1:]
+		c.usedTokens -= c.tokens[oldest]
 		delete(c.tokens, oldest)
 		c.publish(oldest, true)
 	}
 	return missing
 }
 
-// clear empties the cache, as new weights make every entry useless.
+// clear removes all entries. New weights invalidate every cached prefix.
 func (c *prefixCache) clear() {
-	for _, prefix := range c.recent {
+	for _, prefix := range c.lruOrder {
 		c.publish(prefix, true)
 	}
 	clear(c.tokens)
-	c.recent = nil
-	c.used = 0
+	c.lruOrder = nil
+	c.usedTokens = 0
 }
 
+// publish assigns the next sequence number to an event and retains the event,
+// unless it is lost.
 func (c *prefixCache) publish(prefix uint64, removed bool) {
-	c.next++
+	c.lastSequence++
 	if c.random.Float64() < eventLossShare {
 		return
 	}
-	c.events = append(c.events, CacheEvent{Sequence: c.next, Prefix: prefix, Removed: removed})
+	c.events = append(c.events, CacheEvent{Sequence: c.lastSequence, Prefix: prefix, Removed: removed})
 	if len(c.events) > maxCacheEvents {
 		c.events = c.events[len(c.events)-maxCacheEvents:]
 	}
--- a/internal/emulator/caller.go
+++ b/internal/emulator/caller.go
@@ -16,45 +16,48 @@
 	"github.com/pathbend/pathbend/internal/wait"
 )
 
-// RouteMix is one kind of request of a caller.
+// RouteMix describes the requests that a caller sends to one route.
 type RouteMix struct {
 	Route string
-	// Weight is the share of the requests relative to the other routes.
+	// Weight is the route's share of the requests, relative to the weights of
+	// the other routes.
 	Weight float64
-	// AtMostOnce requests carry an idempotency key.
+	// AtMostOnce adds an idempotency key to each request and marks it as not
+	// repeatable.
 	AtMostOnce bool
 	BodyBytes  int
 	Timeout    time.Duration
 }
 
-// Caller sends application requests open-loop: at their due times, however long
-// earlier ones take, so that latencies include waiting that a stalled service
-// causes.
+// Caller sends application requests in an open loop: each at its scheduled time,
+// regardless of how long earlier requests take, so that latencies include the
+// queueing delay caused by a stalled service.
 type Caller struct {
-	Name    string
-	Client  *client.Client
-	Rate    float64
-	Mix     []RouteMix
-	Truth   *Truth
-	Random  *rand.Rand
-	mutex   sync.Mutex
-	latency *hdrhistogram.Histogram
-	lastOK  map[string]time.Time
-	longest map[string]time.Duration
-	sent    int
+	Name         string
+	Client       *client.Client
+	Rate         float64
+	Mix          []RouteMix
+	Truth        *Truth
+	Random       *rand.Rand
+	mutex        sync.Mutex
+	latency      *hdrhistogram.Histogram
+	lastAnswerAt map[string]time.Time
+	longestGap   map[string]time.Duration
+	sent         int
 }
 
 const (
-	// Latencies are recorded in microseconds up to a minute.
-	maxLatencyMicros = 60_000_000
-	latencyDigits    = 3
+	// Latencies are recorded in microseconds, up to one minute.
+	maxLatencyMicros         = 60_000_000
+	latencySignificantDigits = 3
 )
 
-// Run sends requests until ctx ends and waits for their answers.
+// Run sends requests until ctx is done and then waits for the outstanding
+// answers. The intervals between requests are exponentially distributed.
 func (c *Caller) Run(ctx context.Context) {
-	c.latency = hdrhistogram.New(1, maxLatencyMicros, latencyDigits)
-	c.lastOK = make(map[string]time.Time)
-	c.longest = make(map[string]time.Duration)
+	c.latency = hdrhistogram.New(1, maxLatencyMicros, latencySignificantDigits)
+	c.lastAnswerAt = make(map[string]time.Time)
+	c.longestGap = make(map[string]time.Duration)
 	var requests conc.WaitGroup
 	defer requests.Wait()
 	due := time.Now()
@@ -66,8 +69,8 @@
 		mix := c.chooseRoute()
 		c.sent++
 		id := fmt.Sprintf("%s-%d", c.Name, c.sent)
-		sentAt := due
-		requests.Go(func() { c.send(mix, id, sentAt) })
+		scheduledAt := due
+		requests.Go(func() { c.send(mix, id, scheduledAt) })
 	}
 }
 
@@ -76,9 +79,9 @@
 	for _, mix := range c.Mix {
 		total += mix.Weight
 	}
-	at := c.Random.Float64() * total
+	remaining := c.Random.Float64() * total
 	for _, mix := range c.Mix {
-		if at -= mix.Weight; at < 0 {
+		if remaining -= mix.Weight; remaining < 0 {
 			return mix
 		}
 	}
@@ -96,7 +99,7 @@
 	if mix.AtMostOnce {
 		request.IdempotencyKey = id
 	}
-	outcome := Outcome{Caller: id, AtMostOnce: mix.AtMostOnce, Want: answerTo(id, "/"+mix.Route+"/"+id, body)}
+	outcome := Outcome{RequestID: id, AtMostOnce: mix.AtMostOnce, WantBody: expectedAnswer(id, "/"+mix.Route+"/"+id, body)}
 	response, err := c.Client.Call(ctx, request)
 	if err != nil && !errors.As(err, &outcome.Err) {
 		outcome.Err = &client.Error{Name: "client_error", Run: client.Unknown, Detail: err.Error()}
@@ -104,50 +107,52 @@
 	if err == nil {
 		outcome.Body = string(response.Body)
 	}
-	c.Truth.Answered(outcome)
-	c.record(mix.Route, due, err == nil)
+	c.Truth.RecordOutcome(outcome)
+	c.recordLatency(mix.Route, due, err == nil)
 }
 
-func (c *Caller) record(route string, due time.Time, answered bool) {
+func (c *Caller) recordLatency(route string, due time.Time, answered bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := time.Now()
 	micros := min(max(now.Sub(due).Microseconds(), 1), maxLatencyMicros)
-	// The value is within the histogram's range.
+	// RecordValue fails only for values outside the histogram's range.
 	_ = c.latency.RecordValue(micros)
 	if !answered {
 		return
 	}
-	if last, ok := c.lastOK[route]; ok {
-		c.longest[route] = max(c.longest[route], now.Sub(last))
+	if last, ok := c.lastAnswerAt[route]; ok {
+		c.longestGap[route] = max(c.longestGap[route], now.Sub(last))
 	}
-	c.lastOK[route] = now
+	c.lastAnswerAt[route] = now
 }
 
-// Latency returns a percentile of the time from due to answer.
+// Latency returns a percentile, 0 to 100, of the time from a request's scheduled
+// sending to its end.
 func (c *Caller) Latency(percentile float64) time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return time.Duration(c.latency.ValueAtQuantile(percentile)) * time.Microsecond
 }
 
-// Count returns the number of requests that ended.
+// Count returns the number of completed requests, failed ones included.
 func (c *Caller) Count() int64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.latency.TotalCount()
 }
 
-// Histogram returns a copy of the latencies in microseconds.
+// Histogram returns a copy of the latency histogram, in microseconds.
 func (c *Caller) Histogram() *hdrhistogram.Histogram {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return hdrhistogram.Import(c.latency.Export())
 }
 
-// LongestGap returns the longest time between two answers of a route.
+// LongestGap returns the longest time between two consecutive successful answers
+// on a route; 0 if there were fewer than two.
 func (c *Caller) LongestGap(route string) time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.longest[route]
+	return c.longestGap[route]
 }
--- a/internal/emulator/crash.go
+++ b/internal/emulator/crash.go
@@ -5,56 +5,67 @@
 	"time"
 )
 
-// CrashMark stands in the body of a request that crashes whatever back end runs it.
-const CrashMark = "crashes its back end"
+// CrashMarker in the body of a request, or in a prompt, crashes the back end or
+// engine that runs it.
+const CrashMarker = "crashes its back end"
 
 const (
-	// crashLimit is the number of crashes after which a request is known for it.
+	// crashLimit is the number of crashes after which a request should be
+	// quarantined.
 	crashLimit = 3
-	// CrashKnownAfter is how long nodes may take to learn that.
-	CrashKnownAfter = 3 * time.Second
+	// CrashPropagationLimit is how long all nodes may take to learn that a request
+	// has reached crashLimit.
+	CrashPropagationLimit = 3 * time.Second
 )
 
-// crashingRequest is what back ends saw of a request that crashes them.
+// crashingRequest records the runs of one request that crashes back ends.
 type crashingRequest struct {
-	crashes int
-	thirdAt time.Time
-	late    int
+	crashes        int
+	limitReachedAt time.Time
+	lateRuns       int
 }
 
-// CrashingRuns counts runs of requests that crash their back ends.
+// CrashingRuns counts the runs of requests that crash their back end or engine.
 type CrashingRuns struct {
 	Runs int
-	// Late are the runs that began after all nodes could know of the request.
-	Late int
+	// LateRuns counts the runs that began later than CrashPropagationLimit after
+	// the request reached crashLimit.
+	LateRuns int
 }
 
-// Crasher ends the process of a back end or an engine under a request that has the CrashMark.
+// Crasher terminates a back end or an engine when it runs a request that carries
+// CrashMarker.
 type Crasher struct {
 	truth *Truth
-	// end ends the process, and reports whether this request was the one to do so.
-	end func() bool
+	// terminate ends the process and reports whether this call did so, rather than
+	// an earlier one.
+	terminate func() bool
 }
 
-// NewCrasher returns a crasher that records into truth.
-func NewCrasher(truth *Truth, end func() bool) *Crasher { return &Crasher{truth: truth, end: end} }
+// NewCrasher returns a crasher that records runs and crashes in truth. terminate
+// ends the process and reports whether this call did so, rather than an earlier
+// one.
+func NewCrasher(truth *Truth, terminate func() bool) *Crasher {
+	return &Crasher{truth: truth, terminate: terminate}
+}
 
-// crashes reports whether a request ends the process. A nil crasher ends nothing.
-func (c *Crasher) crashes(content []byte) bool {
-	return c != nil && bytes.Contains(content, []byte(CrashMark))
+// triggeredBy reports whether the content of a request crashes the process. It is
+// false for a nil crasher.
+func (c *Crasher) triggeredBy(content []byte) bool {
+	return c != nil && bytes.Contains(content, []byte(CrashMarker))
 }
 
-// under runs a request, named by what its tries have in common, that ends the process after a
-// time.
-func (c *Crasher) under(request string, after time.Duration) {
-	c.truth.crashingRun(request)
-	time.Sleep(after)
-	if c.end() {
-		c.truth.crashed(request)
+// run runs a request that crashes the process after a delay. request identifies it
+// across its attempts.
+func (c *Crasher) run(request string, delay time.Duration) {
+	c.truth.recordCrashingRun(request)
+	time.Sleep(delay)
+	if c.terminate() {
+		c.truth.recordCrash(request)
 	}
 }
 
-func (t *Truth) crashingRun(request string) {
+func (t *Truth) recordCrashingRun(request string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if t.crashing[request] == nil {
@@ -62,23 +73,23 @@
 	}
 	t.crashingRuns.Runs++
 	known := t.crashing[request]
-	if known.crashes >= crashLimit && time.Since(known.thirdAt) > CrashKnownAfter {
-		known.late++
-		t.crashingRuns.Late++
+	if known.crashes >= crashLimit && time.Since(known.limitReachedAt) > CrashPropagationLimit {
+		known.lateRuns++
+		t.crashingRuns.LateRuns++
 	}
 }
 
-func (t *Truth) crashed(request string) {
+func (t *Truth) recordCrash(request string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	known := t.crashing[request]
 	known.crashes++
 	if known.crashes == crashLimit {
-		known.thirdAt = time.Now()
+		known.limitReachedAt = time.Now()
 	}
 }
 
-// CrashingRuns returns how often requests ran that crash their back ends.
+// CrashingRuns returns how often requests ran that crash their back end or engine.
 func (t *Truth) CrashingRuns() CrashingRuns {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/emulator/engine_http.go
+++ b/internal/emulator/engine_http.go
@@ -12,10 +12,10 @@
 	"github.com/pathbend/pathbend/internal/engine"
 )
 
-// promptTime is how long an engine reads a prompt that crashes it.
-const promptTime = 20 * time.Millisecond
+// crashingPromptTime is how long an engine runs a prompt before the prompt crashes it.
+const crashingPromptTime = 20 * time.Millisecond
 
-// Handler serves the engine's protocol (docs/ENGINES.md).
+// Handler serves the engine protocol that docs/ENGINES.md specifies.
 func (e *Engine) Handler() http.Handler {
 	router := httprouter.New()
 	router.POST("/v1/completions", e.handleCompletions)
@@ -24,8 +24,8 @@
 		writeJSON(writer, e.Load())
 	})
 	router.GET("/v1/cache_events", e.handleCacheEvents)
-	router.POST("/v1/kv/export", e.handleExport)
-	router.POST("/v1/kv/import", e.handleImport)
+	router.POST("/v1/kv/export", e.handleKVExport)
+	router.POST("/v1/kv/import", e.handleKVImport)
 	return router
 }
 
@@ -35,8 +35,8 @@
 		http.Error(writer, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if e.Crasher.crashes([]byte(body.Prompt)) {
-		e.Crasher.under(body.Prompt, promptTime)
+	if e.Crasher.triggeredBy([]byte(body.Prompt)) {
+		e.Crasher.run(body.Prompt, crashingPromptTime)
 		panic(http.ErrAbortHandler)
 	}
 	chunks, err := e.Generate(body, request.Context().Done())
@@ -56,7 +56,7 @@
 					_, _ = writer.Write([]byte("data: [DONE]\n\n"))
 					return
 				}
-				panic(http.ErrAbortHandler) // the stream broke
+				panic(http.ErrAbortHandler) // The sequence ended without a finish reason.
 			}
 			finished = chunk.FinishReason != ""
 			if writeChunk(writer, controller, chunk) != nil {
@@ -87,7 +87,7 @@
 		http.Error(writer, err.Error(), http.StatusBadRequest)
 		return
 	}
-	err := e.CarryOut(request.Context(), order)
+	err := e.ApplyOrder(request.Context(), order)
 	switch {
 	case errors.Is(err, engine.ErrStaleFence):
 		http.Error(writer, err.Error(), http.StatusConflict)
@@ -101,7 +101,7 @@
 func (e *Engine) handleCacheEvents(writer http.ResponseWriter, request *http.Request, _ httprouter.Params) {
 	from, err := strconv.ParseUint(request.URL.Query().Get("from"), 10, 63)
 	if err != nil {
-		http.Error(writer, "from must be a number", http.StatusBadRequest)
+		http.Error(writer, "query parameter from must be a non-negative integer", http.StatusBadRequest)
 		return
 	}
 	e.mutex.Lock()
@@ -109,14 +109,14 @@
 	writeJSON(writer, e.cache.eventsFrom(from))
 }
 
-// kvState is an exported prefix.
-type kvState struct {
+// cachedPrefix is the body of KV cache exports and imports.
+type cachedPrefix struct {
 	Prefix uint64 `json:"prefix"`
 	Tokens int    `json:"tokens"`
 }
 
-func (e *Engine) handleExport(writer http.ResponseWriter, request *http.Request, _ httprouter.Params) {
-	var wanted kvState
+func (e *Engine) handleKVExport(writer http.ResponseWriter, request *http.Request, _ httprouter.Params) {
+	var wanted cachedPrefix
 	if err := json.NewDecoder(request.Body).Decode(&wanted); err != nil {
 		http.Error(writer, err.Error(), http.StatusBadRequest)
 		return
@@ -127,14 +127,14 @@
 	writeJSON(writer, wanted)
 }
 
-func (e *Engine) handleImport(writer http.ResponseWriter, request *http.Request, _ httprouter.Params) {
-	var state kvState
+func (e *Engine) handleKVImport(writer http.ResponseWriter, request *http.Request, _ httprouter.Params) {
+	var state cachedPrefix
 	if err := json.NewDecoder(request.Body).Decode(&state); err != nil {
 		http.Error(writer, err.Error(), http.StatusBadRequest)
 		return
 	}
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.cache.use(state.Prefix, state.Tokens)
+	e.cache.lookupAndStore(state.Prefix, state.Tokens)
 	writeJSON(writer, struct{}{})
 }
--- a/internal/emulator/platform.go
+++ b/internal/emulator/platform.go
@@ -15,81 +15,84 @@
 	"github.com/pathbend/pathbend/internal/logstore"
 )
 
-// PlatformFaults are the faults of the platform's services.
+// PlatformFaults are the faults injected into the platform's services. The zero
+// value injects none.
 type PlatformFaults struct {
-	// LogDown makes the log refuse everything.
+	// LogDown makes the log answer every request with status 503.
 	LogDown bool
-	// LogDelay is added to every log request.
+	// LogDelay is added to the duration of every log request.
 	LogDelay time.Duration
-	// LoseAppendAnswers cuts the connection after an append took effect.
+	// LoseAppendAnswers closes the connection without an answer after each append,
+	// which has taken effect.
 	LoseAppendAnswers bool
-	// ListFrozen keeps the machine list as it is.
-	ListFrozen bool
+	// MachineListFrozen serves the machine list as it was when the fault began.
+	MachineListFrozen bool
 }
 
-// Platform is the log service, machine list and weight store.
+// Platform emulates the platform's log service, machine list and weight store.
 type Platform struct {
-	// ListLag is how long a change takes to show in the machine list.
+	// ListLag is how long a change takes to appear in the machine list.
 	ListLag time.Duration
-	// LoadTime is how long one weight load takes, LoadSlots how many run at
-	// once: the store's rate limit.
+	// LoadTime is how long one weight load takes. loadSlots bounds the concurrent
+	// loads, as the store's rate limit does.
 	LoadTime  time.Duration
 	loadSlots chan struct{}
 
-	mutex    sync.Mutex
-	faults   PlatformFaults
-	streams  map[string][][]byte
-	changed  chan struct{}
-	machines map[string]machineEntry
-	frozen   []fleet.Machine
-	appends  int
-	reads    int
+	mutex      sync.Mutex
+	faults     PlatformFaults
+	streams    map[string][][]byte
+	appended   chan struct{}
+	machines   map[string]machineEntry
+	frozenList []fleet.Machine
+	appends    int
+	reads      int
 }
 
+// machineEntry is a machine whose latest change may not be visible yet.
 type machineEntry struct {
 	machine fleet.Machine
-	// shown is the state that the list still shows until visibleAt.
-	shown     *fleet.Machine
+	// previous is the entry that the list shows until visibleAt; nil for none.
+	previous  *fleet.Machine
 	visibleAt time.Time
-	gone      bool
+	removed   bool
 }
 
-// NewPlatform returns a platform whose weight store serves loadSlots loads at
-// once.
+// NewPlatform returns a platform with an empty log and machine list, whose weight
+// store serves up to loadSlots loads at once.
 func NewPlatform(listLag, loadTime time.Duration, loadSlots int) *Platform {
 	return &Platform{
 		ListLag: listLag, LoadTime: loadTime, loadSlots: make(chan struct{}, loadSlots),
-		streams: make(map[string][][]byte), changed: make(chan struct{}), machines: make(map[string]machineEntry),
+		streams: make(map[string][][]byte), appended: make(chan struct{}), machines: make(map[string]machineEntry),
 	}
 }
 
-// SetFaults switches faults on and off.
+// SetFaults replaces the injected faults.
 func (p *Platform) SetFaults(faults PlatformFaults) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if faults.ListFrozen && !p.faults.ListFrozen {
-		p.frozen = p.list(time.Now())
+	if faults.MachineListFrozen && !p.faults.MachineListFrozen {
+		p.frozenList = p.visibleMachines(time.Now())
 	}
 	p.faults = faults
 }
 
-// Faults returns the faults in force.
+// Faults returns the currently injected faults.
 func (p *Platform) Faults() PlatformFaults {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.faults
 }
 
-// SetMachine adds or changes a machine; the list shows it after ListLag.
+// SetMachine adds or changes a machine. The list shows the change after ListLag.
 func (p *Platform) SetMachine(machine fleet.Machine) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	entry := p.machines[machine.ID]
-	former := p.shownNow(entry, time.Now())
-	p.machines[machine.ID] = machineEntry{machine: machine, shown: former, visibleAt: time.Now().Add(p.ListLag)}
+	previous := p.visibleMachine(entry, time.Now())
+	p.machines[machine.ID] = machineEntry{machine: machine, previous: previous, visibleAt: time.Now().Add(p.ListLag)}
 }
 
-// RemoveMachine takes a machine off the list after ListLag.
+// RemoveMachine removes a machine. The list shows it until ListLag has passed.
 func (p *Platform) RemoveMachine(id string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -97,26 +100,28 @@
 	if !ok {
 		return
 	}
-	former := p.shownNow(entry, time.Now())
-	p.machines[id] = machineEntry{machine: entry.machine, shown: former, visibleAt: time.Now().Add(p.ListLag), gone: true}
+	previous := p.visibleMachine(entry, time.Now())
+	p.machines[id] = machineEntry{machine: entry.machine, previous: previous, visibleAt: time.Now().Add(p.ListLag), removed: true}
 }
 
-func (p *Platform) shownNow(entry machineEntry, now time.Time) *fleet.Machine {
+// visibleMachine returns what the machine list shows for an entry; nil for nothing.
+func (p *Platform) visibleMachine(entry machineEntry, now time.Time) *fleet.Machine {
 	if now.Before(entry.visibleAt) {
-		return entry.shown
+		return entry.previous
 	}
-	if entry.gone || entry.machine.ID == "" {
+	if entry.removed || entry.machine.ID == "" {
 		return nil
 	}
 	machine := entry.machine
 	return &machine
 }
 
-func (p *Platform) list(now time.Time) []fleet.Machine {
+// visibleMachines returns the machine list, sorted by id. The caller holds p.mutex.
+func (p *Platform) visibleMachines(now time.Time) []fleet.Machine {
 	machines := []fleet.Machine{}
 	for _, entry := range p.machines {
-		if shown := p.shownNow(entry, now); shown != nil {
-			machines = append(machines, *shown)
+		if machine := p.visibleMachine(entry, now); machine != nil {
+			machines = append(machines, *machine)
 		}
 	}
 	slices.SortFunc(machines, func(a, b fleet.Machine) int {
@@ -128,21 +133,21 @@
 	return machines
 }
 
-// Records returns the records of a stream.
+// Records returns the records of a log stream in order of their offsets.
 func (p *Platform) Records(stream string) [][]byte {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return slices.Clone(p.streams[stream])
 }
 
-// Traffic returns how many appends and reads the log served.
-func (p *Platform) Traffic() (appends, reads int) {
+// RequestCounts returns how many appends and reads the log has served.
+func (p *Platform) RequestCounts() (appends, reads int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.appends, p.reads
 }
 
-// Handler serves the platform's protocol.
+// Handler serves the platform's HTTP protocol.
 func (p *Platform) Handler() http.Handler {
 	router := httprouter.New()
 	router.POST("/v1/streams/:stream/records", p.handleAppend)
@@ -153,20 +158,21 @@
 	return router
 }
 
-func (p *Platform) delay() bool {
+// delayLogRequest waits for LogDelay and reports whether the log is available.
+func (p *Platform) delayLogRequest() bool {
 	faults := p.Faults()
 	time.Sleep(faults.LogDelay)
 	return !faults.LogDown
 }
 
 func (p *Platform) handleAppend(writer http.ResponseWriter, request *http.Request, parameters httprouter.Params) {
-	if !p.delay() {
-		http.Error(writer, "log is down", http.StatusServiceUnavailable)
+	if !p.delayLogRequest() {
+		http.Error(writer, "log service unavailable", http.StatusServiceUnavailable)
 		return
 	}
 	data, err := io.ReadAll(io.LimitReader(request.Body, logstore.MaxRecordBytes+1))
 	if err != nil || len(data) > logstore.MaxRecordBytes {
-		http.Error(writer, "record too large or cut off", http.StatusBadRequest)
+		http.Error(writer, "record is too large or truncated", http.StatusBadRequest)
 		return
 	}
 	stream := parameters.ByName("stream")
@@ -174,11 +180,11 @@
 	offset := len(p.streams[stream])
 	p.streams[stream] = append(p.streams[stream], data)
 	p.appends++
-	close(p.changed)
-	p.changed = make(chan struct{})
-	lose := p.faults.LoseAppendAnswers
+	close(p.appended)
+	p.appended = make(chan struct{})
+	loseAnswer := p.faults.LoseAppendAnswers
 	p.mutex.Unlock()
-	if lose {
+	if loseAnswer {
 		panic(http.ErrAbortHandler)
 	}
 	writeJSON(writer, struct {
@@ -187,29 +193,29 @@
 }
 
 func (p *Platform) handleRead(writer http.ResponseWriter, request *http.Request, parameters httprouter.Params) {
-	if !p.delay() {
-		http.Error(writer, "log is down", http.StatusServiceUnavailable)
+	if !p.delayLogRequest() {
+		http.Error(writer, "log service unavailable", http.StatusServiceUnavailable)
 		return
 	}
 	query := request.URL.Query()
 	from, errFrom := strconv.ParseUint(query.Get("from"), 10, 63)
 	limit, errMax := strconv.Atoi(query.Get("max"))
-	wait, errWait := strconv.ParseInt(query.Get("wait_ms"), 10, 63)
+	waitMillis, errWait := strconv.ParseInt(query.Get("wait_ms"), 10, 63)
 	if errFrom != nil || errMax != nil || errWait != nil || limit < 1 {
-		http.Error(writer, "from, max and wait_ms must be numbers", http.StatusBadRequest)
+		http.Error(writer, "query parameters from, max and wait_ms must be integers, and max at least 1", http.StatusBadRequest)
 		return
 	}
-	deadline := time.NewTimer(time.Duration(wait) * time.Millisecond)
-	defer deadline.Stop()
+	timeout := time.NewTimer(time.Duration(waitMillis) * time.Millisecond)
+	defer timeout.Stop()
 	for {
 		batch, changed := p.read(parameters.ByName("stream"), from, limit)
-		if len(batch.Entries) > 0 || wait == 0 {
+		if len(batch.Entries) > 0 || waitMillis == 0 {
 			writeJSON(writer, batch)
 			return
 		}
 		select {
 		case <-changed:
-		case <-deadline.C:
+		case <-timeout.C:
 			writeJSON(writer, batch)
 			return
 		case <-request.Context().Done():
@@ -218,6 +224,8 @@
 	}
 }
 
+// read returns up to limit records from an offset on, and a channel that is closed
+// at the next append.
 func (p *Platform) read(stream string, from uint64, limit int) (logstore.Batch, <-chan struct{}) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -227,14 +235,14 @@
 	for offset := from; offset < uint64(len(records)) && len(batch.Entries) < limit; offset++ {
 		batch.Entries = append(batch.Entries, logstore.Entry{Offset: offset, Data: records[offset]})
 	}
-	return batch, p.changed
+	return batch, p.appended
 }
 
 func (p *Platform) handleList(writer http.ResponseWriter, request *http.Request, _ httprouter.Params) {
 	p.mutex.Lock()
-	machines := p.frozen
-	if !p.faults.ListFrozen {
-		machines = p.list(time.Now())
+	machines := p.frozenList
+	if !p.faults.MachineListFrozen {
+		machines = p.visibleMachines(time.Now())
 	}
 	p.mutex.Unlock()
 	etag := strconv.Quote(strconv.FormatUint(fleet.Digest(machines), 16))
@@ -248,18 +256,19 @@
 	}{machines})
 }
 
-// handleRegister lets stand-ins of other processes put themselves on the list.
+// handleRegister adds emulated machines that run in other processes to the list.
 func (p *Platform) handleRegister(writer http.ResponseWriter, request *http.Request, _ httprouter.Params) {
 	var machine fleet.Machine
 	if err := json.NewDecoder(request.Body).Decode(&machine); err != nil || machine.ID == "" {
-		http.Error(writer, "expected a machine", http.StatusBadRequest)
+		http.Error(writer, "request body must be a machine with an id", http.StatusBadRequest)
 		return
 	}
 	p.SetMachine(machine)
 	writeJSON(writer, struct{}{})
 }
 
-// handleWeights stands for the transfer of a weight version.
+// handleWeights emulates the transfer of a weight version: it takes as long, but
+// sends no weights.
 func (p *Platform) handleWeights(writer http.ResponseWriter, request *http.Request, parameters httprouter.Params) {
 	select {
 	case p.loadSlots <- struct{}{}:
--- a/internal/emulator/scorer.go
+++ b/internal/emulator/scorer.go
@@ -11,9 +11,10 @@
 	"github.com/pathbend/pathbend/client"
 )
 
-// Scorer emulates the service that scores samples for trainers.
+// Scorer emulates the service that scores samples for trainers. The zero value
+// scores without delay.
 type Scorer struct {
-	// ScoreTime is what one sample takes.
+	// ScoreTime is how long scoring one sample takes.
 	ScoreTime time.Duration
 }
 
@@ -23,7 +24,7 @@
 	Score float64 `json:"score"`
 }
 
-// ServeHTTP implements http.Handler: a sample in, a score from 0 to 1 out.
+// ServeHTTP implements http.Handler. It answers a sample with a score from 0 to 1.
 func (s Scorer) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	var sample client.Sample
 	if err := json.NewDecoder(request.Body).Decode(&sample); err != nil {
@@ -31,11 +32,12 @@
 		return
 	}
 	time.Sleep(s.ScoreTime)
-	// Longer samples score lower; any pure function of the sample would do.
+	// Longer samples score lower. Any pure function of the sample serves.
 	writeJSON(writer, scoreAnswer{Slot: sample.Slot, Score: 1 / float64(1+len(sample.Tokens))})
 }
 
-// ScoreAt returns a function that has samples scored by a service.
+// ScoreAt returns a function that sends a sample to the scoring service at an
+// address and fails unless the answer is for the sample's slot.
 func ScoreAt(address string) func(ctx context.Context, sample *client.Sample) error {
 	return func(ctx context.Context, sample *client.Sample) error {
 		content, err := json.Marshal(sample)
@@ -52,14 +54,14 @@
 		}
 		defer response.Body.Close()
 		if response.StatusCode != http.StatusOK {
-			return fmt.Errorf("scoring service answered %s", response.Status)
+			return fmt.Errorf("scoring service answered with status %s", response.Status)
 		}
 		var answer scoreAnswer
 		if err := json.NewDecoder(response.Body).Decode(&answer); err != nil {
 			return err
 		}
 		if answer.Slot != sample.Slot {
-			return fmt.Errorf("score of slot %d for slot %d", answer.Slot, sample.Slot)
+			return fmt.Errorf("scoring service answered for slot %d instead of slot %d", answer.Slot, sample.Slot)
 		}
 		return nil
 	}
--- a/internal/emulator/scorer_test.go
+++ b/internal/emulator/scorer_test.go
@@ -11,7 +11,7 @@
 	"github.com/pathbend/pathbend/client"
 )
 
-func TestScorerScoresTheSampleItGot(t *testing.T) {
+func TestScorerAnswersForTheSlotOfTheSample(t *testing.T) {
 	server := httptest.NewServer(Scorer{})
 	defer server.Close()
 	score := ScoreAt(strings.TrimPrefix(server.URL, "http://"))
--- a/internal/emulator/trainer.go
+++ b/internal/emulator/trainer.go
@@ -14,30 +14,33 @@
 	"github.com/pathbend/pathbend/internal/wait"
 )
 
-// Trainer emulates a training loop: collect a step's samples, train, and every
-// few steps publish new weights.
+// Trainer emulates a training loop: it collects the samples of a step, trains on
+// them, and announces a new weight version every few steps.
 type Trainer struct {
 	Name   string
 	Tenant string
 	Model  string
 	Client *client.Client
 	Truth  *Truth
-	// MaxVersions is the tenant's freshness bound, to check against.
+	// MaxVersions is the tenant's freshness bound, in weight versions, that
+	// received samples are checked against.
 	MaxVersions uint64
-	// Groups of SamplesPerGroup samples make a step.
+	// Groups is the number of prompts in a step, SamplesPerGroup the number of
+	// samples of each.
 	Groups          int
 	SamplesPerGroup int
 	MaxTokens       int
-	// PromptBytes is the length of a prompt.
+	// PromptBytes is the minimum length of a prompt; shorter ones are padded.
 	PromptBytes int
 	// TrainTime is the time to train on a step's samples.
 	TrainTime time.Duration
-	// StepsPerVersion is how many steps lie between two weight versions.
+	// StepsPerVersion is how many steps are trained per weight version; values
+	// below 1 mean 1.
 	StepsPerVersion int
-	// ScoreTime is what the scoring service takes for a sample. Samples are
-	// scored as they arrive, all at once.
+	// ScoreTime is how long scoring a sample takes. Samples are scored as they
+	// arrive, concurrently and without a limit.
 	ScoreTime time.Duration
-	// Score has a sample scored; nil waits for ScoreTime instead.
+	// Score sends a sample to a scoring service; nil waits for ScoreTime instead.
 	Score func(ctx context.Context, sample *client.Sample) error
 
 	mutex   sync.Mutex
@@ -47,7 +50,8 @@
 	busy    time.Duration
 }
 
-// Step is the record of one training step.
+// Step describes one finished training step. Wait is how long the trainer waited
+// for all of the step's samples and their scores.
 type Step struct {
 	Number  int           `json:"number"`
 	Version uint64        `json:"version"`
@@ -56,21 +60,22 @@
 	Wait    time.Duration `json:"wait_ns"`
 }
 
-// Version returns the weight version that the trainer is at.
+// Version returns the trainer's current weight version.
 func (t *Trainer) Version() uint64 {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.version
 }
 
-// Steps returns the finished steps.
+// Steps returns the finished steps in order.
 func (t *Trainer) Steps() []Step {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return append([]Step(nil), t.steps...)
 }
 
-// IdleShare is the share of its time that the trainer waited for samples.
+// IdleShare returns the share of its time, 0 to 1, that the trainer has waited for
+// samples; 0 before the first step is finished.
 func (t *Trainer) IdleShare() float64 {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -80,7 +85,8 @@
 	return float64(t.idle) / float64(t.idle+t.busy)
 }
 
-// Run trains until ctx ends.
+// Run trains until ctx is done. A step that fails for another reason is recorded
+// as a violation and ends the run.
 func (t *Trainer) Run(ctx context.Context) {
 	t.setVersion(1)
 	t.announce(ctx)
@@ -115,17 +121,18 @@
 	t.busy += t.TrainTime
 }
 
-// announce repeats until the service knows the version.
+// announce retries until the service accepts the current version.
 func (t *Trainer) announce(ctx context.Context) {
-	const pause = 100 * time.Millisecond
+	const retryInterval = 100 * time.Millisecond
 	for ctx.Err() == nil {
 		if t.Client.AnnounceVersion(ctx, t.Model, t.Version()) == nil {
 			return
 		}
-		wait.For(ctx, pause)
+		wait.For(ctx, retryInterval)
 	}
 }
 
+// collect submits the job of a step and receives and scores all of its samples.
 func (t *Trainer) collect(ctx context.Context, number int) (Step, error) {
 	began := time.Now()
 	step := Step{Number: number, Version: t.Version()}
@@ -133,7 +140,7 @@
 	if err != nil {
 		return step, err
 	}
-	got := make(map[int]bool)
+	receivedSlots := make(map[int]bool)
 	var scoring conc.WaitGroup
 	defer scoring.Wait()
 	for {
@@ -146,11 +153,11 @@
 		if err != nil {
 			return step, err
 		}
-		if got[sample.Slot] {
-			return step, errors.Newf("slot %d came twice", sample.Slot)
+		if receivedSlots[sample.Slot] {
+			return step, errors.Newf("slot %d was delivered twice", sample.Slot)
 		}
-		got[sample.Slot] = true
-		t.Truth.Received(t.Tenant, sample, t.Version(), t.MaxVersions)
+		receivedSlots[sample.Slot] = true
+		t.Truth.RecordSample(t.Tenant, sample, t.Version(), t.MaxVersions)
 		scoring.Go(func() { t.score(ctx, number, sample) })
 		step.Samples++
 		step.Tokens += len(sample.Tokens)
@@ -163,18 +170,19 @@
 		return
 	}
 	if err := t.Score(ctx, sample); err != nil && ctx.Err() == nil {
-		t.Truth.Violate("trainer %s: step %d: slot %d was not scored: %v", t.Name, number, sample.Slot, err)
+		t.Truth.Violate("trainer %s: step %d: slot %d could not be scored: %v", t.Name, number, sample.Slot, err)
 	}
 }
 
-// submit repeats until a node takes the job.
+// submit retries until a node accepts the job or rejects it for good, with a
+// failure code from 1000 to 1999.
 func (t *Trainer) submit(ctx context.Context, number int) (*client.Job, error) {
-	const pause = 200 * time.Millisecond
+	const retryInterval = 200 * time.Millisecond
 	spec := client.JobSpec{JobID: fmt.Sprintf("%s-step-%d", t.Name, number), Model: t.Model}
 	for group := range t.Groups {
 		name := fmt.Sprintf("%s step %d group %d ", t.Name, number, group)
 		spec.Prompts = append(spec.Prompts, client.Prompt{
-			Prompt: padded(name, t.PromptBytes), Group: name, Samples: t.SamplesPerGroup, MaxTokens: t.MaxTokens,
+			Prompt: padTo(name, t.PromptBytes), Group: name, Samples: t.SamplesPerGroup, MaxTokens: t.MaxTokens,
 		})
 	}
 	for {
@@ -183,11 +191,12 @@
 		if err == nil || ctx.Err() != nil || errors.As(err, &failure) && failure.Code >= 1000 && failure.Code < 2000 {
 			return job, err
 		}
-		wait.For(ctx, pause)
+		wait.For(ctx, retryInterval)
 	}
 }
 
-func padded(text string, length int) string {
+// padTo appends dots to a text until it has the given length in bytes.
+func padTo(text string, length int) string {
 	for len(text) < length {
 		text += "."
 	}
--- a/internal/emulator/truth.go
+++ b/internal/emulator/truth.go
@@ -17,126 +17,135 @@
 // Execution is one run of an application request at a back end.
 type Execution struct {
 	BackEnd string
-	// Caller is the caller's own id of the request.
-	Caller string
-	Key    string
-	Tenant string
-	Path   string
-	// Leaving is set if the back end had said before that it leaves.
+	// RequestID is the caller's own id of the request.
+	RequestID      string
+	IdempotencyKey string
+	Tenant         string
+	Path           string
+	// Leaving is set if the back end was leaving when it received the request.
 	Leaving bool
 	At      time.Time
 }
 
-// Outcome is what a caller was told of a request.
+// Outcome is the result of a request as its caller saw it.
 type Outcome struct {
-	Caller     string
+	RequestID  string
 	AtMostOnce bool
-	// Err is the failure; nil for an answer.
+	// Err is the reported failure; nil if the request was answered.
 	Err *client.Error
-	// Body and Want are the answer and the right one.
-	Body string
-	Want string
+	// Body is the received answer, WantBody the correct one.
+	Body     string
+	WantBody string
 }
 
-// Truth records what happened outside of pathbend and judges the invariants.
-// It is safe for concurrent use.
+// Truth is the test oracle: it records what happened outside of pathbend and
+// checks the invariants. It is safe for concurrent use.
 type Truth struct {
-	// Trace receives a line for every observation; nil for none. It is set
-	// before the first.
-	Trace io.Writer
-	// Blind is set if the executions are not seen, as they happen in other
-	// processes; only answers are judged then.
+	// TraceWriter receives a line for every observation; nil for none. It must
+	// be set before the first observation.
+	TraceWriter io.Writer
+	// Blind is set if executions are not recorded because they happen in other
+	// processes. Then only the contents of answers are checked.
 	Blind bool
 
-	mutex      sync.Mutex
-	executions map[string][]Execution
-	outcomes   []Outcome
-	leftAt     map[string]time.Time
-	violations []string
-	trace      xxhash.Digest
-	samples    int
-	versions   map[string]map[uint64]int
-	staleness  map[string][]uint64
-	// crashing holds, by path, the requests that crash their back ends.
+	mutex sync.Mutex
+	// executions holds the executions by the caller's request id, versions the
+	// number of samples by tenant and oldest version, staleness how many versions
+	// each sample was behind, by tenant.
+	executions   map[string][]Execution
+	outcomes     []Outcome
+	leavingSince map[string]time.Time
+	violations   []string
+	traceDigest  xxhash.Digest
+	samples      int
+	versions     map[string]map[uint64]int
+	staleness    map[string][]uint64
+	// crashing holds the requests that crash their back end or engine, by path
+	// or prompt.
 	crashing     map[string]*crashingRequest
 	crashingRuns CrashingRuns
 }
 
-// NewTruth returns an empty record.
+// NewTruth returns a Truth without observations.
 func NewTruth() *Truth {
 	return &Truth{
-		executions: make(map[string][]Execution), leftAt: make(map[string]time.Time),
+		executions: make(map[string][]Execution), leavingSince: make(map[string]time.Time),
 		versions: make(map[string]map[uint64]int), staleness: make(map[string][]uint64),
 		crashing: make(map[string]*crashingRequest),
 	}
 }
 
-// note adds an observation and its time to the trace.
-func (t *Truth) note(format string, arguments ...any) {
+// writeTrace adds an observation and its time to the trace. The caller holds
+// t.mutex.
+func (t *Truth) writeTrace(format string, arguments ...any) {
 	line := fmt.Sprintf("%d ", time.Now().UnixNano()) + fmt.Sprintf(format, arguments...) + "\n"
-	_, _ = t.trace.WriteString(line) // never fails
-	if t.Trace != nil {
-		_, _ = io.WriteString(t.Trace, line)
+	_, _ = t.traceDigest.WriteString(line) // never fails
+	if t.TraceWriter != nil {
+		_, _ = io.WriteString(t.TraceWriter, line)
 	}
 }
 
-// TraceHash returns a hash of all observations and their times.
+// TraceHash returns a hash of all observations and their times. Equal hashes mean
+// that two simulated runs took the same course.
 func (t *Truth) TraceHash() uint64 {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.trace.Sum64()
+	return t.traceDigest.Sum64()
 }
 
-// Executed records a run.
-func (t *Truth) Executed(execution Execution) {
+// RecordExecution records that a back end ran a request. A run by a back end that
+// began to leave more than LeavePropagationLimit ago is a violation.
+func (t *Truth) RecordExecution(execution Execution) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.note("run %s at %s", execution.Caller, execution.BackEnd)
-	t.executions[execution.Caller] = append(t.executions[execution.Caller], execution)
-	if left, ok := t.leftAt[execution.BackEnd]; ok && execution.At.Sub(left) > LeaveLimit {
-		t.violate("back end %s got new work %v after it began to leave", execution.BackEnd, execution.At.Sub(left))
+	t.writeTrace("run %s at %s", execution.RequestID, execution.BackEnd)
+	t.executions[execution.RequestID] = append(t.executions[execution.RequestID], execution)
+	if since, ok := t.leavingSince[execution.BackEnd]; ok && execution.At.Sub(since) > LeavePropagationLimit {
+		t.addViolation("back end %s received a new request %v after it began to leave", execution.BackEnd, execution.At.Sub(since))
 	}
 }
 
-// LeaveLimit is how long a leaving back end may still receive new work.
-const LeaveLimit = 3 * time.Second
+// LeavePropagationLimit is how long a leaving back end may still receive new
+// requests.
+const LeavePropagationLimit = 3 * time.Second
 
-// Leaving records that a back end began to leave.
+// Leaving records when a back end began to leave.
 func (t *Truth) Leaving(backEnd string, at time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.leftAt[backEnd] = at
+	t.leavingSince[backEnd] = at
 }
 
-// Answered records what a caller was told.
-func (t *Truth) Answered(outcome Outcome) {
+// RecordOutcome records the result of a request as its caller saw it.
+func (t *Truth) RecordOutcome(outcome Outcome) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.outcomes = append(t.outcomes, outcome)
-	t.note("answer %s %v", outcome.Caller, outcome.Err)
+	t.writeTrace("answer %s %v", outcome.RequestID, outcome.Err)
 }
 
-// Violate records a violation that an observer saw by itself.
+// Violate records a violation that was detected elsewhere.
 func (t *Truth) Violate(format string, arguments ...any) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.violate(format, arguments...)
+	t.addViolation(format, arguments...)
 }
 
-func (t *Truth) violate(format string, arguments ...any) {
+func (t *Truth) addViolation(format string, arguments ...any) {
 	t.violations = append(t.violations, fmt.Sprintf(format, arguments...))
 }
 
-// Received records a sample that a trainer took, with the trainer's version.
-func (t *Truth) Received(tenant string, sample *client.Sample, trainerVersion, maxVersions uint64) {
+// RecordSample checks a sample that a trainer received while at trainerVersion
+// against the freshness bound and the versions of its tokens.
+func (t *Truth) RecordSample(tenant string, sample *client.Sample, trainerVersion, maxVersions uint64) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.samples++
-	t.note("sample %s %d %v", tenant, sample.Slot, sample.Segments)
+	t.writeTrace("sample %s %d %v", tenant, sample.Slot, sample.Segments)
 	t.checkSegments(tenant, sample)
-	oldest := trueOldest(sample.Tokens)
+	oldest := oldestVersion(sample.Tokens)
 	if oldest+maxVersions < trainerVersion {
-		t.violate("%s: slot %d has a token of version %d, the trainer is at %d and the bound is %d", tenant, sample.Slot, oldest, trainerVersion, maxVersions)
+		t.addViolation("%s: slot %d has a token of version %d, but the trainer is at version %d and the bound is %d", tenant, sample.Slot, oldest, trainerVersion, maxVersions)
 	}
 	t.staleness[tenant] = append(t.staleness[tenant], trainerVersion-min(oldest, trainerVersion))
 	if t.versions[tenant] == nil {
@@ -145,82 +154,91 @@
 	t.versions[tenant][oldest]++
 }
 
-// checkSegments compares the versions that a sample names with those that its
-// tokens carry: an emulated engine writes into each token what made it.
+// checkSegments compares the versions that a sample states for its tokens with
+// those that generated them: an emulated engine writes its version into each
+// token. The caller holds t.mutex.
 func (t *Truth) checkSegments(tenant string, sample *client.Sample) {
 	covered := 0
 	for _, segment := range sample.Segments {
 		if segment.From != covered || segment.To > len(sample.Tokens) || segment.To <= segment.From {
-			t.violate("%s: slot %d has segments %v for %d tokens", tenant, sample.Slot, sample.Segments, len(sample.Tokens))
+			t.addViolation("%s: slot %d has invalid segments %v for %d tokens", tenant, sample.Slot, sample.Segments, len(sample.Tokens))
 			return
 		}
-		for at := segment.From; at < segment.To; at++ {
-			if made := versionOfToken(sample.Tokens[at]); made != segment.Version {
-				t.violate("%s: slot %d token %d names version %d, version %d made it", tenant, sample.Slot, at, segment.Version, made)
+		for index := segment.From; index < segment.To; index++ {
+			if generatedBy := tokenVersion(sample.Tokens[index]); generatedBy != segment.Version {
+				t.addViolation("%s: slot %d token %d is labelled with version %d but was generated by version %d", tenant, sample.Slot, index, segment.Version, generatedBy)
 				return
 			}
 		}
 		covered = segment.To
 	}
 	if covered != len(sample.Tokens) || covered == 0 {
-		t.violate("%s: slot %d names versions for %d of %d tokens", tenant, sample.Slot, covered, len(sample.Tokens))
+		t.addViolation("%s: slot %d states versions for %d of %d tokens", tenant, sample.Slot, covered, len(sample.Tokens))
 	}
 }
 
-func trueOldest(tokens []string) uint64 {
+// oldestVersion returns the lowest version that generated any of the tokens; 0 if
+// there are none.
+func oldestVersion(tokens []string) uint64 {
 	var oldest uint64
 	for i, token := range tokens {
-		if version := versionOfToken(token); i == 0 || version < oldest {
+		if version := tokenVersion(token); i == 0 || version < oldest {
 			oldest = version
 		}
 	}
 	return oldest
 }
 
-// tokenText is the token at a position, made by a version.
+// tokenText returns the token at a position as generated by a version.
 func tokenText(index int, version uint64) string { return fmt.Sprintf("t%d.%d ", index, version) }
 
-func versionOfToken(token string) uint64 {
+// tokenVersion returns the version that generated a token.
+func tokenVersion(token string) uint64 {
 	var version uint64
 	_, after, _ := strings.Cut(token, ".")
 	_, _ = fmt.Sscanf(after, "%d", &version)
 	return version
 }
 
-// Judge checks the application requests and returns every violation found.
+// Judge checks the outcomes of all application requests and returns these and all
+// earlier violations, sorted.
 func (t *Truth) Judge() []string {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	found := slices.Clone(t.violations)
 	for _, outcome := range t.outcomes {
-		found = append(found, t.judgeOutcome(outcome)...)
+		found = append(found, t.checkOutcome(outcome)...)
 	}
 	slices.Sort(found)
 	return found
 }
 
-func (t *Truth) judgeOutcome(outcome Outcome) []string {
+// checkOutcome compares a request's outcome with its executions and returns the
+// violations. The caller holds t.mutex.
+func (t *Truth) checkOutcome(outcome Outcome) []string {
 	var found []string
-	if outcome.Err == nil && outcome.Body != outcome.Want {
-		found = append(found, fmt.Sprintf("request %s got %q for %q", outcome.Caller, outcome.Body, outcome.Want))
+	if outcome.Err == nil && outcome.Body != outcome.WantBody {
+		found = append(found, fmt.Sprintf("request %s was answered with %q instead of %q", outcome.RequestID, outcome.Body, outcome.WantBody))
 	}
 	if t.Blind {
 		return found
 	}
-	runs := len(t.executions[outcome.Caller])
+	runs := len(t.executions[outcome.RequestID])
 	if outcome.AtMostOnce && runs > 1 {
-		found = append(found, fmt.Sprintf("request %s may run at most once and ran %d times", outcome.Caller, runs))
+		found = append(found, fmt.Sprintf("request %s may run at most once but ran %d times", outcome.RequestID, runs))
 	}
 	switch {
 	case outcome.Err == nil && runs == 0:
-		found = append(found, fmt.Sprintf("request %s was answered and never ran", outcome.Caller))
+		found = append(found, fmt.Sprintf("request %s was answered but never ran", outcome.RequestID))
 	case outcome.Err != nil && outcome.Err.Run == client.NotRun && runs > 0:
-		found = append(found, fmt.Sprintf("request %s was said not to have run and ran %d times: %v", outcome.Caller, runs, outcome.Err))
+		found = append(found, fmt.Sprintf("request %s was reported as not run but ran %d times: %v", outcome.RequestID, runs, outcome.Err))
 	}
 	return found
 }
 
-// Summary counts what was observed.
+// Summary holds the counts of all observations. Refusals are counted by code and
+// name; Versions counts samples by tenant and their oldest token's version;
+// Staleness holds, by tenant, how many versions each sample was behind.
 type Summary struct {
 	Requests   int                       `json:"requests"`
 	Answered   int                       `json:"answered"`
@@ -231,7 +249,7 @@
 	Staleness  map[string][]uint64       `json:"-"`
 }
 
-// Summary returns the counts so far.
+// Summary returns the counts of the observations so far.
 func (t *Truth) Summary() Summary {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/simulation/crashing_test.go
+++ b/internal/simulation/crashing_test.go
@@ -54,9 +54,9 @@
 		callers.Go(func() { failed, sent = sendOthers(ctx, cluster, network) })
 		callers.Wait()
 		runs := cluster.Truth.CrashingRuns()
-		t.Logf("%d runs, %d late; %d of %d others failed", runs.Runs, runs.Late, failed, sent)
+		t.Logf("%d runs, %d late; %d of %d others failed", runs.Runs, runs.LateRuns, failed, sent)
 		require.GreaterOrEqual(t, runs.Runs, 3)
-		require.LessOrEqual(t, runs.Late, lateRuns, "%d runs", runs.Runs)
+		require.LessOrEqual(t, runs.LateRuns, lateRuns, "%d runs", runs.Runs)
 		require.LessOrEqual(t, failed, sent/50, "others that failed")
 	})
 }
@@ -83,7 +83,7 @@
 			Addresses: []string{slot.HTTPAddress}, Tenant: lab.Karri, MaxAttempts: 1, Network: network.For("crashing-caller", slot.Zone),
 		})
 		// It fails or is refused.
-		_, _ = caller.Call(ctx, client.Request{Route: "lookup", Path: "/crash", Body: []byte(emulator.CrashMark), Repeatable: true, Timeout: time.Second})
+		_, _ = caller.Call(ctx, client.Request{Route: "lookup", Path: "/crash", Body: []byte(emulator.CrashMarker), Repeatable: true, Timeout: time.Second})
 		caller.Close()
 		time.Sleep(crashingInterval)
 	}
@@ -125,9 +125,9 @@
 				defer stop()
 				send(ctx, cluster, network)
 				runs := cluster.Truth.CrashingRuns()
-				t.Logf("%d runs, %d late", runs.Runs, runs.Late)
+				t.Logf("%d runs, %d late", runs.Runs, runs.LateRuns)
 				require.GreaterOrEqual(t, runs.Runs, 3)
-				require.LessOrEqual(t, runs.Late, lateRuns, "%d runs", runs.Runs)
+				require.LessOrEqual(t, runs.LateRuns, lateRuns, "%d runs", runs.Runs)
 			})
 		})
 	}
@@ -140,7 +140,7 @@
 	for try := 0; ctx.Err() == nil; try++ {
 		slot := cluster.Nodes[try%len(cluster.Nodes)]
 		caller := http.Client{Transport: netpkg.NewTransport(network.For("crashing-caller", slot.Zone), 0)}
-		body := strings.NewReader(`{"prompt":"` + emulator.CrashMark + `","max_tokens":20}`)
+		body := strings.NewReader(`{"prompt":"` + emulator.CrashMarker + `","max_tokens":20}`)
 		response, err := caller.Post("http://"+slot.HTTPAddress+"/v1/tenants/"+lab.Karri+"/models/"+crashingModel+"/completions", "application/json", body)
 		if err == nil {
 			response.Body.Close()
@@ -154,7 +154,7 @@
 	slot := cluster.Nodes[0]
 	caller := client.New(client.Options{Addresses: []string{slot.HTTPAddress}, Tenant: lab.Karri, Network: network.For("crashing-trainer", slot.Zone)})
 	defer caller.Close()
-	spec := client.JobSpec{JobID: "crashing", Model: crashingModel, Prompts: []client.Prompt{{Group: "g", Prompt: emulator.CrashMark, Samples: 1, MaxTokens: 20}}}
+	spec := client.JobSpec{JobID: "crashing", Model: crashingModel, Prompts: []client.Prompt{{Group: "g", Prompt: emulator.CrashMarker, Samples: 1, MaxTokens: 20}}}
 	job, err := caller.Submit(ctx, spec, func() uint64 { return 0 }, nil)
 	if err != nil {
 		panic(err)
--- a/internal/simulation/run.go
+++ b/internal/simulation/run.go
@@ -89,7 +89,7 @@
 	// Handlers of emulated servers end after their last pause.
 	defer time.Sleep(closeTime)
 	defer cluster.Close()
-	cluster.Truth.Trace = options.Trace
+	cluster.Truth.TraceWriter = options.Trace
 	w := &world{network: network, cluster: cluster}
 	ready, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
@@ -286,7 +286,7 @@
 		case LogLosesAnswers:
 			faults.LoseAppendAnswers = on
 		case ListFrozen:
-			faults.ListFrozen = on
+			faults.MachineListFrozen = on
 		}
 		w.cluster.Platform.SetFaults(faults)
 	}
@@ -306,9 +306,9 @@
 	case FailSwitch:
 		machine.Engine.SetFaults(emulator.EngineFaults{FailSwitches: 1 + fault.Other%3, FailLoads: fault.Other % 2})
 	case CutStreams:
-		machine.Engine.SetFaults(emulator.EngineFaults{CutStreams: 0.5})
+		machine.Engine.SetFaults(emulator.EngineFaults{CutStreamShare: 0.5})
 	default:
-		machine.Engine.SetFaults(emulator.EngineFaults{Slow: 3})
+		machine.Engine.SetFaults(emulator.EngineFaults{SlowFactor: 3})
 	}
 	return func() error {
 		machine.Engine.SetFaults(emulator.EngineFaults{})
@@ -326,11 +326,11 @@
 	case LeaveBackEnd:
 		return w.leaveBackEnd(machine), nil
 	case LoseAnswers:
-		machine.BackEnd.SetFaults(emulator.BackEndFaults{LoseAnswers: share})
+		machine.BackEnd.SetFaults(emulator.BackEndFaults{LostAnswerShare: share})
 	case TruncateAnswers:
-		machine.BackEnd.SetFaults(emulator.BackEndFaults{Truncate: share})
+		machine.BackEnd.SetFaults(emulator.BackEndFaults{TruncatedAnswerShare: share})
 	case CrossAnswers:
-		machine.BackEnd.SetFaults(emulator.BackEndFaults{Cross: share})
+		machine.BackEnd.SetFaults(emulator.BackEndFaults{MismatchedAnswerShare: share})
 	default:
 		machine.BackEnd.SetFaults(emulator.BackEndFaults{Refuse: true})
 	}
