--- a/internal/knownred/doc.go
+++ b/internal/knownred/doc.go
@@ -1,7 +1,7 @@
-// Package knownred judges a run of the tests by a list of tests that are known to fail.
+// Package knownred evaluates a test run against a list of tests that are known to fail.
 //
-// The list is a text file. A test on it is run like any other and its failure is printed,
-// but does not fail the run; one that passes fails it, so that no line outlasts its fault.
-// Any failure that is not on the list fails the run, and so does a listed test that did
-// not run at all.
+// The list is a text file. Listed tests run like any other; their failures are printed but
+// do not fail the run. A listed test that passes does fail the run, so that entries are
+// removed once the fault is fixed. Any failure that is not on the list fails the run, and
+// so does a listed test that did not run.
 package knownred
--- a/internal/knownred/judge.go
+++ b/internal/knownred/judge.go
@@ -11,7 +11,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Actions of the events that `go test -json` writes.
+// Actions of `go test -json` events.
 const (
 	actionStart       = "start"
 	actionRun         = "run"
@@ -22,7 +22,7 @@
 	actionBuildOutput = "build-output"
 )
 
-// testEvent is one line of `go test -json`.
+// testEvent is one line of `go test -json` output.
 type testEvent struct {
 	Action  string
 	Package string
@@ -30,66 +30,73 @@
 	Output  string
 }
 
-// key names a test, or a package if test is empty.
-type key struct{ pkg, test string }
+// testID identifies a test, or a package if test is empty.
+type testID struct{ pkg, test string }
 
-// Verdict is what a run of the tests comes to.
+// Verdict is the result of evaluating a test run.
 type Verdict struct {
+	// Passed counts the tests that passed, subtests included.
 	Passed int
-	// Known are entries that failed as listed, Unlisted the tests and packages that failed
-	// besides, Mended the entries that passed, Missing those that did not run.
-	Known    []Entry
+	// Known holds the entries whose tests failed as listed.
+	Known []Entry
+	// Unlisted holds the failed tests and packages that are not on the list.
 	Unlisted []string
-	Mended   []Entry
-	Missing  []Entry
+	// Fixed holds the entries whose tests passed.
+	Fixed []Entry
+	// Missing holds the entries whose tests were skipped or did not run.
+	Missing []Entry
 }
 
-// OK reports whether the run is green but for the failures on the list.
+// OK reports whether at least one test passed and the failures are exactly those on the list.
 func (v *Verdict) OK() bool {
-	return v.Passed > 0 && len(v.Unlisted) == 0 && len(v.Mended) == 0 && len(v.Missing) == 0
+	return v.Passed > 0 && len(v.Unlisted) == 0 && len(v.Fixed) == 0 && len(v.Missing) == 0
 }
 
-// run is what was read of a run of the tests.
-type run struct {
-	// ends is how each test and package ended, empty while it has not.
-	ends   map[key]string
-	output map[key][]string
+// testRun accumulates the events of a test run.
+type testRun struct {
+	// results maps each test and package to its final action, empty until it has ended.
+	results map[testID]string
+	// output maps each test and package to its output; that of passed and skipped ones is
+	// discarded.
+	output map[testID][]string
 }
 
-// Judge reads the output of `go test -json` and judges it. It prints a line for each
-// package, and the output of all that failed.
-func Judge(input io.Reader, output io.Writer, module string, entries []Entry) (*Verdict, error) {
-	seen := &run{ends: make(map[key]string), output: make(map[key][]string)}
+// Evaluate reads the output of `go test -json` and compares it with the list. It writes a
+// summary line for each package, and the output of each failed test, to output. Packages
+// of entries are relative to module.
+func Evaluate(input io.Reader, output io.Writer, module string, entries []Entry) (*Verdict, error) {
+	run := &testRun{results: make(map[testID]string), output: make(map[testID][]string)}
 	scanner := bufio.NewScanner(input)
-	const longestLine = 16 << 20
-	scanner.Buffer(nil, longestLine)
+	const maxLineBytes = 16 << 20
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		var event testEvent
 		if err := json.Unmarshal(scanner.Bytes(), &event); err != nil {
-			// What is no event comes from the toolchain itself.
+			// Lines that are not events come from the Go toolchain.
 			fmt.Fprintln(output, scanner.Text())
 			continue
 		}
-		seen.take(event, output)
+		run.record(event, output)
 	}
 	if err := scanner.Err(); err != nil {
-		return nil, errors.Wrap(err, "read the events of the tests")
+		return nil, errors.Wrap(err, "read test events")
 	}
-	return seen.judge(output, module, entries), nil
+	return run.evaluate(output, module, entries), nil
 }
 
-func (r *run) take(event testEvent, output io.Writer) {
-	name := key{event.Package, event.Test}
+// record applies an event and writes package summaries and build output.
+func (r *testRun) record(event testEvent, output io.Writer) {
+	id := testID{event.Package, event.Test}
 	switch event.Action {
 	case actionStart, actionRun:
-		r.ends[name] = ""
+		r.results[id] = ""
 	case actionPass, actionFail, actionSkip:
-		r.ends[name] = event.Action
+		r.results[id] = event.Action
 		if event.Action != actionFail {
-			delete(r.output, name)
+			delete(r.output, id)
 		}
 	case actionOutput:
-		r.output[name] = append(r.output[name], event.Output)
+		r.output[id] = append(r.output[id], event.Output)
 		if event.Test == "" && isSummary(event.Output) {
 			fmt.Fprint(output, event.Output)
 		}
@@ -98,91 +105,92 @@
 	}
 }
 
-// isSummary reports whether a line tells how a package ended.
+// isSummary reports whether a line of package output states the package's result.
 func isSummary(line string) bool {
 	return strings.HasPrefix(line, "ok  \t") || strings.HasPrefix(line, "FAIL\t") || strings.HasPrefix(line, "---")
 }
 
-func (r *run) judge(output io.Writer, module string, entries []Entry) *Verdict {
+func (r *testRun) evaluate(output io.Writer, module string, entries []Entry) *Verdict {
 	verdict := &Verdict{}
-	excused := make(map[key]bool)
+	knownFailures := make(map[testID]bool)
 	for _, entry := range entries {
-		name := key{module + "/" + entry.Package, entry.Test}
-		end, ran := r.ends[name]
+		id := testID{module + "/" + entry.Package, entry.Test}
+		result, ran := r.results[id]
 		switch {
-		case !ran || end == actionSkip:
+		case !ran || result == actionSkip:
 			verdict.Missing = append(verdict.Missing, entry)
-		case end == actionPass:
-			verdict.Mended = append(verdict.Mended, entry)
+		case result == actionPass:
+			verdict.Fixed = append(verdict.Fixed, entry)
 		default:
 			verdict.Known = append(verdict.Known, entry)
-			excused[name] = true
+			knownFailures[id] = true
 		}
 	}
-	for _, name := range r.sorted() {
-		switch end := r.ends[name]; {
-		case end == actionPass && name.test != "":
+	for _, id := range r.sortedIDs() {
+		switch result := r.results[id]; {
+		case result == actionPass && id.test != "":
 			verdict.Passed++
-		case end == actionPass || end == actionSkip:
-		case r.failedForItself(name, excused):
-			verdict.Unlisted = append(verdict.Unlisted, strings.TrimSpace(name.pkg+" "+name.test))
-			r.print(output, name)
-		case excused[name]:
-			r.print(output, name)
+		case result == actionPass || result == actionSkip:
+		case r.failedByItself(id, knownFailures):
+			verdict.Unlisted = append(verdict.Unlisted, strings.TrimSpace(id.pkg+" "+id.test))
+			r.print(output, id)
+		case knownFailures[id]:
+			r.print(output, id)
 		}
 	}
 	return verdict
 }
 
-// failedForItself reports whether a failure is more than the failures below it: a package
-// fails if one of its tests does, a test if one of its subtests does. What else may be wrong
-// with a package of which a listed test fails cannot be told.
-func (r *run) failedForItself(name key, excused map[key]bool) bool {
-	if excused[name] {
+// failedByItself reports whether an unlisted test or package failed without a failed
+// descendant: a package fails if one of its tests does, and a test if one of its subtests
+// does. A further fault of a package whose listed test fails cannot be distinguished.
+func (r *testRun) failedByItself(id testID, knownFailures map[testID]bool) bool {
+	if knownFailures[id] {
 		return false
 	}
-	below := false
-	for other, end := range r.ends {
-		if other.pkg != name.pkg || other == name || !isBelow(other.test, name.test) || end == actionPass || end == actionSkip {
+	descendantFailed := false
+	for other, result := range r.results {
+		if other.pkg != id.pkg || other == id || !isDescendant(other.test, id.test) || result == actionPass || result == actionSkip {
 			continue
 		}
-		below = true
+		descendantFailed = true
 	}
-	return !below
+	return !descendantFailed
 }
 
-// isBelow reports whether a test belongs to another one, or to a package if that is empty.
-func isBelow(test, parent string) bool {
+// isDescendant reports whether a test is a subtest of parent. An empty parent stands for the
+// package, which contains every test.
+func isDescendant(test, parent string) bool {
 	return parent == "" || strings.HasPrefix(test, parent+"/")
 }
 
-func (r *run) sorted() []key {
-	names := make([]key, 0, len(r.ends))
-	for name := range r.ends {
-		names = append(names, name)
+func (r *testRun) sortedIDs() []testID {
+	ids := make([]testID, 0, len(r.results))
+	for id := range r.results {
+		ids = append(ids, id)
 	}
-	slices.SortFunc(names, func(a, b key) int {
+	slices.SortFunc(ids, func(a, b testID) int {
 		return strings.Compare(a.pkg+" "+a.test, b.pkg+" "+b.test)
 	})
-	return names
+	return ids
 }
 
-func (r *run) print(output io.Writer, name key) {
-	for _, line := range r.output[name] {
+func (r *testRun) print(output io.Writer, id testID) {
+	for _, line := range r.output[id] {
 		fmt.Fprint(output, line)
 	}
 }
 
-// Print writes the verdict. Its last line counts the tests as test runners do.
+// Print writes the verdict. The last line has the number of passed and failed tests.
 func (v *Verdict) Print(output io.Writer) {
 	for _, entry := range v.Known {
 		fmt.Fprintf(output, "KNOWN RED: %s %s (%s; %s)\n", entry.Package, entry.Test, entry.Cause, entry.Issue)
 	}
-	for _, entry := range v.Mended {
-		fmt.Fprintf(output, "MENDED: %s %s passes: take its line off the list\n", entry.Package, entry.Test)
+	for _, entry := range v.Fixed {
+		fmt.Fprintf(output, "MENDED: %s %s passes: remove it from the list\n", entry.Package, entry.Test)
 	}
 	for _, entry := range v.Missing {
-		fmt.Fprintf(output, "MISSING: %s %s is on the list and did not run\n", entry.Package, entry.Test)
+		fmt.Fprintf(output, "MISSING: %s %s is on the list but did not run\n", entry.Package, entry.Test)
 	}
 	for _, name := range v.Unlisted {
 		fmt.Fprintln(output, "FAILED:", name)
--- a/internal/knownred/list.go
+++ b/internal/knownred/list.go
@@ -10,26 +10,28 @@
 
 // Entry is one test that is known to fail.
 type Entry struct {
-	// Package is the import path of the test's package, below the module's.
+	// Package is the import path of the test's package, relative to the module.
 	Package string
-	// Test is its full name, with the names of subtests.
+	// Test is the full name of the test, subtests included.
 	Test string
-	// Cause says what was seen and how to see it again, Issue where it is tracked.
+	// Cause describes the failure and how to reproduce it.
 	Cause string
+	// Issue is where the failure is tracked.
 	Issue string
 }
 
-// MostEntries is how many tests may be known to fail at once: more are a broken build.
-const MostEntries = 3
+// MaxEntries is the largest number of known failures; with more, the build counts as broken.
+const MaxEntries = 3
 
-// entryFields are separated by fieldSeparator: package and test, cause, issue.
+// An entry has entryFieldCount fields, separated by fieldSeparator: package and test, cause,
+// issue.
 const (
-	entryFields    = 3
-	fieldSeparator = " | "
+	entryFieldCount = 3
+	fieldSeparator  = " | "
 )
 
-// Parse reads a list: a line for each entry, "PACKAGE TEST | CAUSE | ISSUE". Empty lines
-// and those that begin with # are passed over.
+// Parse reads a list with one entry per line, "PACKAGE TEST | CAUSE | ISSUE". Empty lines
+// and lines that begin with # are ignored.
 func Parse(input io.Reader) ([]Entry, error) {
 	var entries []Entry
 	scanner := bufio.NewScanner(input)
@@ -47,26 +49,26 @@
 	if err := scanner.Err(); err != nil {
 		return nil, errors.Wrap(err, "read the list of known failures")
 	}
-	if len(entries) > MostEntries {
-		return nil, errors.Newf("%d tests are known to fail, at most %d may: mend one", len(entries), MostEntries)
+	if len(entries) > MaxEntries {
+		return nil, errors.Newf("%d known failures listed, at most %d allowed: fix one first", len(entries), MaxEntries)
 	}
 	return entries, nil
 }
 
 func parseEntry(line string) (Entry, error) {
 	fields := strings.Split(line, fieldSeparator)
-	if len(fields) != entryFields {
-		return Entry{}, errors.Newf("want PACKAGE TEST%sCAUSE%sISSUE", fieldSeparator, fieldSeparator)
+	if len(fields) != entryFieldCount {
+		return Entry{}, errors.Newf("invalid entry: want PACKAGE TEST%sCAUSE%sISSUE", fieldSeparator, fieldSeparator)
 	}
 	path, test, found := strings.Cut(strings.TrimSpace(fields[0]), " ")
 	entry := Entry{Package: path, Test: strings.TrimSpace(test), Cause: strings.TrimSpace(fields[1]), Issue: strings.TrimSpace(fields[2])}
 	switch {
 	case !found || entry.Test == "":
-		return Entry{}, errors.New("want a package and a test, separated by a space")
+		return Entry{}, errors.New("invalid entry: want a package and a test, separated by a space")
 	case entry.Cause == "":
-		return Entry{}, errors.New("the cause is missing")
+		return Entry{}, errors.New("invalid entry: missing cause")
 	case entry.Issue == "":
-		return Entry{}, errors.New("the issue is missing")
+		return Entry{}, errors.New("invalid entry: missing issue")
 	}
 	return entry, nil
 }
--- a/internal/labcommand/judgetests.go
+++ b/internal/labcommand/judgetests.go
@@ -9,23 +9,23 @@
 	"github.com/pathbend/pathbend/internal/knownred"
 )
 
-// modulePath is the path under which the tests of this project run.
+// modulePath is the module path, which prefixes the packages in test events.
 const modulePath = "github.com/pathbend/pathbend"
 
-// errTestsFailed makes the command exit with a failure.
-var errTestsFailed = errors.New("tests failed that are not on the list of known failures, or its lines do not hold")
+// errTestsFailed makes the command exit with code 1.
+var errTestsFailed = errors.New("tests failed that are not listed as known failures, or listed tests passed or did not run")
 
 func newJudgeTests() *cobra.Command {
-	var list string
+	var listPath string
 	command := &cobra.Command{
-		Use: "judge-tests", Short: "Judge the output of go test -json by the list of known failures",
+		Use: "judge-tests", Short: "Evaluate the output of go test -json against the list of known failures",
 		Example: "  go test -json ./... | pathbend-lab judge-tests --known KNOWN-RED.txt", Args: cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
-			entries, err := knownFailures(list)
+			entries, err := readKnownFailures(listPath)
 			if err != nil {
 				return err
 			}
-			verdict, err := knownred.Judge(command.InOrStdin(), command.OutOrStdout(), modulePath, entries)
+			verdict, err := knownred.Evaluate(command.InOrStdin(), command.OutOrStdout(), modulePath, entries)
 			if err != nil {
 				return err
 			}
@@ -36,11 +36,12 @@
 			return nil
 		},
 	}
-	command.Flags().StringVar(&list, "known", "KNOWN-RED.txt", "the list of known failures; none if there is no such file")
+	command.Flags().StringVar(&listPath, "known", "KNOWN-RED.txt", "list of known failures; a missing file is an empty list")
 	return command
 }
 
-func knownFailures(path string) ([]knownred.Entry, error) {
+// readKnownFailures reads the list at path. A missing file is an empty list.
+func readKnownFailures(path string) ([]knownred.Entry, error) {
 	file, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
