--- a/internal/lab/cluster.go
+++ b/internal/lab/cluster.go
@@ -27,43 +27,50 @@
 	"github.com/pathbend/pathbend/internal/wait"
 )
 
-// Networks gives each host of the cluster its connection to the network.
+// Networks provides each host of a cluster with its network and addresses.
 type Networks interface {
-	// For returns the network as a host in a zone sees it.
+	// For returns the network that a host in a zone uses.
 	For(host, zone string) network.Network
-	// Address returns an address on which a host can listen.
+	// Address returns an address on which a host can listen. Port is a number that tells the
+	// listeners of a host apart; the address may have another one.
 	Address(host string, port int) string
 }
 
-// Options describe a cluster.
+// Options configure a cluster.
 type Options struct {
 	Networks Networks
-	Seed     uint64
-	Zones    []string
+	// Seed is the seed of the nodes and of all emulated parts.
+	Seed  uint64
+	Zones []string
 	// NodesPerZone is the number of pathbend nodes in each zone.
 	NodesPerZone int
 	Pools        []Pool
-	Document     *config.Document
-	ListLag      time.Duration
+	// Document is the configuration that is published at the start.
+	Document *config.Document
+	// ListLag is the delay after which a change shows in the machine list.
+	ListLag time.Duration
+	// LoadTime is the duration of a weight load, LoadSlots the number of concurrent loads.
 	LoadTime     time.Duration
 	LoadSlots    int
 	DrainTimeout time.Duration
 	// Logs receives the nodes' logs; nil discards them.
-	Logs  io.Writer
+	Logs io.Writer
+	// Level is the minimum level that is logged.
 	Level slog.Level
 }
 
-// Pool is a pool of emulated machines, spread over the zones.
+// Pool is a pool of emulated machines, distributed round-robin over the zones.
 type Pool struct {
 	Name string
 	Role fleet.Role
 	Size int
-	// Model is the engines' performance, ServiceTime the back ends'.
-	Model       emulator.EngineModel
+	// Model is the performance model of engines.
+	Model emulator.EngineModel
+	// ServiceTime is the mean time that a back end takes for a request.
 	ServiceTime time.Duration
 }
 
-// Cluster is a running system.
+// Cluster is a running cluster of nodes and emulated machines.
 type Cluster struct {
 	Options  Options
 	Platform *emulator.Platform
@@ -73,44 +80,50 @@
 	Nodes    []*NodeSlot
 
 	platformAddress string
-	// mutex keeps replacements of machines apart.
-	mutex    sync.Mutex
-	random   *rand.Rand
-	replaced int
-	servers  []*http.Server
-	group    conc.WaitGroup
-	// life ends with the cluster.
-	life context.Context
-	end  context.CancelFunc
+	// mutex serializes replacements of machines.
+	mutex            sync.Mutex
+	random           *rand.Rand
+	replacementCount int
+	servers          []*http.Server
+	// group holds the goroutines that Close waits for.
+	group conc.WaitGroup
+	// ctx is cancelled by Close.
+	ctx    context.Context
+	cancel context.CancelFunc
 }
 
-// Machine is an emulated engine or back end with its server.
+// Machine is an emulated engine or back end with its HTTP server.
 type Machine struct {
 	fleet.Machine
+	// One of Engine and BackEnd is set, according to the role.
 	Engine  *emulator.Engine
 	BackEnd *emulator.BackEnd
 
 	server *http.Server
 	cancel context.CancelFunc
 	group  sync.WaitGroup
-	// crashed is set once a request crashed the machine.
+	// crashed is set when a request crashes the machine.
 	crashed atomic.Bool
 }
 
-// NodeSlot is a place for a pathbend node, which may be restarted.
+// NodeSlot has the name, zone and addresses of a pathbend node, which stay the same when the
+// node is restarted.
 type NodeSlot struct {
-	Name        string
-	Zone        string
-	HTTPAddress string
-	AdminAddr   string
-	PeerAddress string
+	Name         string
+	Zone         string
+	HTTPAddress  string
+	AdminAddress string
+	PeerAddress  string
 
 	cluster *Cluster
-	starts  uint64
-	mutex   sync.Mutex
-	node    *node.Node
+	// startCount gives each start a seed of its own.
+	startCount uint64
+	mutex      sync.Mutex
+	// node is nil while the node is stopped.
+	node *node.Node
 }
 
+// Port numbers by which Networks.Address tells the listeners of a host apart.
 const (
 	platformPort  = 7000
 	machinePort   = 7001
@@ -119,7 +132,8 @@
 	nodeAdminPort = 8082
 )
 
-// Start builds and starts a cluster and publishes its configuration.
+// Start starts a cluster and publishes its configuration. Nodes may not be ready yet when it
+// returns: see WaitReady.
 func Start(options Options) (*Cluster, error) {
 	c := &Cluster{
 		Options:  options,
@@ -127,7 +141,7 @@
 		Truth:    emulator.NewTruth(),
 		random:   rand.New(rand.NewPCG(options.Seed, 7)),
 	}
-	c.life, c.end = context.WithCancel(context.Background())
+	c.ctx, c.cancel = context.WithCancel(context.Background())
 	if err := c.startPlatform(); err != nil {
 		return nil, err
 	}
@@ -152,8 +166,8 @@
 }
 
 func (c *Cluster) startPlatform() error {
-	transport := c.Options.Networks.For("platform", c.Options.Zones[0])
-	listener, err := transport.Listen(c.Options.Networks.Address("platform", platformPort))
+	platformNetwork := c.Options.Networks.For("platform", c.Options.Zones[0])
+	listener, err := platformNetwork.Listen(c.Options.Networks.Address("platform", platformPort))
 	if err != nil {
 		return err
 	}
@@ -164,7 +178,8 @@
 	return nil
 }
 
-// Publish appends a configuration made from a base revision.
+// Publish appends a configuration to the log. base is the revision on which it is based, 0 for
+// the first one.
 func (c *Cluster) Publish(ctx context.Context, document *config.Document, base uint64, author string) error {
 	content, err := config.Encode(document)
 	if err != nil {
@@ -181,6 +196,7 @@
 	return err
 }
 
+// recordID returns a random UUID from the cluster's seeded source.
 func (c *Cluster) recordID() string {
 	var bytes [16]byte
 	for i := range bytes {
@@ -191,42 +207,43 @@
 
 func (c *Cluster) startMachine(pool Pool, index int) error {
 	zone := c.Options.Zones[index%len(c.Options.Zones)]
-	started, err := c.launch(pool, fmt.Sprintf("%s-%d", pool.Name, index), zone)
+	machine, err := c.launchMachine(pool, fmt.Sprintf("%s-%d", pool.Name, index), zone)
 	if err != nil {
 		return err
 	}
 	if pool.Role == fleet.RoleEngine {
-		c.Engines = append(c.Engines, started)
+		c.Engines = append(c.Engines, machine)
 	} else {
-		c.BackEnds = append(c.BackEnds, started)
+		c.BackEnds = append(c.BackEnds, machine)
 	}
 	return nil
 }
 
-// Replace ends a machine for good and puts a new one, with a new id, into its
-// place in the list of machines.
-func (c *Cluster) Replace(gone *Machine) error {
-	c.Platform.RemoveMachine(gone.ID)
-	gone.Crash()
+// Replace crashes a machine, removes it from the machine list, and starts a machine of the
+// same pool and zone with a new id in its place.
+func (c *Cluster) Replace(old *Machine) error {
+	c.Platform.RemoveMachine(old.ID)
+	old.Crash()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.replaced++
-	pool := c.poolOf(gone.Pool)
-	started, err := c.launch(pool, fmt.Sprintf("%s-r%d", gone.Pool, c.replaced), gone.Zone)
+	c.replacementCount++
+	pool := c.findPool(old.Pool)
+	replacement, err := c.launchMachine(pool, fmt.Sprintf("%s-r%d", old.Pool, c.replacementCount), old.Zone)
 	if err != nil {
 		return err
 	}
 	for _, machines := range [][]*Machine{c.Engines, c.BackEnds} {
 		for i := range machines {
-			if machines[i] == gone {
-				machines[i] = started
+			if machines[i] == old {
+				machines[i] = replacement
 			}
 		}
 	}
 	return nil
 }
 
-func (c *Cluster) poolOf(name string) Pool {
+// findPool returns the pool with a name, or the zero value.
+func (c *Cluster) findPool(name string) Pool {
 	for _, pool := range c.Options.Pools {
 		if pool.Name == name {
 			return pool
@@ -235,9 +252,10 @@
 	return Pool{}
 }
 
-func (c *Cluster) launch(pool Pool, id, zone string) (*Machine, error) {
-	transport := c.Options.Networks.For(id, zone)
-	listener, err := transport.Listen(c.Options.Networks.Address(id, machinePort))
+// launchMachine starts a machine and adds it to the machine list.
+func (c *Cluster) launchMachine(pool Pool, id, zone string) (*Machine, error) {
+	machineNetwork := c.Options.Networks.For(id, zone)
+	listener, err := machineNetwork.Listen(c.Options.Networks.Address(id, machinePort))
 	if err != nil {
 		return nil, err
 	}
@@ -247,9 +265,9 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	machine.cancel = cancel
 	random := rand.New(rand.NewPCG(c.Options.Seed, c.random.Uint64()))
-	crasher := emulator.NewCrasher(c.Truth, func() bool { return c.crash(machine) })
+	crasher := emulator.NewCrasher(c.Truth, func() bool { return c.crashDuringRequest(machine) })
 	if pool.Role == fleet.RoleEngine {
-		machine.Engine = emulator.NewEngine(id, pool.Model, transport, c.platformAddress, random)
+		machine.Engine = emulator.NewEngine(id, pool.Model, machineNetwork, c.platformAddress, random)
 		machine.Engine.Crasher = crasher
 		machine.server = &http.Server{Handler: machine.Engine.Handler()}
 		machine.group.Go(func() { machine.Engine.Run(ctx) })
@@ -263,36 +281,37 @@
 	return machine, nil
 }
 
-// Crash ends a machine at once and cuts its connections.
+// Crash terminates a machine, closes its connections and waits for its goroutines.
 func (m *Machine) Crash() {
 	m.cancel()
 	m.server.Close()
 	m.group.Wait()
 }
 
-// crashReturn is how long a machine is away that a request crashed.
-const crashReturn = 4 * time.Second
+// crashReplacementDelay is the time until a machine that a request crashed is replaced.
+const crashReplacementDelay = 4 * time.Second
 
-// crash ends a machine under a request, which is still in progress there. Another one comes
-// in its place some seconds later. It reports false if the machine had ended before.
-func (c *Cluster) crash(machine *Machine) bool {
+// crashDuringRequest crashes a machine on behalf of a request that is still in progress there,
+// and therefore does not wait for the machine's goroutines. The machine is replaced after
+// crashReplacementDelay. It returns false if a request had already crashed the machine.
+func (c *Cluster) crashDuringRequest(machine *Machine) bool {
 	if machine.crashed.Swap(true) {
 		return false
 	}
 	machine.cancel()
 	machine.server.Close()
 	c.group.Go(func() {
-		if !wait.For(c.life, crashReturn) {
+		if !wait.For(c.ctx, crashReplacementDelay) {
 			return
 		}
 		if err := c.Replace(machine); err != nil {
-			c.Truth.Violate("machine %s cannot be replaced: %v", machine.ID, err)
+			c.Truth.Violate("replace machine %s: %v", machine.ID, err)
 		}
 	})
 	return true
 }
 
-// BeginLeave makes a machine say that it leaves and the platform list it so.
+// BeginLeave makes a machine announce that it is leaving, also in the machine list.
 func (c *Cluster) BeginLeave(machine *Machine) {
 	if machine.BackEnd != nil {
 		machine.BackEnd.Leave()
@@ -308,7 +327,7 @@
 	name := fmt.Sprintf("node-%s-%d", zone, index)
 	slot := &NodeSlot{Name: name, Zone: zone, cluster: c}
 	for port, target := range map[int]*string{
-		nodeHTTPPort: &slot.HTTPAddress, nodePeerPort: &slot.PeerAddress, nodeAdminPort: &slot.AdminAddr,
+		nodeHTTPPort: &slot.HTTPAddress, nodePeerPort: &slot.PeerAddress, nodeAdminPort: &slot.AdminAddress,
 	} {
 		*target = c.Options.Networks.Address(name, port)
 	}
@@ -317,21 +336,21 @@
 	return slot.Start()
 }
 
-// Start starts the slot's node, empty.
+// Start starts the node, without any state of an earlier run.
 func (s *NodeSlot) Start() error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.node != nil {
-		return errors.New("the node runs already")
+		return errors.New("node is already running")
 	}
-	s.starts++
+	s.startCount++
 	options := s.cluster.Options
 	settings := node.DefaultSettings()
 	settings.Name, settings.Zone = s.Name, s.Zone
-	settings.HTTPAddress, settings.PeerAddress, settings.AdminAddress = s.HTTPAddress, s.PeerAddress, s.AdminAddr
+	settings.HTTPAddress, settings.PeerAddress, settings.AdminAddress = s.HTTPAddress, s.PeerAddress, s.AdminAddress
 	settings.LogAddress, settings.MachinesAddress = s.cluster.platformAddress, s.cluster.platformAddress
 	settings.DrainTimeout = options.DrainTimeout
-	settings.Seed = options.Seed*1_000_003 + s.starts*101 + hashName(s.Name)
+	settings.Seed = options.Seed*1_000_003 + s.startCount*101 + hashName(s.Name)
 	logger := event.Discard()
 	if options.Logs != nil {
 		logger = event.NewLogger(options.Logs, options.Level, "node", s.Name)
@@ -347,6 +366,7 @@
 	return nil
 }
 
+// hashName returns the 64-bit FNV-1a hash of a name.
 func hashName(name string) uint64 {
 	hash := uint64(14695981039346656037)
 	for _, character := range []byte(name) {
@@ -355,33 +375,35 @@
 	return hash
 }
 
-// Node returns the running node, nil if there is none.
+// Node returns the running node, or nil if it is stopped.
 func (s *NodeSlot) Node() *node.Node {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.node
 }
 
-// Stop ends the node, after a drain if it is a planned stop.
+// Stop stops the node, after draining it if drain is set. It does nothing if the node is not
+// running.
 func (s *NodeSlot) Stop(drain bool) {
 	s.mutex.Lock()
-	stopped := s.node
+	running := s.node
 	s.node = nil
 	s.mutex.Unlock()
-	if stopped == nil {
+	if running == nil {
 		return
 	}
 	if drain {
-		stopped.Drain()
+		running.Drain()
 	}
-	stopped.Stop()
+	running.Stop()
 }
 
-// WaitReady waits until every running node takes work and sees all others.
+// WaitReady waits until every running node is settled: it accepts work and knows all other
+// running nodes. It returns an error if ctx ends first.
 func (c *Cluster) WaitReady(ctx context.Context) error {
 	const pollInterval = 50 * time.Millisecond
 	for {
-		if c.ready() {
+		if c.allSettled() {
 			return nil
 		}
 		if !wait.For(ctx, pollInterval) {
@@ -390,7 +412,7 @@
 	}
 }
 
-func (c *Cluster) ready() bool {
+func (c *Cluster) allSettled() bool {
 	running := 0
 	for _, slot := range c.Nodes {
 		if slot.Node() != nil {
@@ -405,42 +427,44 @@
 	return true
 }
 
-// NewClient returns a client of a tenant that begins at a zone's nodes.
+// NewClient returns a client of a tenant that runs on host in a zone and tries the nodes of
+// this zone first.
 func (c *Cluster) NewClient(tenant, host, zone string, seed uint64) *client.Client {
-	var near, far []string
+	var sameZone, otherZones []string
 	for _, slot := range c.Nodes {
 		if slot.Zone == zone {
-			near = append(near, slot.HTTPAddress)
+			sameZone = append(sameZone, slot.HTTPAddress)
 		} else {
-			far = append(far, slot.HTTPAddress)
+			otherZones = append(otherZones, slot.HTTPAddress)
 		}
 	}
 	return client.New(client.Options{
-		Addresses: append(near, far...), Tenant: tenant, Network: c.Options.Networks.For(host, zone),
+		Addresses: append(sameZone, otherZones...), Tenant: tenant, Network: c.Options.Networks.For(host, zone),
 		Random: rand.New(&lockedSource{source: rand.NewPCG(c.Options.Seed, seed)}),
 	})
 }
 
-// lockedSource makes a random source safe for concurrent use.
+// lockedSource is a random source that is safe for concurrent use.
 type lockedSource struct {
 	mutex  sync.Mutex
 	source rand.Source
 }
 
+// Uint64 implements rand.Source.
 func (s *lockedSource) Uint64() uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.source.Uint64()
 }
 
-// Close stops everything at once.
+// Close stops all nodes without draining them, crashes all machines, and waits for them.
 func (c *Cluster) Close() {
-	c.end()
-	var stops conc.WaitGroup
+	c.cancel()
+	var stopping conc.WaitGroup
 	for _, slot := range c.Nodes {
-		stops.Go(func() { slot.Stop(false) })
+		stopping.Go(func() { slot.Stop(false) })
 	}
-	stops.Wait()
+	stopping.Wait()
 	for _, machine := range append(append([]*Machine(nil), c.Engines...), c.BackEnds...) {
 		machine.Crash()
 	}
--- a/internal/lab/demo.go
+++ b/internal/lab/demo.go
@@ -16,90 +16,98 @@
 	"github.com/pathbend/pathbend/internal/wait"
 )
 
-// DemoOptions size the demo.
+// DemoOptions configure the demo.
 type DemoOptions struct {
+	// Duration is how long the traffic runs.
 	Duration time.Duration
-	Seed     uint64
+	// Seed is the seed of the emulated machines and callers.
+	Seed uint64
 }
 
-// DemoReport is the one screen that the demo ends with.
+// DemoReport is the result of the demo.
 type DemoReport struct {
-	Tenants    []TenantReport
-	Summary    emulator.Summary
+	Tenants []TenantReport
+	Summary emulator.Summary
+	// Violations describes each violated invariant.
 	Violations []string
 }
 
-// TenantReport is what one tenant saw.
+// TenantReport has the measurements of the callers and the trainer of one tenant.
 type TenantReport struct {
-	Name           string
-	Samples        int
-	Steps          int
-	Versions       []uint64
+	Name    string
+	Samples int
+	Steps   int
+	// Versions are the weight versions of the delivered samples, in ascending order.
+	Versions []uint64
+	// Staleness is the number of versions that a sample is behind the trainer;
+	// StalenessBound is the configured maximum.
 	StalenessMean  float64
 	StalenessMax   uint64
 	StalenessBound uint64
-	IdleShare      float64
-	Requests       int64
+	// IdleShare is the fraction of time in which the trainer waited for samples.
+	IdleShare float64
+	Requests  int64
+	// P50, P99 and P999 are latencies of application requests.
 	P50, P99, P999 time.Duration
 }
 
-// readyTimeout bounds the start of a cluster.
+// readyTimeout is the timeout for a cluster to become ready.
 const readyTimeout = 30 * time.Second
 
-// RunDemo runs the example cluster on loopback with both tenants' traffic
-// through a change of configuration, a planned restart of a node, the loss of
-// an engine and the leave of a back end.
+// RunDemo runs the example cluster on loopback under the traffic of both tenants. In the
+// meantime the configuration changes, a node is drained and restarted, an engine crashes, and
+// a back end leaves. Progress is written to output.
 func RunDemo(ctx context.Context, options DemoOptions, output io.Writer) (*DemoReport, error) {
-	described, err := ExampleOptions(NewLoopback(), options.Seed)
+	clusterOptions, err := ExampleOptions(NewLoopback(), options.Seed)
 	if err != nil {
 		return nil, err
 	}
 	fmt.Fprintf(output, "starting 3 nodes, 17 engines and 7 back ends on loopback\n")
-	cluster, err := Start(described)
+	cluster, err := Start(clusterOptions)
 	if err != nil {
 		return nil, err
 	}
 	defer cluster.Close()
-	ready, cancel := context.WithTimeout(ctx, readyTimeout)
+	readyCtx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	if err := cluster.WaitReady(ready); err != nil {
+	if err := cluster.WaitReady(readyCtx); err != nil {
 		return nil, err
 	}
-	fmt.Fprintf(output, "cluster is ready; traffic of both tenants begins\n")
+	fmt.Fprintf(output, "cluster is ready; starting the traffic of both tenants\n")
 	load := cluster.NewLoad(DemoLoad())
-	run, stop := context.WithTimeout(ctx, options.Duration)
+	trafficCtx, stop := context.WithTimeout(ctx, options.Duration)
 	defer stop()
-	var actors conc.WaitGroup
-	actors.Go(func() { load.Run(run) })
-	actors.Go(func() { cluster.demoEvents(run, options.Duration, output) })
-	actors.Go(func() { cluster.demoProgress(run, output) })
-	actors.Wait()
-	return cluster.demoReport(load), nil
+	var tasks conc.WaitGroup
+	tasks.Go(func() { load.Run(trafficCtx) })
+	tasks.Go(func() { cluster.runDemoEvents(trafficCtx, options.Duration, output) })
+	tasks.Go(func() { cluster.printDemoProgress(trafficCtx, output) })
+	tasks.Wait()
+	return cluster.newDemoReport(load), nil
 }
 
-// demoEvents lets the changes happen at fixed shares of the run.
-func (c *Cluster) demoEvents(ctx context.Context, duration time.Duration, output io.Writer) {
-	began := time.Now()
-	steps := []struct {
-		share float64
-		text  string
-		act   func() error
+// runDemoEvents triggers each event of the demo at a fixed fraction of the duration.
+func (c *Cluster) runDemoEvents(ctx context.Context, duration time.Duration, output io.Writer) {
+	startedAt := time.Now()
+	events := []struct {
+		fraction    float64
+		description string
+		trigger     func() error
 	}{
-		{0.2, "an operator publishes revision 2: Karri's rate goes up", c.publishDemoChange},
-		{0.4, "a node is drained and started again", func() error { return c.restartNode(c.Nodes[1]) }},
+		{0.2, "an operator publishes revision 2, which doubles Karri's request rate limit", c.publishDemoChange},
+		{0.4, "a node is drained and restarted", func() error { return c.restartNode(c.Nodes[1]) }},
 		{0.6, "an engine crashes and is replaced", func() error { return c.Replace(c.Engines[2]) }},
-		{0.75, "a back end leaves", func() error {
+		{0.75, "a back end announces that it is leaving", func() error {
 			c.BeginLeave(c.BackEnds[len(c.BackEnds)-1])
 			return nil
 		}},
 	}
-	for _, step := range steps {
-		if !wait.Until(ctx, began.Add(time.Duration(step.share*float64(duration)))) {
+	for _, event := range events {
+		if !wait.Until(ctx, startedAt.Add(time.Duration(event.fraction*float64(duration)))) {
 			return
 		}
-		fmt.Fprintf(output, "%5.1f s  %s\n", time.Since(began).Seconds(), step.text)
-		if err := step.act(); err != nil {
-			c.Truth.Violate("demo: %s: %v", step.text, err)
+		fmt.Fprintf(output, "%5.1f s  %s\n", time.Since(startedAt).Seconds(), event.description)
+		if err := event.trigger(); err != nil {
+			c.Truth.Violate("demo: %s: %v", event.description, err)
 		}
 	}
 }
@@ -118,9 +126,9 @@
 	return slot.Start()
 }
 
-func (c *Cluster) demoProgress(ctx context.Context, output io.Writer) {
+func (c *Cluster) printDemoProgress(ctx context.Context, output io.Writer) {
 	const interval = 2 * time.Second
-	began := time.Now()
+	startedAt := time.Now()
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
@@ -128,14 +136,14 @@
 		case <-ticker.C:
 			summary := c.Truth.Summary()
 			fmt.Fprintf(output, "%5.1f s  %5d requests answered, %5d samples delivered\n",
-				time.Since(began).Seconds(), summary.Answered, summary.Samples)
+				time.Since(startedAt).Seconds(), summary.Answered, summary.Samples)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (c *Cluster) demoReport(load *Load) *DemoReport {
+func (c *Cluster) newDemoReport(load *Load) *DemoReport {
 	report := &DemoReport{Summary: c.Truth.Summary(), Violations: c.Truth.Judge()}
 	for _, trainer := range load.Trainers {
 		tenant := TenantReport{
@@ -145,11 +153,11 @@
 			tenant.Versions = append(tenant.Versions, version)
 		}
 		slices.Sort(tenant.Versions)
-		staleness := report.Summary.Staleness[trainer.Tenant]
-		tenant.Samples = len(staleness)
-		for _, behind := range staleness {
-			tenant.StalenessMean += float64(behind) / float64(len(staleness))
-			tenant.StalenessMax = max(tenant.StalenessMax, behind)
+		stalenessValues := report.Summary.Staleness[trainer.Tenant]
+		tenant.Samples = len(stalenessValues)
+		for _, staleness := range stalenessValues {
+			tenant.StalenessMean += float64(staleness) / float64(len(stalenessValues))
+			tenant.StalenessMax = max(tenant.StalenessMax, staleness)
 		}
 		for _, caller := range load.Callers {
 			if strings.HasPrefix(caller.Name, trainer.Tenant) {
@@ -162,7 +170,7 @@
 	return report
 }
 
-// Print writes the report as one screen.
+// Print writes the report: a table of the tenants, the counters and the violations.
 func (r *DemoReport) Print(output io.Writer) {
 	writer := tabwriter.NewWriter(output, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(writer, "\ntenant\tsamples\tsteps\tversions\tstaleness mean/max/bound\ttrainer idle\trequests\tp50 ms\tp99 ms\tp99.9 ms")
--- a/internal/lab/doc.go
+++ b/internal/lab/doc.go
@@ -1,4 +1,4 @@
-// Package lab assembles whole systems out of real nodes and emulated
-// surroundings, on any network.Network: the demo and the load experiments on
-// loopback, the simulation in memory on a virtual clock.
+// Package lab assembles clusters of real nodes and an emulated environment (platform
+// services, engines and back ends) on any network.Network. The demo and the overhead
+// experiment run on loopback, the simulation in memory on a virtual clock.
 package lab
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestWholePathOverLoopback runs both tenants against real nodes on loopback
-// TCP and judges what callers and trainers saw.
-func TestWholePathOverLoopback(t *testing.T) {
+// TestExampleClusterOverLoopback runs the traffic of both tenants against real nodes on loopback
+// TCP and checks the invariants on what callers and trainers observed.
+func TestExampleClusterOverLoopback(t *testing.T) {
 	options, err := ExampleOptions(NewLoopback(), 1)
 	require.NoError(t, err)
 	cluster, err := Start(options)
@@ -23,9 +23,9 @@
 	load := cluster.NewLoad(LoadOptions{
 		TerangaRate: 50, KarriRate: 50, Groups: 2, SamplesPerGroup: 4, TrainTime: 200 * time.Millisecond, StepsPerVersion: 1,
 	})
-	run, stop := context.WithTimeout(ctx, 4*time.Second)
+	trafficCtx, stop := context.WithTimeout(ctx, 4*time.Second)
 	defer stop()
-	load.Run(run)
+	load.Run(trafficCtx)
 
 	require.Empty(t, cluster.Truth.Judge())
 	summary := cluster.Truth.Summary()
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -10,28 +10,32 @@
 	"github.com/pathbend/pathbend/internal/emulator"
 )
 
-// Load is the traffic of callers and trainers on a cluster.
+// Load generates the traffic of callers and trainers on a cluster.
 type Load struct {
 	Callers  []*emulator.Caller
 	Trainers []*emulator.Trainer
 }
 
-// LoadOptions size the traffic.
+// LoadOptions configure the traffic.
 type LoadOptions struct {
-	// TerangaRate and KarriRate are application requests a second.
+	// TerangaRate and KarriRate are the application requests per second of each tenant, 0 for
+	// no callers.
 	TerangaRate float64
 	KarriRate   float64
-	// Groups and SamplesPerGroup size a training step.
+	// Groups is the number of prompts in a training step, 0 for no trainers. Each prompt has
+	// SamplesPerGroup samples.
 	Groups          int
 	SamplesPerGroup int
-	TrainTime       time.Duration
+	// TrainTime is the time that a trainer takes for a step after collecting its samples.
+	TrainTime time.Duration
+	// StepsPerVersion is the number of steps after which a trainer announces a version.
 	StepsPerVersion int
 }
 
-// scoreTime is what the scoring service takes for a sample.
+// scoreTime is the time that the scoring service takes for a sample.
 const scoreTime = 20 * time.Millisecond
 
-// DemoLoad is the traffic of the demo.
+// DemoLoad returns the options of the demo's traffic.
 func DemoLoad() LoadOptions {
 	return LoadOptions{
 		TerangaRate: 120, KarriRate: 180, Groups: 8, SamplesPerGroup: 8,
@@ -39,7 +43,7 @@
 	}
 }
 
-// NewLoad builds the example traffic for a cluster.
+// NewLoad returns the traffic of both example tenants for the cluster.
 func (c *Cluster) NewLoad(options LoadOptions) *Load {
 	zones := c.Options.Zones
 	load := &Load{}
@@ -65,26 +69,27 @@
 	if options.Groups == 0 {
 		return
 	}
-	declared := c.Options.Document.FindTenant(tenant).FindModel(model)
+	modelSpec := c.Options.Document.FindTenant(tenant).FindModel(model)
 	l.Trainers = append(l.Trainers, &emulator.Trainer{
 		Name: tenant + "-trainer", Tenant: tenant, Model: model, Truth: c.Truth,
 		Client:      c.NewClient(tenant, tenant+"-trainer", zone, seed),
-		MaxVersions: declared.Freshness.MaxVersions, MaxTokens: declared.MaxTokens,
+		MaxVersions: modelSpec.Freshness.MaxVersions, MaxTokens: modelSpec.MaxTokens,
 		Groups: options.Groups, SamplesPerGroup: options.SamplesPerGroup, PromptBytes: 600,
 		TrainTime: options.TrainTime, StepsPerVersion: options.StepsPerVersion, ScoreTime: scoreTime,
 	})
 }
 
-// Run drives the traffic until ctx ends and waits for the last answers.
+// Run generates traffic until ctx ends, waits for the requests in progress and closes the
+// clients.
 func (l *Load) Run(ctx context.Context) {
-	var actors conc.WaitGroup
+	var tasks conc.WaitGroup
 	for _, caller := range l.Callers {
-		actors.Go(func() { caller.Run(ctx) })
+		tasks.Go(func() { caller.Run(ctx) })
 	}
 	for _, trainer := range l.Trainers {
-		actors.Go(func() { trainer.Run(ctx) })
+		tasks.Go(func() { trainer.Run(ctx) })
 	}
-	actors.Wait()
+	tasks.Wait()
 	for _, caller := range l.Callers {
 		caller.Client.Close()
 	}
--- a/internal/lab/loopback.go
+++ b/internal/lab/loopback.go
@@ -7,15 +7,16 @@
 	"github.com/pathbend/pathbend/internal/network"
 )
 
-// Loopback places every host on free ports of the loopback interface.
+// Loopback is a Networks in which every host uses free ports of the loopback interface.
 type Loopback struct {
 	network *network.Reserved
 
-	mutex    sync.Mutex
+	mutex sync.Mutex
+	// reserved maps a host and port to the address reserved for it.
 	reserved map[string]string
 }
 
-// NewLoopback returns a loopback network.
+// NewLoopback returns a Loopback without any reserved address.
 func NewLoopback() *Loopback {
 	return &Loopback{network: network.NewReserved(), reserved: make(map[string]string)}
 }
@@ -23,8 +24,8 @@
 // For implements Networks.
 func (l *Loopback) For(string, string) network.Network { return l.network }
 
-// Address implements Networks. The port is kept free for its first listener; the
-// same host and port get the same address again, as after a restart.
+// Address implements Networks. The returned port stays reserved until the first listener
+// uses it. The same host and port always get the same address, also after a restart.
 func (l *Loopback) Address(host string, port int) string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -34,7 +35,7 @@
 	}
 	address, err := l.network.Reserve()
 	if err != nil {
-		return "127.0.0.1:0" // the caller's own Listen reports the cause
+		return "127.0.0.1:0" // the subsequent Listen reports the cause
 	}
 	l.reserved[key] = address
 	return address
--- a/internal/lab/overhead_test.go
+++ b/internal/lab/overhead_test.go
@@ -13,8 +13,8 @@
 	"github.com/pathbend/pathbend/internal/fleet"
 )
 
-// benchmarkCluster starts three nodes before one pool of instant back ends.
-func benchmarkCluster(b *testing.B) *Cluster {
+// startBenchmarkCluster starts three nodes and one pool of back ends that answer without delay.
+func startBenchmarkCluster(b *testing.B) *Cluster {
 	b.Helper()
 	options, err := ExampleOptions(NewLoopback(), 1)
 	require.NoError(b, err)
@@ -28,10 +28,10 @@
 	return cluster
 }
 
-// BenchmarkApplicationRequest compares a direct call with one through a node,
+// BenchmarkApplicationRequest compares direct calls to a back end with calls through a node,
 // over loopback TCP.
 func BenchmarkApplicationRequest(b *testing.B) {
-	cluster := benchmarkCluster(b)
+	cluster := startBenchmarkCluster(b)
 	defer cluster.Close()
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 512, DisableCompression: true}, Timeout: 10 * time.Second}
 	defer client.CloseIdleConnections()
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -9,22 +9,23 @@
 	"github.com/pathbend/pathbend/internal/fleet"
 )
 
-// The tenants of the examples.
+// Names of the tenants in the example configuration.
 const (
 	Teranga = "teranga"
 	Karri   = "karri"
 )
 
-// DefaultZones are the three zones of the example cluster, named after the
-// sites of the first tenant.
+// DefaultZones returns the three zones of the example cluster, named after the sites of the
+// tenant Teranga.
 func DefaultZones() []string { return []string{"plateau", "fann", "diamniadio"} }
 
-// ExampleDocument loads the example declarations.
+// ExampleDocument loads the example configuration.
 func ExampleDocument() (*config.Document, error) {
 	return config.LoadFS(examples.Files, "examples")
 }
 
-// ExamplePools are the machines of both tenants at their sizes of today.
+// ExamplePools returns the machine pools of both example tenants at their current sizes, with the
+// given performance model of engines.
 func ExamplePools(model emulator.EngineModel) []Pool {
 	return []Pool{
 		{Name: "teranga-samplers", Role: fleet.RoleEngine, Size: 8, Model: model},
@@ -34,7 +35,7 @@
 	}
 }
 
-// TerangaMix is the application traffic of the card acquirer.
+// TerangaMix returns the application traffic of Teranga, a card acquirer.
 func TerangaMix() []emulator.RouteMix {
 	return []emulator.RouteMix{
 		{Route: "authorise", Weight: 6, AtMostOnce: true, BodyBytes: 400, Timeout: 2 * time.Second},
@@ -43,7 +44,7 @@
 	}
 }
 
-// KarriMix is the application traffic of the catalogue host.
+// KarriMix returns the application traffic of Karri, a catalogue host.
 func KarriMix() []emulator.RouteMix {
 	return []emulator.RouteMix{
 		{Route: "lookup", Weight: 8, BodyBytes: 100, Timeout: 2 * time.Second},
@@ -52,7 +53,8 @@
 	}
 }
 
-// ExampleOptions describe the example cluster.
+// ExampleOptions returns the options of the example cluster: one node per zone and the pools
+// of both tenants.
 func ExampleOptions(networks Networks, seed uint64) (Options, error) {
 	document, err := ExampleDocument()
 	return Options{
