--- a/internal/labcommand/measure.go
+++ b/internal/labcommand/measure.go
@@ -19,49 +19,49 @@
 )
 
 func newLoad() *cobra.Command {
-	var nodes, tenant, route, out string
+	var nodes, tenant, route, outDir string
 	var rate float64
 	var duration, timeout time.Duration
-	var body int
+	var bodyBytes int
 	var keyed bool
 	command := &cobra.Command{
-		Use: "load", Short: "Drive a running cluster open-loop and write a report",
-		Long:    "Send application requests at their due times, however long earlier ones take, so\nthat latencies include the waiting that a stalled service causes.",
+		Use: "load", Short: "Send open-loop load to a running cluster and write a report",
+		Long:    "Send application requests at scheduled times, regardless of how long earlier ones take,\nso that latencies include the queueing delay that a stalled service causes.",
 		Example: "  pathbend-lab load --nodes 127.0.0.1:8080 --tenant karri --route lookup --rate 500 --duration 30s", Args: cobra.NoArgs,
 	}
 	flags := command.Flags()
 	flags.StringVar(&nodes, "nodes", "127.0.0.1:8080", "HTTP addresses of nodes, comma-separated")
 	flags.StringVar(&tenant, "tenant", "karri", "tenant")
 	flags.StringVar(&route, "route", "lookup", "route")
-	flags.Float64Var(&rate, "rate", 100, "requests a second")
-	flags.DurationVar(&duration, "duration", 10*time.Second, "how long to send")
-	flags.DurationVar(&timeout, "timeout", 2*time.Second, "deadline of a request")
-	flags.IntVar(&body, "body", 200, "bytes in a request")
+	flags.Float64Var(&rate, "rate", 100, "requests per second")
+	flags.DurationVar(&duration, "duration", 10*time.Second, "how long requests are sent")
+	flags.DurationVar(&timeout, "timeout", 2*time.Second, "timeout of a request")
+	flags.IntVar(&bodyBytes, "body", 200, "size of a request body in bytes")
 	flags.BoolVar(&keyed, "at-most-once", false, "give every request an idempotency key")
-	flags.StringVar(&out, "out", "out", "directory for the report")
+	flags.StringVar(&outDir, "out", "out", "directory for the report")
 	command.RunE = func(command *cobra.Command, _ []string) error {
-		if rate <= 0 || duration <= 0 || body < 0 {
+		if rate <= 0 || duration <= 0 || bodyBytes < 0 {
 			return errors.New("--rate and --duration must be positive, --body at least 0")
 		}
 		truth := emulator.NewTruth()
-		truth.Blind = true // the executions happen in other processes
+		truth.Blind = true // back ends run in other processes, so their executions are not observed
 		caller := &emulator.Caller{
 			Name: fmt.Sprintf("load-%d", time.Now().UnixNano()), Rate: rate, Truth: truth, Random: newRandom(),
 			Client: client.New(client.Options{Addresses: splitList(nodes), Tenant: tenant, Spread: true}),
-			Mix:    []emulator.RouteMix{{Route: route, Weight: 1, AtMostOnce: keyed, BodyBytes: body, Timeout: timeout}},
+			Mix:    []emulator.RouteMix{{Route: route, Weight: 1, AtMostOnce: keyed, BodyBytes: bodyBytes, Timeout: timeout}},
 		}
 		ctx, cancel := context.WithTimeout(command.Context(), duration)
 		defer cancel()
-		began := time.Now()
+		startedAt := time.Now()
 		caller.Run(ctx)
 		result := report.Result{
-			Name: "load", Description: fmt.Sprintf("%s/%s at %g requests a second, open-loop.", tenant, route, rate), Started: began,
+			Name: "load", Description: fmt.Sprintf("%s/%s at %g requests per second, open-loop.", tenant, route, rate), Started: startedAt,
 			Command: "pathbend-lab load --route " + route + " --rate " + strconv.FormatFloat(rate, 'g', -1, 64),
 			Tables:  []report.Table{latencyTable(map[string]*hdrhistogram.Histogram{route: caller.Histogram()}, []string{route})},
 			Charts:  []report.Chart{latencyChart(map[string]*hdrhistogram.Histogram{route: caller.Histogram()}, []string{route})},
 		}
-		result.Tables = append(result.Tables, refusalTable(truth.Summary()))
-		if err := writeAndPrint(command, out, result); err != nil {
+		result.Tables = append(result.Tables, outcomeTable(truth.Summary()))
+		if err := writeAndPrint(command, outDir, result); err != nil {
 			return err
 		}
 		if violations := truth.Judge(); len(violations) > 0 {
@@ -72,7 +72,8 @@
 	return command
 }
 
-func refusalTable(summary emulator.Summary) report.Table {
+// outcomeTable counts the answered requests and the refused ones by result code.
+func outcomeTable(summary emulator.Summary) report.Table {
 	table := report.Table{Title: "Outcomes", Columns: []string{"outcome", "requests"}}
 	table.Rows = append(table.Rows, []string{"answered", strconv.Itoa(summary.Answered)})
 	for code, count := range summary.Refusals {
@@ -81,14 +82,16 @@
 	return table
 }
 
-var quantiles = []float64{50, 90, 99, 99.9, 100}
+// tableQuantiles are the quantiles, in percent, in a latency table.
+var tableQuantiles = []float64{50, 90, 99, 99.9, 100}
 
-// latencyTable lists quantiles of latencies in microseconds.
+// latencyTable lists quantiles of histograms in microseconds, one row per series in the given
+// order.
 func latencyTable(histograms map[string]*hdrhistogram.Histogram, order []string) report.Table {
 	table := report.Table{Title: "Latency", Columns: []string{"series", "requests", "p50 ms", "p90 ms", "p99 ms", "p99.9 ms", "max ms"}}
 	for _, name := range order {
 		row := []string{name, strconv.FormatInt(histograms[name].TotalCount(), 10)}
-		for _, quantile := range quantiles {
+		for _, quantile := range tableQuantiles {
 			row = append(row, report.Milliseconds(time.Duration(histograms[name].ValueAtQuantile(quantile))*time.Microsecond))
 		}
 		table.Rows = append(table.Rows, row)
@@ -96,7 +99,7 @@
 	return table
 }
 
-// chartQuantiles are the quantiles, in percent, at which a line has points.
+// chartQuantiles returns the quantiles, in percent, at which a chart line has points.
 func chartQuantiles() []float64 {
 	var quantiles []float64
 	for percent := range 100 {
@@ -105,7 +108,7 @@
 	return append(quantiles, 99.5, 99.9, 99.99, 100)
 }
 
-// latencyChart draws cumulative distributions.
+// latencyChart plots the cumulative distribution of each histogram.
 func latencyChart(histograms map[string]*hdrhistogram.Histogram, order []string) report.Chart {
 	chart := report.Chart{Title: "Latency distribution", XLabel: "milliseconds", YLabel: "share of requests", LogX: true}
 	for _, name := range order {
@@ -119,8 +122,9 @@
 	return chart
 }
 
-func writeAndPrint(command *cobra.Command, out string, result report.Result) error {
-	page, err := report.Write(out, result)
+// writeAndPrint writes the report files to a directory and prints the tables.
+func writeAndPrint(command *cobra.Command, outDir string, result report.Result) error {
+	page, err := report.Write(outDir, result)
 	if err != nil {
 		return err
 	}
@@ -145,44 +149,44 @@
 
 func newOverhead() *cobra.Command {
 	options := lab.OverheadOptions{Route: "lookup"}
-	var out string
+	var outDir string
 	command := &cobra.Command{
-		Use: "overhead", Short: "Compare direct calls with calls through three nodes, in one run",
+		Use: "overhead", Short: "Compare direct calls with calls through three nodes in one run",
 		Example: "  pathbend-lab experiment overhead --rate 2100 --window 5s --rounds 3", Args: cobra.NoArgs,
 	}
 	flags := command.Flags()
-	flags.Float64Var(&options.Rate, "rate", 2100, "requests a second over all nodes")
-	flags.DurationVar(&options.Window, "window", 5*time.Second, "length of one measurement")
-	flags.IntVar(&options.Rounds, "rounds", 3, "alternations of direct and routed windows")
-	flags.BoolVar(&options.Keyed, "at-most-once", false, "measure the order-line route with idempotency keys")
-	flags.StringVar(&out, "out", "out", "directory for the report")
+	flags.Float64Var(&options.Rate, "rate", 2100, "requests per second over all nodes")
+	flags.DurationVar(&options.Window, "window", 5*time.Second, "duration of one measurement")
+	flags.IntVar(&options.Rounds, "rounds", 3, "number of direct and of routed windows, which alternate")
+	flags.BoolVar(&options.Keyed, "at-most-once", false, "measure the order-line route, with idempotency keys")
+	flags.StringVar(&outDir, "out", "out", "directory for the report")
 	command.RunE = func(command *cobra.Command, _ []string) error {
 		if options.Keyed {
 			options.Route = "order-line"
 		}
-		// One process holds callers, nodes and back ends; the collector is set
-		// as in a node.
+		// Callers, nodes and back ends share one process; use the garbage collector setting
+		// of a node.
 		debug.SetGCPercent(400)
-		began := time.Now()
+		startedAt := time.Now()
 		measured, err := lab.MeasureOverhead(command.Context(), options)
 		if err != nil {
 			return err
 		}
-		return writeAndPrint(command, out, overheadResult(options, began, measured))
+		return writeAndPrint(command, outDir, overheadReport(options, startedAt, measured))
 	}
 	return command
 }
 
-func overheadResult(options lab.OverheadOptions, began time.Time, measured *lab.OverheadResult) report.Result {
+func overheadReport(options lab.OverheadOptions, startedAt time.Time, measured *lab.OverheadResult) report.Result {
 	histograms := map[string]*hdrhistogram.Histogram{"direct": measured.Direct, "through nodes": measured.Routed}
 	order := []string{"direct", "through nodes"}
-	added := func(quantile float64) string {
+	addedMicros := func(quantile float64) string {
 		difference := measured.Routed.ValueAtQuantile(quantile) - measured.Direct.ValueAtQuantile(quantile)
 		return strconv.FormatInt(difference, 10)
 	}
 	summary := report.Table{Title: "Overhead", Columns: []string{"figure", "value"}, Rows: [][]string{
-		{"added p50, microseconds", added(50)},
-		{"added p99, microseconds", added(99)},
+		{"added p50, microseconds", addedMicros(50)},
+		{"added p99, microseconds", addedMicros(99)},
 		{"failures", strconv.FormatInt(measured.Failures, 10)},
 		{"processor time per routed request, microseconds, caller and back end included", strconv.FormatInt(measured.CPUPerRequest.Microseconds(), 10)},
 		{"allocations per routed request, caller and back end included", strconv.FormatFloat(measured.AllocsPerRequest, 'f', 0, 64)},
@@ -192,8 +196,8 @@
 		name = "overhead-at-most-once"
 	}
 	return report.Result{
-		Name: name, Started: began,
-		Description: fmt.Sprintf("%g requests a second through three nodes against direct calls of the same back ends, in alternating windows of one run.", options.Rate),
+		Name: name, Started: startedAt,
+		Description: fmt.Sprintf("%g requests per second through three nodes, compared with direct calls to the same back ends in alternating windows of one run.", options.Rate),
 		Command:     fmt.Sprintf("pathbend-lab experiment overhead --rate %g --window %v --rounds %d", options.Rate, options.Window, options.Rounds),
 		Tables:      []report.Table{latencyTable(histograms, order), summary},
 		Charts:      []report.Chart{latencyChart(histograms, order)},
@@ -202,18 +206,18 @@
 
 func newReport() *cobra.Command {
 	return &cobra.Command{
-		Use: "report FILE.json", Short: "Render the plots and page of a result again",
+		Use: "report FILE.json", Short: "Render the charts and page of a stored result",
 		Example: "  pathbend-lab report out/overhead.json", Args: cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, arguments []string) error {
 			result, err := report.Read(arguments[0])
 			if err != nil {
 				return err
 			}
-			base := strings.TrimSuffix(arguments[0], ".json")
-			if err := report.Render(base, result); err != nil {
+			basePath := strings.TrimSuffix(arguments[0], ".json")
+			if err := report.Render(basePath, result); err != nil {
 				return err
 			}
-			fmt.Fprintln(command.OutOrStdout(), "report:", base+".html")
+			fmt.Fprintln(command.OutOrStdout(), "report:", basePath+".html")
 			return nil
 		},
 	}
--- a/internal/labcommand/root.go
+++ b/internal/labcommand/root.go
@@ -1,4 +1,5 @@
-// Package labcommand is the command line of pathbend-lab.
+// Package labcommand implements the command line of pathbend-lab: the demo, load generation,
+// experiments, the soak test and emulated services.
 package labcommand
 
 import (
@@ -17,11 +18,11 @@
 	"github.com/pathbend/pathbend/internal/lab"
 )
 
-// errViolations makes the command exit with a failure.
+// errViolations makes the command exit with code 1.
 var errViolations = errors.New("invariants were violated")
 
-// Run executes the command line and returns the exit code: 0, or 1 on any
-// error or violation.
+// Run executes the command line and returns the exit code: 0 on success, 1 on any error or
+// violated invariant. SIGINT and SIGTERM cancel the command.
 func Run(arguments []string, output, errorOutput io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -36,10 +37,10 @@
 	return 0
 }
 
-// printVerdict prints a report and fails the command if promises were broken.
-func printVerdict(output io.Writer, report interface{ Print(output io.Writer) }, broken int) error {
+// printReport prints a report and returns errViolations if there were any violations.
+func printReport(output io.Writer, report interface{ Print(output io.Writer) }, violations int) error {
 	report.Print(output)
-	if broken > 0 {
+	if violations > 0 {
 		return errViolations
 	}
 	return nil
@@ -48,7 +49,7 @@
 func newRoot() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "pathbend-lab",
-		Short:         "Emulate what surrounds pathbend; run the demo, load and experiments",
+		Short:         "Emulate the environment of pathbend; run the demo, load, experiments and tests",
 		Example:       "  pathbend-lab demo\n  pathbend-lab experiment overhead --out out",
 		SilenceUsage:  true,
 		SilenceErrors: true,
@@ -60,14 +61,14 @@
 func newDemo() *cobra.Command {
 	var options lab.DemoOptions
 	command := &cobra.Command{
-		Use: "demo", Short: "Run both example tenants on loopback and judge what they saw",
+		Use: "demo", Short: "Run both example tenants on loopback and check invariants",
 		Example: "  pathbend-lab demo --duration 20s", Args: cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			report, err := lab.RunDemo(command.Context(), options, command.OutOrStdout())
 			if err != nil {
 				return err
 			}
-			return printVerdict(command.OutOrStdout(), report, len(report.Violations))
+			return printReport(command.OutOrStdout(), report, len(report.Violations))
 		},
 	}
 	command.Flags().DurationVar(&options.Duration, "duration", 18*time.Second, "how long the traffic runs")
@@ -75,7 +76,7 @@
 	return command
 }
 
-// splitList splits a comma-separated flag.
+// splitList splits a comma-separated flag and drops empty items.
 func splitList(text string) []string {
 	var items []string
 	for item := range strings.SplitSeq(text, ",") {
--- a/internal/labcommand/soak.go
+++ b/internal/labcommand/soak.go
@@ -14,29 +14,30 @@
 	"github.com/pathbend/pathbend/internal/soak"
 )
 
-// programName is that of the product beside this program.
+// programName is the file name of the pathbend program, which is expected in the directory of
+// this program.
 const programName = "pathbend"
 
 func newSoak() *cobra.Command {
 	var options soak.Options
-	var logs string
+	var logPath string
 	command := &cobra.Command{
-		Use: "soak", Short: "Trouble real processes of the platform face and judge what callers and samplers see",
-		Long: "Starts six nodes as processes of their own before stand-ins on loopback, troubles\n" +
-			"them in rounds (signals, links, store, samplers) and judges each promise. The last\n" +
-			"line is the verdict. A run is repeated by its seed; the wall clock is not.",
+		Use: "soak", Short: "Inject faults into real node processes and check what callers and samplers observe",
+		Long: "Start six nodes as separate processes against emulated services on loopback, inject\n" +
+			"faults in rounds (signals, links, store, samplers) and check each promise. The last\n" +
+			"line is the verdict. The same seed repeats the faults, but not their exact timing.",
 		Example: "  pathbend-lab soak --time 2m\n  pathbend-lab soak --time 20s --seed 7 --logs out/soak.log", Args: cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			if options.Time <= 0 {
-				return errors.New("--time: must be greater than 0; write for example 2m")
+				return errors.New("--time: must be greater than 0, for example 2m")
 			}
-			if err := findProgram(&options.Program); err != nil {
+			if err := resolveProgram(&options.Program); err != nil {
 				return err
 			}
 			if options.Seed == 0 {
 				options.Seed = rand.Uint64N(1 << 32)
 			}
-			closeLogs, err := openLogs(&options.Logs, logs)
+			closeLogs, err := openLogs(&options.Logs, logPath)
 			if err != nil {
 				return err
 			}
@@ -47,37 +48,38 @@
 			if err != nil {
 				return err
 			}
-			return printVerdict(command.OutOrStdout(), &report, len(report.Violations))
+			return printReport(command.OutOrStdout(), &report, len(report.Violations))
 		},
 	}
 	command.Flags().DurationVar(&options.Time, "time", 2*time.Minute, "how long the traffic runs")
-	command.Flags().Uint64Var(&options.Seed, "seed", 0, "seed of troubles, stand-ins and callers; drawn if 0")
-	command.Flags().StringVar(&options.Program, "program", "", "the pathbend program; the one beside this program if empty")
-	command.Flags().StringVar(&logs, "logs", "", "file for what the processes write; none if empty")
+	command.Flags().Uint64Var(&options.Seed, "seed", 0, "seed of faults, emulated services and callers; random if 0")
+	command.Flags().StringVar(&options.Program, "program", "", "path of the pathbend program; by default in the directory of this program")
+	command.Flags().StringVar(&logPath, "logs", "", "file for the output of the processes; none if empty")
 	return command
 }
 
-// findProgram fills in the program beside this one.
-func findProgram(program *string) error {
+// resolveProgram sets an empty path to that of pathbend in the directory of this program, and
+// checks that the file exists.
+func resolveProgram(program *string) error {
 	if *program == "" {
-		own, err := os.Executable()
+		executable, err := os.Executable()
 		if err != nil {
-			return errors.Wrap(err, "find this program")
+			return errors.Wrap(err, "locate this program")
 		}
-		*program = filepath.Join(filepath.Dir(own), programName)
+		*program = filepath.Join(filepath.Dir(executable), programName)
 	}
 	if _, err := os.Stat(*program); err != nil {
-		return errors.Wrap(err, "--program: build it with `make build`, or name it")
+		return errors.Wrap(err, "--program: build pathbend with `make build`, or pass its path")
 	}
 	return nil
 }
 
-// openLogs opens the file for logs, if one is named.
-func openLogs(writer *io.Writer, name string) (closeFile func(), err error) {
-	if name == "" {
+// openLogs creates the log file and sets writer to it. An empty path leaves writer unchanged.
+func openLogs(writer *io.Writer, path string) (closeFile func(), err error) {
+	if path == "" {
 		return func() {}, nil
 	}
-	file, err := os.Create(name)
+	file, err := os.Create(path)
 	if err != nil {
 		return nil, errors.Wrap(err, "--logs")
 	}
