--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,5 @@
-# Targets for users and developers. `make demo` and `make test` are the two
-# commands of the README; both work on a machine with only Go and make.
+# Targets for users and developers. `make demo` and `make test`, the commands in the README,
+# require only Go and make.
 
 GO ?= go
 BIN := bin
@@ -16,8 +16,8 @@
 demo:
 	$(GO) run ./cmd/pathbend-lab demo
 
-# Tests on the list KNOWN-RED.txt are run and printed like all others, and must fail;
-# any other failure fails the target.
+# Runs all tests. Tests listed in KNOWN-RED.txt must fail; their failures are printed but do
+# not fail the target. Any other failure does.
 test: build
 	$(GO) test -count=1 -json ./... | $(BIN)/pathbend-lab judge-tests --known KNOWN-RED.txt
 
@@ -32,7 +32,7 @@
 build:
 	$(GO) build -o $(BIN)/ ./cmd/...
 
-# Runs seeded fault schedules on all cores, for example
+# Runs the simulations with random faults for SEEDS seeds on all cores, for example:
 # make simulate FIRST_SEED=1 SEEDS=200
 simulate:
 	$(GO) test -count=1 -timeout 0 ./internal/simulation -run TestSeeds -v \
@@ -40,16 +40,17 @@
 	$(GO) test -count=1 -timeout 0 ./internal/platformsim -run TestSeeds -v \
 		-first-seed=$(FIRST_SEED) -seeds=$(SEEDS)
 
-# Switches one mechanism off at a time and expects the simulation to fail.
+# Mutation tests: disables one mechanism at a time and requires the simulation or soak test to
+# fail.
 mutations:
 	$(GO) test -count=1 -timeout 0 -tags mutation ./internal/simulation ./internal/platformsim ./internal/soak -run TestEachMechanismIsNeeded -v
 
-# Troubles real processes on this machine for a while and judges what their callers
-# see; a fresh seed unless one is given, for example make soak SOAK_TIME=20m SEED=7
+# Injects faults into real processes on this machine for SOAK_TIME and checks what their callers
+# observe. SEED=0 selects a random seed. For example: make soak SOAK_TIME=20m SEED=7
 soak: build
 	$(BIN)/pathbend-lab soak --time $(SOAK_TIME) --seed $(SEED)
 
-# Runs all experiments into $(OUT).
+# Runs all experiments and writes their reports to $(OUT).
 experiments: build
 	$(BIN)/pathbend-lab experiment overhead --out $(OUT)
 	$(BIN)/pathbend-lab experiment overhead --at-most-once --out $(OUT)
@@ -64,7 +65,7 @@
 	$(GO) test ./platform -run '^$$' -fuzz FuzzDocuments -fuzztime $(FUZZTIME)
 	$(GO) test ./platform -run '^$$' -fuzz FuzzSamplerEntries -fuzztime $(FUZZTIME)
 
-# Regenerates the committed protobuf code; needs protoc and protoc-gen-go.
+# Regenerates the committed protobuf code. Requires protoc and protoc-gen-go.
 generate:
 	protoc -I . --go_out=. --go_opt=paths=source_relative api/pathbend/v1/*.proto
 
