--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -88,10 +88,10 @@
 	err      *result.Error
 }
 
-// Enter blocks until the request may start and returns a function that the
+// Acquire blocks until the request may start and returns a function that the
 // caller must call when the request has ended. An error means that the request
 // did not start: it was refused, its deadline passed or ctx was cancelled.
-func (g *Gate) Enter(ctx context.Context, tenant string, priority Priority, deadline time.Time) (func(), error) {
+func (g *Gate) Acquire(ctx context.Context, tenant string, priority Priority, deadline time.Time) (func(), error) {
 	request := &Request{Priority: priority, Deadline: deadline}
 	controller, decided, err := g.submit(tenant, request)
 	if err != nil {
@@ -153,7 +153,7 @@
 	return nil, result.New(result.DeadlineInQueue, "the deadline passed while the request was queued").WithRetryAfter(queueRetryAfter)
 }
 
-// resolve turns the final decision on a queued request into the results of Enter.
+// resolve turns the final decision on a queued request into the results of Acquire.
 func (g *Gate) resolve(controller *Controller, final outcome) (func(), error) {
 	if final.decision == Admitted {
 		return func() { g.finish(controller) }, nil
--- a/internal/carry/carry_test.go
+++ b/internal/carry/carry_test.go
@@ -29,7 +29,7 @@
 		avoided := rapid.SampledFrom([]string{"aa", "bb", ""}).Draw(t, "avoided")
 		avoid := func(name string) bool { return name == avoided }
 		regions := locality.Only("south")
-		chosen, found := Choose(nodes, twoRegions, regions, avoid)
+		chosen, found := ChooseWorker(nodes, twoRegions, regions, avoid)
 		largest := uint64(0)
 		for _, node := range nodes {
 			if node.Zone == "s" && node.Address != "" && !avoid(node.Name) {
@@ -42,19 +42,19 @@
 		}
 		require.Equal(t, "s", chosen.Zone)
 		require.Equal(t, largest, chosen.Millicores)
-		permuted, _ := Choose(rapid.Permutation(nodes).Draw(t, "order"), twoRegions, regions, avoid)
+		permuted, _ := ChooseWorker(rapid.Permutation(nodes).Draw(t, "order"), twoRegions, regions, avoid)
 		require.Equal(t, chosen, permuted)
 	})
 }
 
 func TestReplacedExecutorIsRejected(t *testing.T) {
-	current := Session{Decider: "b", Generation: 5, ID: 9}
+	current := Session{Executor: "b", Generation: 5, ID: 9}
 	begins, err := current.Admit(current)
 	require.NoError(t, err)
 	require.False(t, begins)
-	_, err = current.Admit(Session{Decider: "a", Generation: 4, ID: 8})
+	_, err = current.Admit(Session{Executor: "a", Generation: 4, ID: 8})
 	require.True(t, result.Is(err, result.LeaseConflict))
-	for _, newer := range []Session{{Decider: "a", Generation: 6, ID: 1}, {Decider: "b", Generation: 5, ID: 10}} {
+	for _, newer := range []Session{{Executor: "a", Generation: 6, ID: 1}, {Executor: "b", Generation: 5, ID: 10}} {
 		begins, err = current.Admit(newer)
 		require.NoError(t, err)
 		require.True(t, begins, "%v", newer)
@@ -104,43 +104,43 @@
 // was not delayed, is not reported.
 func TestDelayedCallIsDetected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var delays Way
+		var delays DelayEstimator
 		arrived := time.Unix(1000, 0).Add(time.Duration(rapid.Int64Range(-1e12, 1e12).Draw(t, "offset")))
 		const transit = 8 * time.Millisecond
 		sent := time.Duration(0)
 		for range rapid.IntRange(1, 20).Draw(t, "calls") {
 			sent += time.Duration(rapid.Int64Range(0, 1e9).Draw(t, "pause"))
-			require.Zero(t, delays.HeldUp(arrived.Add(sent+transit), sent))
+			require.Zero(t, delays.Delay(arrived.Add(sent+transit), sent))
 		}
 		delay := time.Duration(rapid.Int64Range(1, 1e10).Draw(t, "delay"))
-		require.Equal(t, delay, delays.HeldUp(arrived.Add(sent+transit+delay), sent))
-		require.Zero(t, delays.HeldUp(arrived.Add(sent+delay+transit), sent+delay))
+		require.Equal(t, delay, delays.Delay(arrived.Add(sent+transit+delay), sent))
+		require.Zero(t, delays.Delay(arrived.Add(sent+delay+transit), sent+delay))
 	})
 }
 
 // Clocks drift. With a baseline that never expired, a worker whose clock ran 0.01 % fast took
 // every call of a two-hour session for a delayed one.
 func TestClockDriftIsNotTakenForDelay(t *testing.T) {
-	var delays Way
+	var delays DelayEstimator
 	const pause, transit, drift = 250 * time.Millisecond, 8 * time.Millisecond, 1e-4
 	arrived, sent := time.Unix(1000, 0), time.Duration(0)
 	for sent < 2*time.Hour {
 		sent += pause
 		at := arrived.Add(transit + sent + time.Duration(drift*float64(sent)))
-		require.Less(t, delays.HeldUp(at, sent), 10*time.Millisecond)
+		require.Less(t, delays.Delay(at, sent), 10*time.Millisecond)
 	}
 	delayedArrival := arrived.Add(transit + sent + time.Duration(drift*float64(sent)) + time.Second)
-	require.Greater(t, delays.HeldUp(delayedArrival, sent), 900*time.Millisecond)
+	require.Greater(t, delays.Delay(delayedArrival, sent), 900*time.Millisecond)
 }
 
 // Calls that arrive after the process was frozen, for however long, count as delayed.
 func TestCallAfterALongFreezeIsDelayed(t *testing.T) {
-	var delays Way
+	var delays DelayEstimator
 	began := time.Unix(1000, 0)
 	for sent := time.Duration(0); sent < time.Minute; sent += time.Second {
-		require.Zero(t, delays.HeldUp(began.Add(sent), sent))
+		require.Zero(t, delays.Delay(began.Add(sent), sent))
 	}
 	for _, freeze := range []time.Duration{time.Second, 3 * time.Minute} {
-		require.Equal(t, freeze, delays.HeldUp(began.Add(time.Minute+freeze), time.Minute))
+		require.Equal(t, freeze, delays.Delay(began.Add(time.Minute+freeze), time.Minute))
 	}
 }
--- a/internal/carry/choose.go
+++ b/internal/carry/choose.go
@@ -16,15 +16,15 @@
 	Millicores uint64
 }
 
-// Choose returns the worker for items that must stay in the given regions, or false if no node
+// ChooseWorker returns the worker for items that must stay in the given regions, or false if no node
 // there is eligible. It picks the node with the highest rendezvous hash among those with a large
 // machine, or among all if none is large. Every executor makes the same choice, so that a
 // successor finds the texts that the worker holds. avoided reports nodes that failed recently.
-func Choose(nodes []Node, topology locality.Topology, regions locality.Regions, avoided func(name string) bool) (Node, bool) {
+func ChooseWorker(nodes []Node, topology locality.Topology, regions locality.Regions, avoided func(name string) bool) (Node, bool) {
 	var eligible []Node
 	view := election.View{}
 	for _, node := range nodes {
-		if node.Address != "" && regions.Allow(topology.Region(node.Zone)) && !avoided(node.Name) {
+		if node.Address != "" && regions.Allows(topology.Region(node.Zone)) && !avoided(node.Name) {
 			eligible = append(eligible, node)
 			view.Largest = max(view.Largest, node.Millicores)
 		}
@@ -33,7 +33,7 @@
 	var highest uint64
 	found := false
 	for _, node := range eligible {
-		if !view.Regular(node.Millicores) {
+		if !view.IsLarge(node.Millicores) {
 			continue
 		}
 		hash := xxhash.Sum64String(regions.String() + "\x00" + node.Name)
--- a/internal/carry/session.go
+++ b/internal/carry/session.go
@@ -8,7 +8,7 @@
 
 // Session identifies a period in which one node is the executor of a share of the batch jobs.
 type Session struct {
-	Decider string
+	Executor string
 	// Generation is that of the share of the jobs. It increases with every change of
 	// the share's assignment.
 	Generation uint64
@@ -23,7 +23,7 @@
 	case call == s:
 		return false, nil
 	case call.Generation < s.Generation:
-		return false, result.New(result.LeaseConflict, "%s has been the executor since generation %d", s.Decider, s.Generation)
+		return false, result.New(result.LeaseConflict, "%s has been the executor since generation %d", s.Executor, s.Generation)
 	}
 	return true, nil
 }
@@ -33,10 +33,10 @@
 // within that maximum.
 const baselineWindow = 10 * time.Second
 
-// Way estimates by how much the calls of a session were delayed, from their send times on the
+// DelayEstimator estimates by how much the calls of a session were delayed, from their send times on the
 // caller's clock and their arrival times on the local one. The clocks may differ by any offset,
 // and may drift slowly. The zero value has observed no call.
-type Way struct {
+type DelayEstimator struct {
 	// firstArrival is the arrival time of the first call, from which transit times are counted.
 	firstArrival time.Time
 	// minimum is the least transit time, up to a constant offset, since windowStart;
@@ -46,9 +46,9 @@
 	windowStart     time.Time
 }
 
-// HeldUp returns how much longer a call was in transit than the fastest recent one. Calls before
+// Delay returns how much longer a call was in transit than the fastest recent one. Calls before
 // a pause remain the baseline after it, however long the pause was.
-func (w *Way) HeldUp(arrived time.Time, sent time.Duration) time.Duration {
+func (w *DelayEstimator) Delay(arrived time.Time, sent time.Duration) time.Duration {
 	if w.firstArrival.IsZero() {
 		w.firstArrival, w.windowStart, w.minimum, w.previousMinimum = arrived, arrived, -sent, -sent
 	}
--- a/internal/catalog/admission.go
+++ b/internal/catalog/admission.go
@@ -5,13 +5,13 @@
 	"github.com/pathbend/pathbend/internal/result"
 )
 
-// Caller returns the tenant that holds an API key. It returns the zero tenant if the
+// TenantForKey returns the tenant that holds an API key. It returns the zero tenant if the
 // deployment has no tenants, and an Unauthenticated error if no tenant holds the key.
-func (c *Catalog) Caller(key string) (credential.Tenant, error) {
+func (c *Catalog) TenantForKey(key string) (credential.Tenant, error) {
 	if c.Keys == nil {
 		return credential.Tenant{}, nil
 	}
-	tenant, held := c.Keys.Holder(key)
+	tenant, held := c.Keys.TenantByKey(key)
 	switch {
 	case held:
 		return tenant, nil
@@ -22,10 +22,10 @@
 	}
 }
 
-// Admit returns the tenant on whose behalf a caller with an API key uses a route. A
+// Authenticate returns the tenant on whose behalf a caller with an API key uses a route. A
 // public route needs no key, but a valid key still determines the tenant.
-func (c *Catalog) Admit(route *Route, key string) (credential.Tenant, error) {
-	tenant, err := c.Caller(key)
+func (c *Catalog) Authenticate(route *Route, key string) (credential.Tenant, error) {
+	tenant, err := c.TenantForKey(key)
 	if err != nil && route.Public {
 		return credential.Tenant{}, nil
 	}
--- a/internal/catalog/admission_test.go
+++ b/internal/catalog/admission_test.go
@@ -33,7 +33,7 @@
 		{"public route, unknown key", withTenants, public, "other-key", "", false},
 		{"empty keyring admits no key", withoutKeys, private, "held-key", "", true},
 	} {
-		tenant, err := test.catalog.Admit(test.route, test.key)
+		tenant, err := test.catalog.Authenticate(test.route, test.key)
 		require.Equal(t, test.denied, result.Is(err, result.Unauthenticated), test.name)
 		require.Equal(t, test.denied, err != nil, test.name)
 		require.Equal(t, test.tenant, tenant.Name, test.name)
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -17,13 +17,13 @@
 	"github.com/pathbend/pathbend/internal/result"
 )
 
-// Kind is the type of a route's requests: how often they may run and what they carry.
-type Kind int
+// RouteKind is the type of a route's requests: how often they may run and what they carry.
+type RouteKind int
 
 // Kinds of routes.
 const (
 	// Repeatable requests may run more than once.
-	Repeatable Kind = iota + 1
+	Repeatable RouteKind = iota + 1
 	// AtMostOnce requests run at most once each time the caller sends them.
 	AtMostOnce
 	// Stream requests are answered with a stream of events.
@@ -32,8 +32,8 @@
 	Rollout
 )
 
-// Share is a service's weighted share of a route's traffic.
-type Share struct {
+// TrafficShare is a service's weighted share of a route's traffic.
+type TrafficShare struct {
 	Service string
 	Weight  int
 }
@@ -43,11 +43,11 @@
 	Name   string
 	Host   string
 	Prefix string
-	Kind   Kind
+	Kind   RouteKind
 	// Timeout limits how long a request may take; 0 means no limit.
 	Timeout time.Duration
-	// Objective is the latency objective of an answer.
-	Objective time.Duration
+	// LatencyObjective is the latency objective of an answer.
+	LatencyObjective time.Duration
 	// MaxAttempts limits the samplers that are tried for one request of a caller.
 	MaxAttempts int
 	Priority    int
@@ -56,16 +56,16 @@
 	Public bool
 	// SingleVersion requires that one weight version generates an item's whole text.
 	SingleVersion bool
-	// Due is the time from the submission of a batch job by which all its results
+	// ResultsDueAfter is the time from the submission of a batch job by which all its results
 	// should be complete.
-	Due time.Duration
-	// GiveUp is the time from the submission of a batch job after which items may be
+	ResultsDueAfter time.Duration
+	// AbandonAfter is the time from the submission of a batch job after which items may be
 	// abandoned.
-	GiveUp time.Duration
+	AbandonAfter time.Duration
 	// Regions are the regions in which requests of the route may be served.
 	Regions locality.Regions
-	// Shares has at least one entry.
-	Shares []Share
+	// TrafficShares has at least one entry.
+	TrafficShares []TrafficShare
 }
 
 // Service is a group of samplers.
@@ -77,22 +77,22 @@
 	Slots int
 	// MaxConnections limits the connections to one sampler from all callers together.
 	MaxConnections int
-	// ColdStart is how long a sampler is cold (warming up) after its start; 0 if samplers
+	// ColdDuration is how long a sampler is cold (warming up) after its start; 0 if samplers
 	// are never cold.
-	ColdStart time.Duration
-	// ColdPerSecond is the number of requests per second that a cold sampler can serve; 0
+	ColdDuration time.Duration
+	// ColdRequestsPerSecond is the number of requests per second that a cold sampler can serve; 0
 	// if samplers are never cold.
-	ColdPerSecond float64
+	ColdRequestsPerSecond float64
 	// Scaling is nil if the service is not scaled automatically.
 	Scaling *Scaling
 }
 
 // Scaling limits the samplers that are ordered from the platform.
 type Scaling struct {
-	// Max limits the samplers in each zone, on-demand and spot together.
-	Max int
-	// Boot is how long a new sampler takes until it serves requests.
-	Boot time.Duration
+	// MaxSamplersPerZone limits the samplers in each zone, on-demand and spot together.
+	MaxSamplersPerZone int
+	// BootTime is how long a new sampler takes until it serves requests.
+	BootTime time.Duration
 	// SpotPrice is the price of a spot sampler as a fraction of the on-demand price; 0
 	// if there are no spot samplers.
 	SpotPrice float64
@@ -102,10 +102,10 @@
 
 // Limits limits the requests that clients may send. A zero value means no limit.
 type Limits struct {
-	HeaderBytes   int
-	BodyBytes     int64
-	HeaderTimeout time.Duration
-	IdleTimeout   time.Duration
+	MaxHeaderBytes int
+	MaxBodyBytes   int64
+	HeaderTimeout  time.Duration
+	IdleTimeout    time.Duration
 }
 
 // Catalog is one version of the declared routes and services. It is immutable and safe
@@ -153,7 +153,7 @@
 		return invalidRoute(r.Name, "prefix", "must begin and end with a slash")
 	case r.Kind == 0:
 		return invalidRoute(r.Name, "kind", "must be a known kind")
-	case len(r.Shares) == 0:
+	case len(r.TrafficShares) == 0:
 		return invalidRoute(r.Name, "service", "must name at least one service")
 	}
 	if r.MaxAttempts < 1 {
@@ -166,8 +166,8 @@
 	return result.New(result.ConfigInvalid, "route %q: %s", route, detail).WithField(field)
 }
 
-// Routes returns the number of routes.
-func (c *Catalog) Routes() int { return c.routes }
+// RouteCount returns the number of routes.
+func (c *Catalog) RouteCount() int { return c.routes }
 
 // Find returns the route of the host whose prefix is the longest match for the path;
 // nil if no route matches. The case and port of host are ignored.
@@ -184,29 +184,29 @@
 // ServiceFor returns the service that a request is sent to. The hash of the request id
 // selects the share, so that every node selects the same service.
 func (r *Route) ServiceFor(requestID string) string {
-	if len(r.Shares) == 1 {
-		return r.Shares[0].Service
+	if len(r.TrafficShares) == 1 {
+		return r.TrafficShares[0].Service
 	}
 	total := 0
-	for _, share := range r.Shares {
+	for _, share := range r.TrafficShares {
 		total += share.Weight
 	}
 	if total <= 0 {
-		return r.Shares[0].Service
+		return r.TrafficShares[0].Service
 	}
 	point := int(xxhash.Sum64String(requestID) % uint64(total))
-	for _, share := range r.Shares {
+	for _, share := range r.TrafficShares {
 		if point < share.Weight {
 			return share.Service
 		}
 		point -= share.Weight
 	}
-	return r.Shares[len(r.Shares)-1].Service
+	return r.TrafficShares[len(r.TrafficShares)-1].Service
 }
 
 // Allows reports whether the route may send requests to a service.
 func (r *Route) Allows(service string) bool {
-	return slices.ContainsFunc(r.Shares, func(share Share) bool { return share.Service == service && share.Weight > 0 })
+	return slices.ContainsFunc(r.TrafficShares, func(share TrafficShare) bool { return share.Service == service && share.Weight > 0 })
 }
 
 // RequestServices returns the sorted names of the services that receive client requests
@@ -223,7 +223,7 @@
 			if route.Kind == Rollout {
 				continue
 			}
-			for _, share := range route.Shares {
+			for _, share := range route.TrafficShares {
 				names[share.Service] = struct{}{}
 			}
 		}
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -20,11 +20,11 @@
 	suspended time.Duration // total suspension at that time
 }
 
-// Mark returns the current moment.
-func Mark() Moment { return At(time.Now()) }
+// CurrentMoment returns the current moment.
+func CurrentMoment() Moment { return At(time.Now()) }
 
 // At returns the moment now, a result of time.Now that was just obtained.
-func At(now time.Time) Moment { return Moment{at: now, suspended: Slept()} }
+func At(now time.Time) Moment { return Moment{at: now, suspended: SuspendedTime()} }
 
 // Age returns the time since the moment, including suspension.
 func (m Moment) Age() time.Duration { return m.AgeAt(time.Now()) }
@@ -38,7 +38,7 @@
 	if m.IsZero() {
 		return zeroMomentAge
 	}
-	return now.Sub(m.at) + m.Slept()
+	return now.Sub(m.at) + m.SuspendedTime()
 }
 
 // Add returns the moment that lies a duration later, without suspension in between.
@@ -46,8 +46,8 @@
 	return Moment{at: m.at.Add(duration), suspended: m.suspended}
 }
 
-// Slept returns the time for which the machine was suspended since the moment.
-func (m Moment) Slept() time.Duration { return Slept() - m.suspended }
+// SuspendedTime returns the time for which the machine was suspended since the moment.
+func (m Moment) SuspendedTime() time.Duration { return SuspendedTime() - m.suspended }
 
 // Time returns the result of time.Now at the moment.
 func (m Moment) Time() time.Time { return m.at }
@@ -57,7 +57,7 @@
 
 // Now returns a time that advances while the machine is suspended. Compare it only with other
 // results of Now; do not compare it with time.Now or set a timer by it.
-func Now() time.Time { return time.Now().Add(Slept()) }
+func Now() time.Time { return time.Now().Add(SuspendedTime()) }
 
 // simulated replaces the suspension read from the operating system, unless it is nil.
 var simulated atomic.Pointer[func() time.Duration]
@@ -69,9 +69,9 @@
 	return func() { simulated.Store(former) }
 }
 
-// Slept returns the time for which the machine was suspended since the process started. It
+// SuspendedTime returns the time for which the machine was suspended since the process started. It
 // reads clocks three times, which takes 0.6 µs (see BenchmarkSlept).
-func Slept() time.Duration {
+func SuspendedTime() time.Duration {
 	if suspended := simulated.Load(); suspended != nil {
 		return (*suspended)()
 	}
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -10,25 +10,25 @@
 func TestAgeCountsSuspension(t *testing.T) {
 	suspended := time.Duration(0)
 	defer Simulate(func() time.Duration { return suspended })()
-	moment, before := Mark(), Now()
+	moment, before := CurrentMoment(), Now()
 	require.Less(t, moment.Age(), time.Second)
 	suspended = 5 * time.Second
 	require.InDelta(t, 5, moment.Age().Seconds(), 1)
-	require.Equal(t, suspended, moment.Slept())
+	require.Equal(t, suspended, moment.SuspendedTime())
 	require.InDelta(t, 5, Now().Sub(before).Seconds(), 1)
-	require.Less(t, Mark().Age(), time.Second)
+	require.Less(t, CurrentMoment().Age(), time.Second)
 	require.True(t, Moment{}.IsZero())
 	require.Greater(t, Moment{}.Age(), 24*time.Hour)
 }
 
 func TestNoSuspensionIsMeasuredOnARunningMachine(t *testing.T) {
 	for range 1000 {
-		require.Less(t, Slept(), 10*time.Millisecond)
+		require.Less(t, SuspendedTime(), 10*time.Millisecond)
 	}
 }
 
 func BenchmarkSlept(b *testing.B) {
 	for range b.N {
-		Slept()
+		SuspendedTime()
 	}
 }
--- a/internal/content/store.go
+++ b/internal/content/store.go
@@ -54,7 +54,7 @@
 const (
 	Items Kind = iota
 	Texts
-	Parts
+	TextParts
 )
 
 // Store stores payloads as blobs in the log and reads them by their references. It is safe for
@@ -71,11 +71,11 @@
 // Log is the log that a store uses, with estimates of its latency.
 type Log interface {
 	sharedlog.Log
-	// Beyond returns how much longer an answer takes than that of a nearby log.
-	Beyond() time.Duration
-	// OverdueAppend returns the time after which an append counts as lost, which is bounded
+	// ExtraLatency returns how much longer an answer takes than that of a nearby log.
+	ExtraLatency() time.Duration
+	// AppendTimeout returns the time after which an append counts as lost, which is bounded
 	// by limit for a nearby log, and whether the log answered recently.
-	OverdueAppend(limit time.Duration) (after time.Duration, answers bool)
+	AppendTimeout(limit time.Duration) (after time.Duration, answers bool)
 }
 
 // Limits are the limits of the log.
@@ -143,7 +143,7 @@
 	size := 0
 	for _, payload := range payloads {
 		records := split(payload, s.limits.MaxRecordBytes)
-		added := len(payload) + len(records)*sharedlog.RecordFraming
+		added := len(payload) + len(records)*sharedlog.MaxRecordOverheadBytes
 		if size+added > s.limits.MaxCallBytes {
 			break
 		}
@@ -161,7 +161,7 @@
 
 // split divides a payload into records. An empty payload is one empty record.
 func split(payload []byte, maxRecordBytes int) [][]byte {
-	size := maxRecordBytes - sharedlog.RecordFraming
+	size := maxRecordBytes - sharedlog.MaxRecordOverheadBytes
 	records := [][]byte{payload[:min(size, len(payload))]}
 	for from := size; from < len(payload); from += size {
 		records = append(records, payload[from:min(from+size, len(payload))])
@@ -179,16 +179,16 @@
 // may have been lost, to the next ones too. It returns the position of the first append that
 // succeeded.
 func (s *Store) append(ctx context.Context, kind Kind, records [][]byte) (appendPosition, error) {
-	ctx, cancel := context.WithTimeout(ctx, appendTimeout+s.log.Beyond())
+	ctx, cancel := context.WithTimeout(ctx, appendTimeout+s.log.ExtraLatency())
 	defer cancel()
 	first := int(kind) + int(s.partitionShift.Load())
-	return hedge.First(ctx, hedge.Call{Most: maxAppends, After: s.hedgeDelay}, func(attempt int) (appendPosition, error) {
+	return hedge.First(ctx, hedge.Policy{MaxCalls: maxAppends, Delay: s.hedgeDelay}, func(attempt int) (appendPosition, error) {
 		return s.appendTo(ctx, (first+attempt)%s.limits.Partitions, records)
 	})
 }
 
 func (s *Store) hedgeDelay() time.Duration {
-	after, _ := s.log.OverdueAppend(maxHedgeDelay)
+	after, _ := s.log.AppendTimeout(maxHedgeDelay)
 	return after
 }
 
@@ -202,16 +202,16 @@
 // Get returns the payloads of blobs, in their order. Adjacent blobs are read in one call, others
 // concurrently.
 func (s *Store) Get(ctx context.Context, blobs []*pathbendv1.Blob) ([][]byte, error) {
-	payloads, err := s.GetFirst(ctx, blobs)
+	payloads, err := s.GetUntilError(ctx, blobs)
 	if err != nil {
 		return nil, err
 	}
 	return payloads, nil
 }
 
-// GetFirst is like Get, but with an error it also returns the payloads before the first one that
+// GetUntilError is like Get, but with an error it also returns the payloads before the first one that
 // could not be read.
-func (s *Store) GetFirst(ctx context.Context, blobs []*pathbendv1.Blob) ([][]byte, error) {
+func (s *Store) GetUntilError(ctx context.Context, blobs []*pathbendv1.Blob) ([][]byte, error) {
 	runs := splitRuns(blobs)
 	reads := make([]runResult, len(runs))
 	// failedAt is the index of the first run that failed. Later runs are skipped, since their
@@ -293,7 +293,7 @@
 	run := adjacentRun{}
 	for i, blob := range remaining {
 		next := first.Offset + uint64(run.records)
-		bytes := run.bytes + int(blob.Bytes) + int(blob.Records)*sharedlog.RecordFraming
+		bytes := run.bytes + int(blob.Bytes) + int(blob.Records)*sharedlog.MaxRecordOverheadBytes
 		if blob.Partition != first.Partition || blob.Offset != next || len(run.blobs) > 0 && bytes > maxReadBytes {
 			break
 		}
@@ -307,8 +307,8 @@
 	partition := sharedlog.Partition{Topic: topic, Number: int(blob.Partition)}
 	var records [][]byte
 	for len(records) < count {
-		callCtx, cancel := context.WithTimeout(ctx, readTimeout+s.log.Beyond())
-		batch, err := s.log.ReadPart(callCtx, partition, blob.Offset+uint64(len(records)), bytes)
+		callCtx, cancel := context.WithTimeout(ctx, readTimeout+s.log.ExtraLatency())
+		batch, err := s.log.ReadAvailable(callCtx, partition, blob.Offset+uint64(len(records)), bytes)
 		cancel()
 		if err != nil {
 			return nil, result.Wrap(result.LogUnavailable, err, "read a blob").WithRetryAfter(retryAfter)
--- a/internal/content/store_test.go
+++ b/internal/content/store_test.go
@@ -47,7 +47,7 @@
 	return uint64(offset), nil
 }
 
-func (l *blobLog) ReadPart(_ context.Context, partition sharedlog.Partition, from uint64, maxBytes int) (sharedlog.Batch, error) {
+func (l *blobLog) ReadAvailable(_ context.Context, partition sharedlog.Partition, from uint64, maxBytes int) (sharedlog.Batch, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.reads++
@@ -55,7 +55,7 @@
 	if l.down[partition.Number] {
 		return sharedlog.Batch{}, result.New(result.LogUnavailable, "down")
 	}
-	batch := sharedlog.Batch{End: uint64(len(records))}
+	batch := sharedlog.Batch{EndOffset: uint64(len(records))}
 	size := 0
 	for _, record := range records[min(int(from), len(records)):] {
 		if size += len(record); size > maxBytes && len(batch.Records) > 0 {
@@ -70,7 +70,7 @@
 
 func newTestStore(log sharedlog.Log) *Store {
 	limits := Limits{MaxRecordBytes: 128, MaxCallBytes: 1024, Partitions: testPartitions}
-	return New(sharedlog.Measure(log, nil), limits, func(error, time.Duration) {})
+	return New(sharedlog.NewMeteredLog(log, nil), limits, func(error, time.Duration) {})
 }
 
 func payloadsOf(sizes ...int) [][]byte {
@@ -188,10 +188,10 @@
 	roundTrip time.Duration
 }
 
-func (l *distantLog) ReadPart(ctx context.Context, partition sharedlog.Partition, from uint64, maxBytes int) (sharedlog.Batch, error) {
+func (l *distantLog) ReadAvailable(ctx context.Context, partition sharedlog.Partition, from uint64, maxBytes int) (sharedlog.Batch, error) {
 	select {
 	case <-time.After(l.roundTrip):
-		return l.blobLog.ReadPart(ctx, partition, from, maxBytes)
+		return l.blobLog.ReadAvailable(ctx, partition, from, maxBytes)
 	case <-ctx.Done():
 		return sharedlog.Batch{}, result.New(result.LogUnavailable, "timed out")
 	}
@@ -231,7 +231,7 @@
 		blobs := scattered(t, store, 64)
 		ctx, cancel := context.WithTimeout(t.Context(), 800*time.Millisecond)
 		defer cancel()
-		payloads, err := store.GetFirst(ctx, blobs)
+		payloads, err := store.GetUntilError(ctx, blobs)
 		require.Error(t, err)
 		require.Len(t, payloads, 3*maxConcurrentReads)
 		synctest.Wait()
@@ -242,7 +242,7 @@
 	store := newTestStore(newBlobLog())
 	blobs := scattered(t, store, 8)
 	blobs[3] = &pathbendv1.Blob{Partition: 3, Records: 1, Bytes: 1}
-	payloads, err := store.GetFirst(t.Context(), blobs)
+	payloads, err := store.GetUntilError(t.Context(), blobs)
 	require.True(t, result.Is(err, result.LogUnavailable))
 	require.Len(t, payloads, 3)
 	_, err = store.Get(t.Context(), blobs)
@@ -257,11 +257,11 @@
 	maxBytes  int
 }
 
-func (l *readSizeLog) ReadPart(ctx context.Context, partition sharedlog.Partition, from uint64, maxBytes int) (sharedlog.Batch, error) {
+func (l *readSizeLog) ReadAvailable(ctx context.Context, partition sharedlog.Partition, from uint64, maxBytes int) (sharedlog.Batch, error) {
 	l.sizeMutex.Lock()
 	l.maxBytes = max(l.maxBytes, maxBytes)
 	l.sizeMutex.Unlock()
-	return l.blobLog.ReadPart(ctx, partition, from, maxBytes)
+	return l.blobLog.ReadAvailable(ctx, partition, from, maxBytes)
 }
 
 // A read must fit the first round trip of a new connection. Reads of about 50 KB from a log
@@ -290,7 +290,7 @@
 		store := newTestStore(newBlobLog())
 		blobs := scattered(t, store, 8)
 		blobs[3] = &pathbendv1.Blob{Partition: 3, Records: 1, Bytes: 1}
-		payloads, err := store.GetFirst(t.Context(), blobs)
+		payloads, err := store.GetUntilError(t.Context(), blobs)
 		require.True(t, result.Is(err, result.LogUnavailable))
 		require.Len(t, payloads, 3)
 	}
--- a/internal/credential/keyring.go
+++ b/internal/credential/keyring.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// Holder returns the tenant to which a key belongs, and false if there is none.
-func (r *Keyring) Holder(key string) (Tenant, bool) {
+// TenantByKey returns the tenant to which a key belongs, and false if there is none.
+func (r *Keyring) TenantByKey(key string) (Tenant, bool) {
 	if r == nil || key == "" {
 		return Tenant{}, false
 	}
--- a/internal/credential/keyring_test.go
+++ b/internal/credential/keyring_test.go
@@ -17,7 +17,7 @@
 	for _, test := range []struct {
 		key, tenantName string
 	}{{"first", "dakar"}, {"second", "dakar"}, {"third", "perth"}, {"", ""}, {"First", ""}, {"dakar", ""}} {
-		tenant, known := ring.Holder(test.key)
+		tenant, known := ring.TenantByKey(test.key)
 		require.Equal(t, test.tenantName != "", known, test.key)
 		require.Equal(t, test.tenantName, tenant.Name, test.key)
 	}
@@ -31,7 +31,7 @@
 
 func TestNilKeyringIsEmpty(t *testing.T) {
 	var ring *Keyring
-	_, known := ring.Holder("any")
+	_, known := ring.TenantByKey("any")
 	require.False(t, known)
 	_, known = ring.Tenant("any")
 	require.False(t, known)
@@ -43,10 +43,10 @@
 		key := rapid.StringMatching(`[a-z0-9]{12,24}`).Draw(t, "key")
 		ring := NewKeyring([]Grant{{Tenant: Tenant{Name: "T"}, Keys: []string{key}}})
 		require.NotContains(t, fmt.Sprintf("%v %+v %#v", ring, ring, ring), key)
-		tenant, known := ring.Holder(key)
+		tenant, known := ring.TenantByKey(key)
 		require.True(t, known)
 		require.Equal(t, "T", tenant.Name)
-		_, known = ring.Holder(key + "x")
+		_, known = ring.TenantByKey(key + "x")
 		require.False(t, known)
 	})
 }
--- a/internal/delivery/sample.go
+++ b/internal/delivery/sample.go
@@ -23,8 +23,8 @@
 	FinishReason string    `json:"finish_reason"`
 	// Attempt is the id of the attempt that generated the sample.
 	Attempt string `json:"attempt"`
-	// Started is the time at which the sample's oldest token was requested.
-	Started time.Time `json:"-"`
+	// StartedAt is the time at which the sample's oldest token was requested.
+	StartedAt time.Time `json:"-"`
 }
 
 // AppendTokens appends count tokens of a version; it extends the last segment if that
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -19,12 +19,12 @@
 
 const (
 	// AnnounceInterval is the interval at which a node repeats its announcement.
-	// AnnounceSpread is the maximum random jitter that is added to it, so that nodes do not
+	// AnnounceJitter is the maximum random jitter that is added to it, so that nodes do not
 	// announce themselves simultaneously.
 	AnnounceInterval = 45 * time.Second
-	AnnounceSpread   = 10 * time.Second
+	AnnounceJitter   = 10 * time.Second
 	// entryTTL is how long an entry is valid. Two announcements in a row may be missed.
-	entryTTL = 3 * (AnnounceInterval + AnnounceSpread)
+	entryTTL = 3 * (AnnounceInterval + AnnounceJitter)
 	// maxReadPause is the maximum pause between two reads, which applies while the directory
 	// does not change. Missing a node for that long only makes the division of reads among
 	// the nodes less even.
@@ -51,12 +51,12 @@
 	// Millicores is the processor time that the node may use, in thousandths of a core.
 	Millicores uint64
 	Zone       string
-	// Address is where the node relays calls to the log for other nodes, empty if it does
+	// RelayAddress is where the node relays calls to the log for other nodes, empty if it does
 	// not.
-	Address string
-	// Worker is where the node answers requests and executes runs for other nodes, empty if
+	RelayAddress string
+	// WorkerAddress is where the node answers requests and executes runs for other nodes, empty if
 	// it does not.
-	Worker string
+	WorkerAddress string
 }
 
 // Directory holds the newest announcement of each node, from a keyed topic of its own. A
@@ -91,11 +91,11 @@
 
 // New returns a directory that has read nothing. self is this node's name. observer is
 // notified when reads fail and recover.
-func New(log *sharedlog.Measured, topic, self string, observer sharedlog.Observer, logger *event.Logger) *Directory {
+func New(log *sharedlog.MeteredLog, topic, self string, observer sharedlog.Observer, logger *event.Logger) *Directory {
 	d := &Directory{logger: logger, nodes: make(map[string]announcedNode), createdAt: time.Now(), self: self}
 	d.follower = &sharedlog.KeyedFollower{
 		Log: log, Partition: sharedlog.Partition{Topic: topic}, Observer: observer,
-		Reset: d.reset, Apply: d.Apply, Pause: d.pause, Beyond: log.Beyond,
+		Reset: d.reset, Apply: d.Apply, Pause: d.pause, ExtraLatency: log.ExtraLatency,
 	}
 	return d
 }
@@ -117,7 +117,7 @@
 			continue
 		}
 		entry := announcedNode{readAt: now, Entry: Entry{
-			Millicores: announced.Millicores, Zone: announced.Zone, Address: announced.Address, Worker: announced.WorkerAddress,
+			Millicores: announced.Millicores, Zone: announced.Zone, RelayAddress: announced.Address, WorkerAddress: announced.WorkerAddress,
 		}}
 		previous := d.nodes[record.Key]
 		if previous.readAt = now; previous != entry {
@@ -134,12 +134,12 @@
 }
 
 // Announced implements ownership.Capacities. It also removes expired entries.
-func (d *Directory) Announced() (ownership.Announcements, bool) {
+func (d *Directory) Announced() (ownership.NodeCapacities, bool) {
 	if d.follower.Health.CurrentAt().IsZero() {
-		return ownership.Announcements{}, false
+		return ownership.NodeCapacities{}, false
 	}
 	now := time.Now()
-	announced := ownership.Announcements{Of: d.millicores}
+	announced := ownership.NodeCapacities{CapacityOf: d.millicores}
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for name, node := range d.nodes {
@@ -147,7 +147,7 @@
 			delete(d.nodes, name)
 			continue
 		}
-		announced.Nodes++
+		announced.NodeCount++
 		announced.Largest = max(announced.Largest, node.Millicores)
 	}
 	return announced, true
@@ -176,8 +176,8 @@
 	return current
 }
 
-// Settled reports whether the directory is likely to contain all nodes.
-func (d *Directory) Settled() bool {
+// LikelyComplete reports whether the directory is likely to contain all nodes.
+func (d *Directory) LikelyComplete() bool {
 	if d.follower.Health.CurrentAt().IsZero() {
 		return false
 	}
@@ -208,15 +208,15 @@
 	return d.nodes[node].Millicores
 }
 
-// Peers returns the nodes that relay calls to the log for other nodes.
-func (d *Directory) Peers() []relay.Peer {
+// Relays returns the nodes that relay calls to the log for other nodes.
+func (d *Directory) Relays() []relay.Peer {
 	now := time.Now()
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	var peers []relay.Peer
 	for name, node := range d.nodes {
-		if node.Address != "" && now.Sub(node.readAt) <= entryTTL {
-			peers = append(peers, relay.Peer{Name: name, Zone: node.Zone, Address: node.Address})
+		if node.RelayAddress != "" && now.Sub(node.readAt) <= entryTTL {
+			peers = append(peers, relay.Peer{Name: name, Zone: node.Zone, Address: node.RelayAddress})
 		}
 	}
 	return peers
@@ -229,15 +229,15 @@
 	defer d.mutex.Unlock()
 	var workers []carry.Node
 	for name, node := range d.nodes {
-		if node.Worker != "" && now.Sub(node.readAt) <= entryTTL {
-			workers = append(workers, carry.Node{Name: name, Zone: node.Zone, Address: node.Worker, Millicores: node.Millicores})
+		if node.WorkerAddress != "" && now.Sub(node.readAt) <= entryTTL {
+			workers = append(workers, carry.Node{Name: name, Zone: node.Zone, Address: node.WorkerAddress, Millicores: node.Millicores})
 		}
 	}
 	return workers
 }
 
-// Says reports whether the entry of a node equals the given one.
-func (d *Directory) Says(node string, entry Entry) bool {
+// HasEntry reports whether the entry of a node equals the given one.
+func (d *Directory) HasEntry(node string, entry Entry) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.nodes[node].Entry == entry
@@ -246,7 +246,7 @@
 // Announce appends an entry for this node to the topic.
 func (d *Directory) Announce(ctx context.Context, entry Entry) error {
 	value, err := proto.Marshal(&pathbendv1.NodeCapacity{
-		Node: d.self, Millicores: entry.Millicores, Zone: entry.Zone, Address: entry.Address, WorkerAddress: entry.Worker,
+		Node: d.self, Millicores: entry.Millicores, Zone: entry.Zone, Address: entry.RelayAddress, WorkerAddress: entry.WorkerAddress,
 	})
 	if err != nil {
 		return err
@@ -258,8 +258,8 @@
 // Run follows the topic until ctx ends.
 func (d *Directory) Run(ctx context.Context) { d.follower.Run(ctx) }
 
-// Answering returns the nodes that answer requests of other nodes.
-func (d *Directory) Answering() []fanout.Node {
+// Responders returns the nodes that answer requests of other nodes.
+func (d *Directory) Responders() []fanout.Node {
 	now := time.Now()
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -270,16 +270,16 @@
 	view := election.View{Largest: largest}
 	var answering []fanout.Node
 	for name, node := range d.nodes {
-		if node.Worker != "" && now.Sub(node.readAt) <= entryTTL {
-			answering = append(answering, fanout.Node{Name: name, Zone: node.Zone, Address: node.Worker, Large: view.Regular(node.Millicores)})
+		if node.WorkerAddress != "" && now.Sub(node.readAt) <= entryTTL {
+			answering = append(answering, fanout.Node{Name: name, Zone: node.Zone, Address: node.WorkerAddress, Large: view.IsLarge(node.Millicores)})
 		}
 	}
 	return answering
 }
 
-// Changes returns the number of changes to the directory so far. It increases when a node is
+// ChangeCount returns the number of changes to the directory so far. It increases when a node is
 // added or an entry differs from the previous one.
-func (d *Directory) Changes() uint64 {
+func (d *Directory) ChangeCount() uint64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.changes
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -30,7 +30,7 @@
 
 func TestAnnouncedCapacitiesAreKnownUntilTheyExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := New(sharedlog.Measure(&sharedlogtest.Kept{}, nil), "nodes", "self", nil, event.Discard())
+		d := New(sharedlog.NewMeteredLog(&sharedlogtest.MemoryLog{}, nil), "nodes", "self", nil, event.Discard())
 		_, ok := d.Announced()
 		require.False(t, ok, "the topic was not read yet")
 		d.follower.Health = sharedlog.Health{}
@@ -45,13 +45,13 @@
 		known, ok := d.Announced()
 		require.True(t, ok)
 		require.EqualValues(t, 700, known.Largest)
-		require.Equal(t, 2, known.Nodes)
-		require.EqualValues(t, 192, known.Of("small"))
-		require.Zero(t, known.Of("other"))
+		require.Equal(t, 2, known.NodeCount)
+		require.EqualValues(t, 192, known.CapacityOf("small"))
+		require.Zero(t, known.CapacityOf("other"))
 		time.Sleep(entryTTL + time.Second)
 		known, _ = d.Announced()
 		require.Zero(t, known.Largest)
-		require.Zero(t, known.Nodes)
+		require.Zero(t, known.NodeCount)
 		cancel()
 		<-done
 	})
@@ -62,8 +62,8 @@
 // node was restarted, and the entries of the other nodes are present from the start.
 func TestDirectoryIsSettledOnceItDoesNotChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		log := &sharedlogtest.Kept{}
-		d := New(sharedlog.Measure(log, nil), "nodes", "self", nil, event.Discard())
+		log := &sharedlogtest.MemoryLog{}
+		d := New(sharedlog.NewMeteredLog(log, nil), "nodes", "self", nil, event.Discard())
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() {
@@ -73,16 +73,16 @@
 		for i := range 20 {
 			require.NoError(t, log.AppendKeyed(ctx, d.follower.Partition, []sharedlog.KeyedRecord{newEntryRecord(t, fmt.Sprint("n", i), 800)}))
 			time.Sleep(100 * time.Millisecond)
-			require.False(t, d.Settled())
+			require.False(t, d.LikelyComplete())
 		}
 		time.Sleep(settlePeriod + 2*baseReadPause)
-		require.True(t, d.Settled())
+		require.True(t, d.LikelyComplete())
 		cancel()
 		<-done
-		restarted := New(sharedlog.Measure(log, nil), "nodes", "n3", nil, event.Discard())
+		restarted := New(sharedlog.NewMeteredLog(log, nil), "nodes", "n3", nil, event.Discard())
 		restarted.reset([]sharedlog.KeyedRecord{newEntryRecord(t, "n3", 800)}, 1)
 		require.True(t, restarted.selfFound)
-		unread := New(sharedlog.Measure(log, nil), "nodes", "self", nil, event.Discard())
-		require.False(t, unread.Settled(), "nothing was read")
+		unread := New(sharedlog.NewMeteredLog(log, nil), "nodes", "self", nil, event.Discard())
+		require.False(t, unread.LikelyComplete(), "nothing was read")
 	})
 }
--- a/internal/dispatch/crash_detection.go
+++ b/internal/dispatch/crash_detection.go
@@ -37,7 +37,7 @@
 	if request.Remaining() == 0 {
 		return nil, result.New(result.DeadlineInQueue, "the deadline expired before the attempt: the machine was paused or suspended").WithRetryAfter(minRetryAfter)
 	}
-	return d.guard.Enter(ctx, request.digest)
+	return d.guard.Acquire(ctx, request.digest)
 }
 
 // observeBackEnd determines whether a back end crashed during an attempt, or earlier during
@@ -59,11 +59,11 @@
 // detectCrash determines whether a back end that dropped a connection has crashed, and if so
 // reports that to the guard. Otherwise the attempt counts as abandoned.
 func (d *Dispatcher) detectCrash(ctx context.Context, request *Request, endpoint *routing.Endpoint) bool {
-	if ctx.Err() != nil || !d.exchanger.BackEndEnded(ctx, endpoint.Address) {
+	if ctx.Err() != nil || !d.exchanger.ProbeStopped(ctx, endpoint.Address) {
 		d.abandoned.add(endpoint.ID, request.digest(), time.Now())
 		return false
 	}
-	d.guard.Ended(ctx, request.digest(), endpoint.ID)
+	d.guard.ReportCrash(ctx, request.digest(), endpoint.ID)
 	d.reportAbandoned(ctx, endpoint)
 	return true
 }
@@ -72,7 +72,7 @@
 func (d *Dispatcher) reportAbandoned(ctx context.Context, endpoint *routing.Endpoint) {
 	for _, digest := range d.abandoned.takeSuspects(endpoint.ID, time.Now()) {
 		// These are other requests; the current one does not wait for the reports.
-		go d.guard.Ended(context.WithoutCancel(ctx), digest, endpoint.ID)
+		go d.guard.ReportCrash(context.WithoutCancel(ctx), digest, endpoint.ID)
 	}
 }
 
@@ -81,7 +81,7 @@
 func (d *Dispatcher) observeStreamEnd(ctx context.Context, request *Request, endpoint *routing.Endpoint, body *errorRecordingBody) {
 	switch {
 	case errors.Is(body.readErr, io.EOF):
-		d.guard.Served(ctx, request.digest)
+		d.guard.ReportSuccess(ctx, request.digest)
 	case body.readErr != nil:
 		d.detectCrash(ctx, request, endpoint)
 	default:
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -31,7 +31,7 @@
 
 // sequentialBalancer picks its endpoints in order, each at most once per request.
 type sequentialBalancer struct {
-	// evacuated is the result of Evacuated.
+	// evacuated is the result of PoolEvacuated.
 	evacuated bool
 	mutex     sync.Mutex
 	endpoints []*routing.Endpoint
@@ -39,7 +39,7 @@
 	// regions are the allowed regions of each call of Pick.
 	regions  []locality.Regions
 	inFlight atomic.Int64
-	// roomAgain is the result of RoomAgain; zero if no endpoint is cold.
+	// roomAgain is the result of NextColdBudget; zero if no endpoint is cold.
 	roomAgain time.Time
 }
 
@@ -63,7 +63,7 @@
 	return b.endpoints[len(request.Excluded)]
 }
 
-func (b *sequentialBalancer) RoomAgain(*routing.Request) (time.Time, bool) {
+func (b *sequentialBalancer) NextColdBudget(*routing.Request) (time.Time, bool) {
 	return b.roomAgain, !b.roomAgain.IsZero()
 }
 
@@ -75,7 +75,7 @@
 	b.leaving = append(b.leaving, endpoint.ID)
 }
 
-func (b *sequentialBalancer) Evacuated(string) bool { return b.evacuated }
+func (b *sequentialBalancer) PoolEvacuated(string) bool { return b.evacuated }
 
 // newTestDispatcher returns a dispatcher whose guard has no other nodes to inform.
 func newTestDispatcher(t *testing.T, balancer *sequentialBalancer) *Dispatcher {
@@ -83,15 +83,15 @@
 	exchanger := NewExchanger(network.TCP{})
 	t.Cleanup(exchanger.Close)
 	var ids atomic.Int64
-	guard := quarantine.NewGuard(quarantine.Requests(), event.Discard())
-	guard.SetTeller(&loopbackLog{guard: guard})
-	return NewDispatcher(exchanger, OwnProtocol{}, balancer, guard, "zone", func() string { return fmt.Sprint("id-", ids.Add(1)) }, event.Discard())
+	guard := quarantine.NewGuard(quarantine.RequestPolicy(), event.Discard())
+	guard.SetPublisher(&loopbackLog{guard: guard})
+	return NewDispatcher(exchanger, NativeProtocol{}, balancer, guard, "zone", func() string { return fmt.Sprint("id-", ids.Add(1)) }, event.Discard())
 }
 
 // loopbackLog applies each record to the guard that wrote it.
 type loopbackLog struct{ guard *quarantine.Guard }
 
-func (l *loopbackLog) Tell(_ context.Context, record quarantine.Record) { l.guard.Merge(record) }
+func (l *loopbackLog) Publish(_ context.Context, record quarantine.Record) { l.guard.Merge(record) }
 
 // startBackEnd starts a back end that echoes request ids, and returns its address and the number
 // of requests that it ran.
@@ -170,7 +170,7 @@
 	healthy, healthyRuns := startBackEnd(t, echoRequest)
 	_, err := do(t, newBalancer(broken, healthy), newTestRequest(true))
 	require.True(t, result.Is(err, result.AnswerLost), "%v", err)
-	require.Equal(t, result.Unknown, result.From(err).Run())
+	require.Equal(t, result.Unknown, result.From(err).Execution())
 	require.Equal(t, int64(1), runs.Load(), "the transport must not retry on its own")
 	require.Zero(t, healthyRuns.Load())
 
@@ -238,7 +238,7 @@
 	require.Equal(t, int64(1), runs.Load())
 
 	_, err = do(t, newBalancer(unusedAddress(t)), newTestRequest(true))
-	require.Equal(t, result.NotRun, result.From(err).Run())
+	require.Equal(t, result.NotRun, result.From(err).Execution())
 	_, err = do(t, newBalancer(refusing), newTestRequest(true))
 	require.True(t, result.Is(err, result.NoBackEnd), "%v", err)
 	require.Positive(t, result.From(err).RetryAfter)
@@ -249,7 +249,7 @@
 	balancer.roomAgain = time.Now().Add(3 * time.Second)
 	_, err := do(t, balancer, newTestRequest(true))
 	require.True(t, result.Is(err, result.SamplersCold), "%v", err)
-	require.Equal(t, result.NotRun, result.From(err).Run())
+	require.Equal(t, result.NotRun, result.From(err).Execution())
 	require.InDelta(t, 3, result.From(err).RetryAfter.Seconds(), 0.5)
 }
 
@@ -258,7 +258,7 @@
 	refusing, _ := startBackEnd(t, refuseRequest)
 	for _, balancer := range []*sequentialBalancer{newBalancer(broken, refusing), newBalancer(broken), newBalancer(broken, unusedAddress(t))} {
 		_, err := do(t, balancer, newTestRequest(false))
-		require.Equal(t, result.Unknown, result.From(err).Run(), "%v", err)
+		require.Equal(t, result.Unknown, result.From(err).Execution(), "%v", err)
 	}
 }
 
@@ -363,7 +363,7 @@
 	require.Zero(t, runs.Load(), "the third crash must stop the attempts of the same try")
 	err = doTries(t, dispatcher, withIDPrefix("third", newBalancer(healthy)))
 	require.True(t, result.Is(err, result.RequestQuarantined), "%v", err)
-	require.Equal(t, result.NotRun, result.From(err).Run())
+	require.Equal(t, result.NotRun, result.From(err).Execution())
 	require.Positive(t, result.From(err).RetryAfter)
 	require.Zero(t, runs.Load())
 
@@ -444,7 +444,7 @@
 	}()
 	_, err = dispatcher.Do(ctx, newTestRequest(true))
 	require.True(t, result.Is(err, result.CallerGone), "%v", err)
-	require.Zero(t, dispatcher.guard.Counts().Ended)
+	require.Zero(t, dispatcher.guard.Counts().Crashes)
 	_ = server.Close()
 
 	other := newTestRequest(false)
@@ -453,7 +453,7 @@
 	answer, err := dispatcher.Do(context.Background(), other)
 	require.NoError(t, err)
 	answer.Body.Close()
-	require.Eventually(t, func() bool { return dispatcher.guard.Counts().Ended == 1 }, time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return dispatcher.guard.Counts().Crashes == 1 }, time.Second, time.Millisecond)
 	require.True(t, dispatcher.guard.Suspected(newTestRequest(true).digest), "the request of the disconnected caller")
 	require.False(t, dispatcher.guard.Suspected(other.digest))
 }
@@ -465,11 +465,11 @@
 	slept := time.Duration(0)
 	defer clock.Simulate(func() time.Duration { return slept })()
 	request := newTestRequest(false)
-	request.Received = clock.Mark()
+	request.Received = clock.CurrentMoment()
 	slept = time.Minute
 	_, err := do(t, newBalancer(healthy), request)
 	require.True(t, result.Is(err, result.DeadlineInQueue), "%v", err)
-	require.Equal(t, result.NotRun, result.From(err).Run())
+	require.Equal(t, result.NotRun, result.From(err).Execution())
 	require.Zero(t, runs.Load())
 }
 
@@ -505,7 +505,7 @@
 	dispatcher := newTestDispatcher(t, newBalancer(slow, healthy))
 	request := newTestRequest(false)
 	request.AttemptTimeout = 20 * time.Millisecond
-	dispatcher.guard.Heard(request.digest(), "crashed back end")
+	dispatcher.guard.RecordCrash(request.digest(), "crashed back end")
 	time.AfterFunc(5*request.AttemptTimeout, func() { close(release) })
 	ctx, cancel := context.WithDeadline(context.Background(), request.Deadline)
 	defer cancel()
@@ -535,7 +535,7 @@
 	_, err = io.Copy(io.Discard, answer.Body)
 	require.Error(t, err)
 	answer.Body.Close()
-	require.Equal(t, 1, dispatcher.guard.Counts().Ended)
+	require.Equal(t, 1, dispatcher.guard.Counts().Crashes)
 }
 
 func TestMismatchedAndTruncatedAnswersAreErrors(t *testing.T) {
@@ -608,15 +608,15 @@
 	require.LessOrEqual(t, float64(retries), maxAccumulatedRetries+requests*retriesPerRequest+1)
 }
 
-// failOn500Protocol is OwnProtocol, except that status 500 means that the back end ran the request
+// failOn500Protocol is NativeProtocol, except that status 500 means that the back end ran the request
 // and failed.
-type failOn500Protocol struct{ OwnProtocol }
+type failOn500Protocol struct{ NativeProtocol }
 
 func (p failOn500Protocol) Verdict(request *Request, endpoint *routing.Endpoint, requestID string, response *http.Response) Verdict {
 	if response.StatusCode == http.StatusInternalServerError {
 		return Verdict{Ending: FailedByBackEnd}
 	}
-	return p.OwnProtocol.Verdict(request, endpoint, requestID, response)
+	return p.NativeProtocol.Verdict(request, endpoint, requestID, response)
 }
 
 // doWithFailOn500 sends a request through a new dispatcher that speaks failOn500Protocol.
@@ -678,6 +678,6 @@
 	balancer.evacuated = true
 	_, err := do(t, balancer, newTestRequest(true))
 	require.True(t, result.Is(err, result.ZoneEvacuated))
-	require.Equal(t, result.NotRun, result.From(err).Run())
+	require.Equal(t, result.NotRun, result.From(err).Execution())
 	require.Equal(t, evacuationRetryAfter, result.From(err).RetryAfter)
 }
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -55,18 +55,18 @@
 	// HedgeAfter is how long an attempt may go without an answer before a concurrent one is
 	// sent to another back end; 0 for never.
 	HedgeAfter time.Duration
-	// AnyZone disables the preference for back ends in the node's zone.
-	AnyZone bool
+	// IgnoreZone disables the preference for back ends in the node's zone.
+	IgnoreZone bool
 	// Regions are the regions in which the request may be served.
 	Regions locality.Regions
 	// Excluded are the ids of back ends that must not receive the request.
 	Excluded []string
-	// Permitted is called before every attempt but the first. If it returns an error, no
+	// BeforeRetry is called before every attempt but the first. If it returns an error, no
 	// further attempt is made. It may be nil.
-	Permitted func() error
-	// Began is called after each attempt whose back end ran the request or may have, with the
+	BeforeRetry func() error
+	// OnMayHaveRun is called after each attempt whose back end ran the request or may have, with the
 	// time at which the request was sent. It may be nil.
-	Began func(sentAt time.Time)
+	OnMayHaveRun func(sentAt time.Time)
 
 	// digestOnce guards the cached digest, whose computation hashes the whole body.
 	digestOnce   sync.Once
@@ -78,24 +78,24 @@
 func (r *Request) Remaining() time.Duration {
 	remaining := time.Until(r.Deadline)
 	if !r.Received.IsZero() {
-		remaining -= r.Received.Slept()
+		remaining -= r.Received.SuspendedTime()
 	}
 	return max(remaining, 0)
 }
 
 // permitted returns why no further attempt may be made, or nil if one may.
 func (r *Request) permitted() error {
-	if r.Permitted == nil {
+	if r.BeforeRetry == nil {
 		return nil
 	}
-	return r.Permitted()
+	return r.BeforeRetry()
 }
 
-// notifyBegan calls Began if the back end ran the request or may have.
+// notifyBegan calls OnMayHaveRun if the back end ran the request or may have.
 func (r *Request) notifyBegan(outcome *exchangeOutcome) {
 	mayHaveRun := outcome.ending == Answered || outcome.ending == FailedByBackEnd || outcome.ending == Lost
-	if mayHaveRun && r.Began != nil {
-		r.Began(outcome.sentAt)
+	if mayHaveRun && r.OnMayHaveRun != nil {
+		r.OnMayHaveRun(outcome.sentAt)
 	}
 }
 
@@ -104,16 +104,16 @@
 	// Pick returns a back end and counts the attempt as in progress there until Report. It
 	// returns nil if no back end may serve the request.
 	Pick(request *routing.Request) *routing.Endpoint
-	// RoomAgain returns the earliest time at which a cold back end has budget for the request
+	// NextColdBudget returns the earliest time at which a cold back end has budget for the request
 	// again. cold is false if no back end is unavailable for lack of budget.
-	RoomAgain(request *routing.Request) (at time.Time, cold bool)
+	NextColdBudget(request *routing.Request) (at time.Time, cold bool)
 	// Report records how an attempt at a back end ended.
 	Report(endpoint *routing.Endpoint, report Report)
 	// MarkLeaving records that a back end announced that it accepts no new work.
 	MarkLeaving(endpoint *routing.Endpoint)
-	// Evacuated reports whether a pool has no back ends for new work only because zones are
+	// PoolEvacuated reports whether a pool has no back ends for new work only because zones are
 	// evacuated.
-	Evacuated(pool string) bool
+	PoolEvacuated(pool string) bool
 }
 
 // Report describes to the balancer how an attempt ended.
@@ -121,8 +121,8 @@
 	Ending Ending
 	// Latency is the time until the answer or the failure of the attempt.
 	Latency time.Duration
-	// Neutral is set if the ending carries no information about the back end's health.
-	Neutral bool
+	// HealthUnknown is set if the ending carries no information about the back end's health.
+	HealthUnknown bool
 }
 
 // Dispatcher sends requests to back ends and retries them where that is allowed. It is safe
@@ -167,7 +167,7 @@
 	}
 	received := time.Now()
 	route := &routing.Request{Pool: request.Pool, Zone: d.zone, Regions: request.Regions, Excluded: request.Excluded}
-	if request.AnyZone {
+	if request.IgnoreZone {
 		route.Zone = ""
 	}
 	// lastRun is the outcome of the last attempt that ran or may have run. Once it is set, a
@@ -260,14 +260,14 @@
 
 // noBackEndError returns an error that says why no back end may serve a request and when to retry.
 func (d *Dispatcher) noBackEndError(route *routing.Request) error {
-	if d.balancer.Evacuated(route.Pool) {
+	if d.balancer.PoolEvacuated(route.Pool) {
 		return result.New(result.ZoneEvacuated, "the zones of all back ends in pool %q are evacuated", route.Pool).WithRetryAfter(evacuationRetryAfter)
 	}
-	if at, cold := d.balancer.RoomAgain(route); cold {
+	if at, cold := d.balancer.NextColdBudget(route); cold {
 		return result.New(result.SamplersCold, "all live back ends in pool %q are cold and have no request budget left", route.Pool).
 			WithRetryAfter(max(at.Sub(route.Now), minRetryAfter))
 	}
-	if route.Regions.Bound() {
+	if route.Regions.Restricted() {
 		return result.New(result.RegionUnavailable, "no live back end in pool %q in %v", route.Pool, route.Regions).WithRetryAfter(minRetryAfter)
 	}
 	return result.New(result.NoBackEnd, "no live back end in pool %q", route.Pool).WithRetryAfter(minRetryAfter)
@@ -297,7 +297,7 @@
 	attemptCtx, cancel := attemptContext(ctx, request, last || d.guard.Suspected(request.digest))
 	outcome := d.exchanger.exchange(attemptCtx, exchangeRequest{
 		method: request.Method,
-		url:    "http://" + network.OfStart(endpoint.Address, endpoint.Born) + request.Path,
+		url:    "http://" + network.IncarnationAddress(endpoint.Address, endpoint.StartedAtMs) + request.Path,
 		host:   request.Host,
 		header: d.protocol.Header(request, endpoint, requestID),
 		body:   newExchangeBody(request),
@@ -312,10 +312,10 @@
 	if outcome.err != nil && result.Is(outcome.err, result.AnswerMismatch) {
 		d.logger.Log(event.AnswerMismatched, "back_end", endpoint.ID, "request_id", requestID)
 	}
-	report := Report{Ending: outcome.ending, Latency: time.Since(started), Neutral: ctx.Err() != nil || outcome.leaving}
+	report := Report{Ending: outcome.ending, Latency: time.Since(started), HealthUnknown: ctx.Err() != nil || outcome.leaving}
 	if outcome.answer == nil || outcome.answer.Buffered != nil {
 		if outcome.answer != nil {
-			d.guard.Served(ctx, request.digest)
+			d.guard.ReportSuccess(ctx, request.digest)
 		}
 		cancel()
 		d.balancer.Report(endpoint, report)
--- a/internal/dispatch/exchange.go
+++ b/internal/dispatch/exchange.go
@@ -62,11 +62,11 @@
 // request.
 const crashProbeTimeout = 250 * time.Millisecond
 
-// BackEndEnded probes whether a back end has stopped listening at its address: its machine
+// ProbeStopped probes whether a back end has stopped listening at its address: its machine
 // refuses the connection. A back end that only dropped an answer accepts it. False is also
 // returned for a back end that restarted within a round-trip time and for a machine that does
 // not respond.
-func (e *Exchanger) BackEndEnded(ctx context.Context, address string) bool {
+func (e *Exchanger) ProbeStopped(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), crashProbeTimeout)
 	defer cancel()
 	connection, err := e.dialer.Dial(ctx, address)
--- a/internal/dispatch/hedge.go
+++ b/internal/dispatch/hedge.go
@@ -78,7 +78,7 @@
 		return nil
 	}
 	if request.permitted() != nil || d.guard.Suspected(request.digest) || !d.spendRetry() {
-		d.balancer.Report(endpoint, Report{Ending: NotSent, Neutral: true})
+		d.balancer.Report(endpoint, Report{Ending: NotSent, HealthUnknown: true})
 		return nil
 	}
 	return endpoint
--- a/internal/dispatch/protocol.go
+++ b/internal/dispatch/protocol.go
@@ -28,11 +28,11 @@
 	Err error
 }
 
-// OwnProtocol is pathbend's native protocol, see docs/BACKENDS.md.
-type OwnProtocol struct{}
+// NativeProtocol is pathbend's native protocol, see docs/BACKENDS.md.
+type NativeProtocol struct{}
 
 // Header implements Protocol.
-func (OwnProtocol) Header(request *Request, _ *routing.Endpoint, requestID string) http.Header {
+func (NativeProtocol) Header(request *Request, _ *routing.Endpoint, requestID string) http.Header {
 	const addedHeaders = 4
 	header := make(http.Header, len(request.Header)+addedHeaders)
 	for name, values := range request.Header {
@@ -51,7 +51,7 @@
 }
 
 // Verdict implements Protocol.
-func (OwnProtocol) Verdict(_ *Request, _ *routing.Endpoint, requestID string, response *http.Response) Verdict {
+func (NativeProtocol) Verdict(_ *Request, _ *routing.Endpoint, requestID string, response *http.Response) Verdict {
 	verdict := Verdict{Ending: Answered, Leaving: response.Header.Get(HeaderLeaving) == "true"}
 	echoed := response.Header.Get(HeaderRequestID)
 	switch {
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Right is the permission to make one call.
-type Right struct {
+// Permit is the permission to make one call.
+type Permit struct {
 	// Holder is the name of the node that makes the call.
 	Holder string
 	// Fence is the fencing token: it increases whenever the holder changes.
@@ -20,11 +20,11 @@
 
 // Holder grants this node the right to make exclusive calls.
 type Holder interface {
-	// MayAct reports whether this node is the holder as far as it knows. It makes no
+	// IsHolder reports whether this node is the holder as far as it knows. It makes no
 	// remote calls; the answer alone does not permit a call.
-	MayAct(now time.Time) bool
-	// Claim records that this node is about to make a call about a subject, and returns
+	IsHolder(now time.Time) bool
+	// AcquirePermit records that this node is about to make a call about a subject, and returns
 	// the right to make it, immediately and only once. It reports false if this node may
 	// not make the call.
-	Claim(ctx context.Context, subject string) (Right, bool)
+	AcquirePermit(ctx context.Context, subject string) (Permit, bool)
 }
--- a/internal/election/candidate.go
+++ b/internal/election/candidate.go
@@ -23,13 +23,13 @@
 	Largest uint64
 	// Owners are the members that own partitions.
 	Owners []Owner
-	// Far is set if the log service is far away from this node.
-	Far bool
-	// Reserve is set if other nodes are better prepared to execute: this node then joins
+	// FarFromLog is set if the log service is far away from this node.
+	FarFromLog bool
+	// Standby is set if other nodes are better prepared to execute: this node then joins
 	// only under the conditions of a small one. Unready is set while this node could not
 	// execute: it does not join.
-	Reserve bool
-	Unready bool
+	Standby  bool
+	NotReady bool
 }
 
 // Owner is a group member that owns a partition.
@@ -37,13 +37,13 @@
 	Millicores uint64
 	// Self is set if the owner is this node.
 	Self bool
-	// Jobs is set if the member owns the partition of the jobs, which makes it the executor.
-	Jobs bool
+	// OwnsJobs is set if the member owns the partition of the jobs, which makes it the executor.
+	OwnsJobs bool
 }
 
-// Regular reports whether a node of this capacity is about as large as the largest: more
+// IsLarge reports whether a node of this capacity is about as large as the largest: more
 // than half of its capacity. Nodes of unknown capacity count as regular.
-func (v View) Regular(millicores uint64) bool {
+func (v View) IsLarge(millicores uint64) bool {
 	return millicores == 0 || 2*millicores > v.Largest
 }
 
@@ -65,30 +65,30 @@
 	if !preferred {
 		required = smallNodeObservations
 	}
-	if v.Far {
+	if v.FarFromLog {
 		required += extraFarObservations
 	}
 	return required
 }
 
-// Standing is the state of one node in the election. The zero value is not a member of the
+// Candidate is the state of one node in the election. The zero value is not a member of the
 // group.
-type Standing struct {
+type Candidate struct {
 	joined             bool
 	vacantObservations int
 }
 
 // Joined reports whether the node should be a member of the group.
-func (s *Standing) Joined() bool { return s.joined }
+func (s *Candidate) Joined() bool { return s.joined }
 
-// Look updates the state with an observation of the owners by a node of this capacity. It
+// Observe updates the state with an observation of the owners by a node of this capacity. It
 // must not be called if the owners could not be read.
-func (s *Standing) Look(view View, millicores uint64) {
-	preferred := view.Regular(millicores) && !view.Reserve
+func (s *Candidate) Observe(view View, millicores uint64) {
+	preferred := view.IsLarge(millicores) && !view.Standby
 	executes := false
 	for _, owner := range view.Owners {
 		if owner.Self {
-			executes = executes || owner.Jobs
+			executes = executes || owner.OwnsJobs
 			continue
 		}
 		if view.defersTo(preferred, owner) {
@@ -103,15 +103,15 @@
 		return
 	}
 	s.vacantObservations++
-	if s.Wanted(view, millicores) && !view.Unready {
+	if s.ShouldJoin(view, millicores) && !view.NotReady {
 		s.joined = true
 	}
 }
 
-// Wanted reports whether the node has made enough consecutive observations without an
+// ShouldJoin reports whether the node has made enough consecutive observations without an
 // executor to join, whether or not it is ready to.
-func (s *Standing) Wanted(view View, millicores uint64) bool {
-	return s.vacantObservations >= view.requiredObservations(view.Regular(millicores) && !view.Reserve)
+func (s *Candidate) ShouldJoin(view View, millicores uint64) bool {
+	return s.vacantObservations >= view.requiredObservations(view.IsLarge(millicores) && !view.Standby)
 }
 
 // defersTo reports whether a node leaves the jobs to another owner. A preferred node defers
@@ -119,7 +119,7 @@
 // owner.
 func (v View) defersTo(preferred bool, owner Owner) bool {
 	if preferred {
-		return owner.Jobs && v.Regular(owner.Millicores)
+		return owner.OwnsJobs && v.IsLarge(owner.Millicores)
 	}
-	return owner.Jobs || v.Regular(owner.Millicores)
+	return owner.OwnsJobs || v.IsLarge(owner.Millicores)
 }
--- a/internal/emulator/backend.go
+++ b/internal/emulator/backend.go
@@ -33,7 +33,7 @@
 }
 
 // BackEnd emulates an application back end. It runs each request that it
-// receives, unless a fault prevents this, and records the execution in Truth.
+// receives, unless a fault prevents this, and records the execution in Checker.
 type BackEnd struct {
 	ID string
 	// ServiceTime is the mean time of one execution.
@@ -41,7 +41,7 @@
 	// Crasher terminates the back end on requests that carry CrashMarker; nil
 	// disables crashes.
 	Crasher *Crasher
-	truth   *Truth
+	truth   *Checker
 
 	mutex   sync.Mutex
 	random  *rand.Rand
@@ -50,7 +50,7 @@
 }
 
 // NewBackEnd returns a back end that records its executions in truth.
-func NewBackEnd(id string, serviceTime time.Duration, truth *Truth, random *rand.Rand) *BackEnd {
+func NewBackEnd(id string, serviceTime time.Duration, truth *Checker, random *rand.Rand) *BackEnd {
 	return &BackEnd{ID: id, ServiceTime: serviceTime, truth: truth, random: random}
 }
 
@@ -89,9 +89,9 @@
 	}
 }
 
-// AnswerHeader is the request header that carries the caller's own request id,
-// by which Truth matches executions with outcomes.
-const AnswerHeader = "Emulator-Request"
+// CallerRequestIDHeader is the request header that carries the caller's own request id,
+// by which Checker matches executions with outcomes.
+const CallerRequestIDHeader = "Emulator-Request"
 
 // ServeHTTP implements http.Handler. The body of an answer contains the caller's
 // request id, so that the caller can detect the answer to another request.
@@ -119,7 +119,7 @@
 		b.Crasher.run(request.URL.Path, plan.serviceTime)
 		panic(http.ErrAbortHandler)
 	}
-	callerRequestID := request.Header.Get(AnswerHeader)
+	callerRequestID := request.Header.Get(CallerRequestIDHeader)
 	b.truth.RecordExecution(Execution{
 		BackEnd: b.ID, RequestID: callerRequestID, IdempotencyKey: request.Header.Get(dispatch.HeaderIdempotencyKey),
 		Tenant: request.Header.Get(dispatch.HeaderTenant), Path: request.URL.Path, Leaving: plan.leaving, At: time.Now(),
--- a/internal/emulator/caller.go
+++ b/internal/emulator/caller.go
@@ -16,8 +16,8 @@
 	"github.com/pathbend/pathbend/internal/wait"
 )
 
-// RouteMix describes the requests that a caller sends to one route.
-type RouteMix struct {
+// RouteTraffic describes the requests that a caller sends to one route.
+type RouteTraffic struct {
 	Route string
 	// Weight is the route's share of the requests, relative to the weights of
 	// the other routes.
@@ -36,8 +36,8 @@
 	Name         string
 	Client       *client.Client
 	Rate         float64
-	Mix          []RouteMix
-	Truth        *Truth
+	Mix          []RouteTraffic
+	Checker      *Checker
 	Random       *rand.Rand
 	mutex        sync.Mutex
 	latency      *hdrhistogram.Histogram
@@ -75,7 +75,7 @@
 }
 
 // chooseRoute draws a route with a probability in proportion to its weight.
-func (c *Caller) chooseRoute() RouteMix {
+func (c *Caller) chooseRoute() RouteTraffic {
 	total := 0.0
 	for _, mix := range c.Mix {
 		total += mix.Weight
@@ -89,13 +89,13 @@
 	return c.Mix[len(c.Mix)-1]
 }
 
-func (c *Caller) send(mix RouteMix, id string, due time.Time) {
+func (c *Caller) send(mix RouteTraffic, id string, due time.Time) {
 	ctx, cancel := context.WithTimeout(context.Background(), mix.Timeout+time.Second)
 	defer cancel()
 	body := make([]byte, mix.BodyBytes)
 	request := client.Request{
 		Route: mix.Route, Path: "/" + id, Body: body, Timeout: mix.Timeout,
-		Header: http.Header{AnswerHeader: []string{id}}, Repeatable: !mix.AtMostOnce,
+		Header: http.Header{CallerRequestIDHeader: []string{id}}, Repeatable: !mix.AtMostOnce,
 	}
 	if mix.AtMostOnce {
 		request.IdempotencyKey = id
@@ -108,7 +108,7 @@
 	if err == nil {
 		outcome.Body = string(response.Body)
 	}
-	c.Truth.RecordOutcome(outcome)
+	c.Checker.RecordOutcome(outcome)
 	c.recordLatency(mix.Route, due, err == nil)
 }
 
--- a/internal/emulator/crash.go
+++ b/internal/emulator/crash.go
@@ -37,7 +37,7 @@
 // Crasher terminates a back end or an engine when it runs a request that carries
 // CrashMarker.
 type Crasher struct {
-	truth *Truth
+	truth *Checker
 	// terminate ends the process and reports whether this call did so, rather than
 	// an earlier one.
 	terminate func() bool
@@ -46,7 +46,7 @@
 // NewCrasher returns a crasher that records runs and crashes in truth. terminate
 // ends the process and reports whether this call did so, rather than an earlier
 // one.
-func NewCrasher(truth *Truth, terminate func() bool) *Crasher {
+func NewCrasher(truth *Checker, terminate func() bool) *Crasher {
 	return &Crasher{truth: truth, terminate: terminate}
 }
 
@@ -68,7 +68,7 @@
 
 // recordCrashingRun counts a run, and counts it as late if all nodes have had time
 // to quarantine the request.
-func (t *Truth) recordCrashingRun(request string) {
+func (t *Checker) recordCrashingRun(request string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if t.crashing[request] == nil {
@@ -83,7 +83,7 @@
 }
 
 // recordCrash counts a crash and records when the request reaches crashLimit.
-func (t *Truth) recordCrash(request string) {
+func (t *Checker) recordCrash(request string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	known := t.crashing[request]
@@ -94,7 +94,7 @@
 }
 
 // CrashingRuns returns how often requests ran that crash their back end or engine.
-func (t *Truth) CrashingRuns() CrashingRuns {
+func (t *Checker) CrashingRuns() CrashingRuns {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.crashingRuns
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -114,7 +114,7 @@
 // loadReport is a load report with the time when it was made.
 type loadReport struct {
 	at   time.Time
-	load engine.Load
+	load engine.LoadReport
 }
 
 // sequence is one response that is being generated. number orders sequences by
@@ -463,7 +463,7 @@
 }
 
 // Load returns the load report. Its counts lag behind by ReportLag.
-func (e *Engine) Load() engine.Load {
+func (e *Engine) Load() engine.LoadReport {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	now := time.Now()
@@ -479,8 +479,8 @@
 }
 
 // currentLoad returns the load without lag. The caller holds e.mutex.
-func (e *Engine) currentLoad() engine.Load {
-	load := engine.Load{
+func (e *Engine) currentLoad() engine.LoadReport {
+	load := engine.LoadReport{
 		EngineID: e.ID, Running: len(e.running), Waiting: len(e.waiting), Capacity: e.model.Capacity,
 		KVUsed: e.cache.usedTokens, KVCapacity: e.model.CacheTokens, Leaving: e.leaving || e.faults.Leaving, Fence: e.fencingToken,
 	}
--- a/internal/emulator/scorer.go
+++ b/internal/emulator/scorer.go
@@ -36,9 +36,9 @@
 	writeJSON(writer, scoreAnswer{Slot: sample.Slot, Score: 1 / float64(1+len(sample.Tokens))})
 }
 
-// ScoreAt returns a function that sends a sample to the scoring service at an
+// NewScoreFunc returns a function that sends a sample to the scoring service at an
 // address and fails unless the answer is for the sample's slot.
-func ScoreAt(address string) func(ctx context.Context, sample *client.Sample) error {
+func NewScoreFunc(address string) func(ctx context.Context, sample *client.Sample) error {
 	return func(ctx context.Context, sample *client.Sample) error {
 		content, err := json.Marshal(sample)
 		if err != nil {
--- a/internal/emulator/scorer_test.go
+++ b/internal/emulator/scorer_test.go
@@ -14,7 +14,7 @@
 func TestScorerAnswersForTheSlotOfTheSample(t *testing.T) {
 	server := httptest.NewServer(Scorer{})
 	defer server.Close()
-	score := ScoreAt(strings.TrimPrefix(server.URL, "http://"))
+	score := NewScoreFunc(strings.TrimPrefix(server.URL, "http://"))
 	require.NoError(t, score(context.Background(), &client.Sample{Slot: 3, Tokens: []string{"a"}}))
 	server.Close()
 	require.Error(t, score(context.Background(), &client.Sample{Slot: 3}))
--- a/internal/emulator/trainer.go
+++ b/internal/emulator/trainer.go
@@ -17,11 +17,11 @@
 // Trainer emulates a training loop: it collects the samples of a step, trains on
 // them, and announces a new weight version every few steps.
 type Trainer struct {
-	Name   string
-	Tenant string
-	Model  string
-	Client *client.Client
-	Truth  *Truth
+	Name    string
+	Tenant  string
+	Model   string
+	Client  *client.Client
+	Checker *Checker
 	// MaxVersions is the tenant's freshness bound, in weight versions, that
 	// received samples are checked against.
 	MaxVersions uint64
@@ -94,7 +94,7 @@
 		step, err := t.collect(ctx, number)
 		if err != nil {
 			if ctx.Err() == nil {
-				t.Truth.Violate("trainer %s: step %d failed: %v", t.Name, number, err)
+				t.Checker.ReportViolation("trainer %s: step %d failed: %v", t.Name, number, err)
 			}
 			return
 		}
@@ -157,7 +157,7 @@
 			return step, errors.Newf("slot %d was delivered twice", sample.Slot)
 		}
 		receivedSlots[sample.Slot] = true
-		t.Truth.RecordSample(t.Tenant, sample, t.Version(), t.MaxVersions)
+		t.Checker.RecordSample(t.Tenant, sample, t.Version(), t.MaxVersions)
 		scoring.Go(func() { t.score(ctx, number, sample) })
 		step.Samples++
 		step.Tokens += len(sample.Tokens)
@@ -170,7 +170,7 @@
 		return
 	}
 	if err := t.Score(ctx, sample); err != nil && ctx.Err() == nil {
-		t.Truth.Violate("trainer %s: step %d: slot %d could not be scored: %v", t.Name, number, sample.Slot, err)
+		t.Checker.ReportViolation("trainer %s: step %d: slot %d could not be scored: %v", t.Name, number, sample.Slot, err)
 	}
 }
 
--- a/internal/emulator/truth.go
+++ b/internal/emulator/truth.go
@@ -38,16 +38,16 @@
 	WantBody string
 }
 
-// Truth is the test oracle: it records what happened outside of pathbend and
+// Checker is the test oracle: it records what happened outside of pathbend and
 // checks the invariants. It is safe for concurrent use.
-type Truth struct {
+type Checker struct {
 	// TraceWriter receives a line for every observation; nil for none. It must
 	// be set before the first observation.
 	TraceWriter io.Writer
-	// Blind is set if executions are not recorded because they happen in other
+	// ExecutionsUnobserved is set if executions are not recorded because they happen in other
 	// processes. Of application requests, only the contents of answers are
 	// checked then.
-	Blind bool
+	ExecutionsUnobserved bool
 
 	mutex sync.Mutex
 	// executions holds the executions by the caller's request id, versions the
@@ -67,9 +67,9 @@
 	crashingRuns CrashingRuns
 }
 
-// NewTruth returns a Truth without observations.
-func NewTruth() *Truth {
-	return &Truth{
+// NewChecker returns a Checker without observations.
+func NewChecker() *Checker {
+	return &Checker{
 		executions: make(map[string][]Execution), leavingSince: make(map[string]time.Time),
 		versions: make(map[string]map[uint64]int), staleness: make(map[string][]uint64),
 		crashing: make(map[string]*crashingRequest),
@@ -78,7 +78,7 @@
 
 // writeTrace adds an observation and its time to the trace. The caller holds
 // t.mutex.
-func (t *Truth) writeTrace(format string, arguments ...any) {
+func (t *Checker) writeTrace(format string, arguments ...any) {
 	line := fmt.Sprintf("%d ", time.Now().UnixNano()) + fmt.Sprintf(format, arguments...) + "\n"
 	_, _ = t.traceDigest.WriteString(line) // never fails
 	if t.TraceWriter != nil {
@@ -88,7 +88,7 @@
 
 // TraceHash returns a hash of all observations and their times. Equal hashes mean
 // that two simulated runs took the same course.
-func (t *Truth) TraceHash() uint64 {
+func (t *Checker) TraceHash() uint64 {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.traceDigest.Sum64()
@@ -96,7 +96,7 @@
 
 // RecordExecution records that a back end ran a request. A run by a back end that
 // began to leave more than LeavePropagationLimit ago is a violation.
-func (t *Truth) RecordExecution(execution Execution) {
+func (t *Checker) RecordExecution(execution Execution) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.writeTrace("run %s at %s", execution.RequestID, execution.BackEnd)
@@ -110,35 +110,35 @@
 // requests.
 const LeavePropagationLimit = 3 * time.Second
 
-// Leaving records when a back end began to leave.
-func (t *Truth) Leaving(backEnd string, at time.Time) {
+// RecordLeaving records when a back end began to leave.
+func (t *Checker) RecordLeaving(backEnd string, at time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.leavingSince[backEnd] = at
 }
 
 // RecordOutcome records the result of a request as its caller saw it.
-func (t *Truth) RecordOutcome(outcome Outcome) {
+func (t *Checker) RecordOutcome(outcome Outcome) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.outcomes = append(t.outcomes, outcome)
 	t.writeTrace("answer %s %v", outcome.RequestID, outcome.Err)
 }
 
-// Violate records a violation that was detected elsewhere.
-func (t *Truth) Violate(format string, arguments ...any) {
+// ReportViolation records a violation that was detected elsewhere.
+func (t *Checker) ReportViolation(format string, arguments ...any) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.addViolation(format, arguments...)
 }
 
-func (t *Truth) addViolation(format string, arguments ...any) {
+func (t *Checker) addViolation(format string, arguments ...any) {
 	t.violations = append(t.violations, fmt.Sprintf(format, arguments...))
 }
 
 // RecordSample checks a sample that a trainer received while at trainerVersion
 // against the freshness bound and the versions of its tokens.
-func (t *Truth) RecordSample(tenant string, sample *client.Sample, trainerVersion, maxVersions uint64) {
+func (t *Checker) RecordSample(tenant string, sample *client.Sample, trainerVersion, maxVersions uint64) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.samples++
@@ -158,7 +158,7 @@
 // checkSegments compares the versions that a sample states for its tokens with
 // those that generated them: an emulated engine writes its version into each
 // token. The caller holds t.mutex.
-func (t *Truth) checkSegments(tenant string, sample *client.Sample) {
+func (t *Checker) checkSegments(tenant string, sample *client.Sample) {
 	covered := 0
 	for _, segment := range sample.Segments {
 		if segment.From != covered || segment.To > len(sample.Tokens) || segment.To <= segment.From {
@@ -201,9 +201,9 @@
 	return version
 }
 
-// Judge checks the outcomes of all application requests and returns these and all
+// CheckInvariants checks the outcomes of all application requests and returns these and all
 // earlier violations, sorted.
-func (t *Truth) Judge() []string {
+func (t *Checker) CheckInvariants() []string {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	found := slices.Clone(t.violations)
@@ -216,12 +216,12 @@
 
 // checkOutcome compares a request's outcome with its executions and returns the
 // violations. The caller holds t.mutex.
-func (t *Truth) checkOutcome(outcome Outcome) []string {
+func (t *Checker) checkOutcome(outcome Outcome) []string {
 	var found []string
 	if outcome.Err == nil && outcome.Body != outcome.WantBody {
 		found = append(found, fmt.Sprintf("request %s was answered with %q instead of %q", outcome.RequestID, outcome.Body, outcome.WantBody))
 	}
-	if t.Blind {
+	if t.ExecutionsUnobserved {
 		return found
 	}
 	runs := len(t.executions[outcome.RequestID])
@@ -251,7 +251,7 @@
 }
 
 // Summary returns the counts of the observations so far.
-func (t *Truth) Summary() Summary {
+func (t *Checker) Summary() Summary {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	summary := Summary{
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -48,17 +48,17 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.client.CloseIdleConnections() }
 
-// Load fetches an engine's load report.
-func (c *Client) Load(ctx context.Context, address string) (Load, error) {
+// FetchLoad fetches an engine's load report.
+func (c *Client) FetchLoad(ctx context.Context, address string) (LoadReport, error) {
 	ctx, cancel := context.WithTimeout(ctx, LoadTimeout)
 	defer cancel()
-	var load Load
+	var load LoadReport
 	err := c.exchange(ctx, http.MethodGet, "http://"+address+"/v1/load", nil, &load)
 	return load, err
 }
 
-// Order sends a fenced order and waits until the engine has executed it.
-func (c *Client) Order(ctx context.Context, address string, order Order) error {
+// SendOrder sends a fenced order and waits until the engine has executed it.
+func (c *Client) SendOrder(ctx context.Context, address string, order Order) error {
 	ctx, cancel := context.WithTimeout(ctx, OrderTimeout)
 	defer cancel()
 	return c.exchange(ctx, http.MethodPost, "http://"+address+"/v1/orders", order, nil)
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -96,7 +96,7 @@
 	_, err := generate(t, func(writer http.ResponseWriter, _ *http.Request) { writer.WriteHeader(http.StatusServiceUnavailable) })
 	require.ErrorIs(t, err, ErrBusy)
 	client, address := serve(t, func(writer http.ResponseWriter, _ *http.Request) { writer.WriteHeader(http.StatusConflict) })
-	require.ErrorIs(t, client.Order(context.Background(), address, Order{Fence: 1}), ErrStaleFence)
+	require.ErrorIs(t, client.SendOrder(context.Background(), address, Order{Fence: 1}), ErrStaleFence)
 }
 
 // BenchmarkStream reads chunks of eight tokens, as the node that owns a job does.
--- a/internal/engine/types.go
+++ b/internal/engine/types.go
@@ -30,8 +30,8 @@
 	FinishReason string `json:"finish_reason,omitempty"`
 }
 
-// Load is the load report of an engine.
-type Load struct {
+// LoadReport is the load report of an engine.
+type LoadReport struct {
 	EngineID string `json:"engine_id"`
 	Running  int    `json:"running"`
 	Waiting  int    `json:"waiting"`
--- a/internal/evacuation/evacuation.go
+++ b/internal/evacuation/evacuation.go
@@ -32,14 +32,14 @@
 
 // Changes lists the zones whose state differs between two snapshots.
 type Changes struct {
-	// Evacuated are the requests for zones that no source had requested before, TakenBack
+	// Evacuated are the requests for zones that no source had requested before, Restored
 	// the former requests for zones that no source requests any more.
-	Evacuated, TakenBack []Zone
+	Evacuated, Restored []Zone
 }
 
-// Take returns a snapshot in which the requests of one source are replaced by names, and
+// ReplaceSource returns a snapshot in which the requests of one source are replaced by names, and
 // the changes that this makes. Zones that the source requested before keep their Since.
-func (z Zones) Take(source Source, names []string, now time.Time) (Zones, Changes) {
+func (z Zones) ReplaceSource(source Source, names []string, now time.Time) (Zones, Changes) {
 	var next Zones
 	for _, request := range z.requests {
 		if request.Source != source || slices.Contains(names, request.Name) {
@@ -54,7 +54,7 @@
 	slices.SortFunc(next.requests, func(a, b Zone) int {
 		return cmp.Or(cmp.Compare(a.Name, b.Name), cmp.Compare(a.Source, b.Source))
 	})
-	return next, Changes{Evacuated: next.notIn(z), TakenBack: z.notIn(next)}
+	return next, Changes{Evacuated: next.notIn(z), Restored: z.notIn(next)}
 }
 
 // requestedBy reports whether a source requests the evacuation of a zone.
@@ -66,15 +66,15 @@
 func (z Zones) notIn(other Zones) []Zone {
 	var missing []Zone
 	for _, zone := range z.requests {
-		if !other.Has(zone.Name) {
+		if !other.Contains(zone.Name) {
 			missing = append(missing, zone)
 		}
 	}
 	return missing
 }
 
-// Has reports whether any source requests the evacuation of a zone.
-func (z Zones) Has(name string) bool {
+// Contains reports whether any source requests the evacuation of a zone.
+func (z Zones) Contains(name string) bool {
 	return slices.ContainsFunc(z.requests, func(zone Zone) bool { return zone.Name == name })
 }
 
--- a/internal/explain/chain.go
+++ b/internal/explain/chain.go
@@ -21,7 +21,7 @@
 	Submit  time.Duration
 	Weights time.Duration
 	Queue   time.Duration
-	// Prompt, Paused and Stalled are as in schedule.Spent; Tokens is the remaining time
+	// Prompt, Paused and Stalled are as in schedule.Durations; Tokens is the remaining time
 	// until the text was complete.
 	Prompt  time.Duration
 	Paused  time.Duration
--- a/internal/fanout/cache.go
+++ b/internal/fanout/cache.go
@@ -41,7 +41,7 @@
 
 // wantedBy reports whether a node that wants the groups must get the record.
 func (g groupedRecord) wantedBy(groups Groups) bool {
-	return groups.Has(g.group) || groups.Has(g.previousGroup)
+	return groups.Includes(g.group) || groups.Includes(g.previousGroup)
 }
 
 // NewCache returns an empty cache. groupOf returns the group of a record, "" if it has none.
@@ -111,15 +111,15 @@
 	c.changed = make(chan struct{})
 }
 
-// Newest returns the newest record of every key in the wanted groups, sorted by key. It
+// Snapshot returns the newest record of every key in the wanted groups, sorted by key. It
 // reports false if not every key has been read yet.
-func (c *Cache) Newest(groups Groups) (sharedlog.KeyedBatch, bool) {
+func (c *Cache) Snapshot(groups Groups) (sharedlog.KeyedBatch, bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if !c.complete {
 		return sharedlog.KeyedBatch{}, false
 	}
-	batch := sharedlog.KeyedBatch{End: c.nextOffset, Next: c.nextOffset}
+	batch := sharedlog.KeyedBatch{EndOffset: c.nextOffset, NextOffset: c.nextOffset}
 	for _, key := range slices.Sorted(maps.Keys(c.newest)) {
 		if record := c.newest[key]; record.wantedBy(groups) {
 			batch.Records = append(batch.Records, record.KeyedRecord)
@@ -138,7 +138,7 @@
 	if !c.complete || from < c.firstOffset {
 		return sharedlog.KeyedBatch{}, false, c.changed
 	}
-	batch = sharedlog.KeyedBatch{End: max(c.nextOffset, from), Next: max(c.nextOffset, from)}
+	batch = sharedlog.KeyedBatch{EndOffset: max(c.nextOffset, from), NextOffset: max(c.nextOffset, from)}
 	first, _ := slices.BinarySearchFunc(c.recent, from, func(record groupedRecord, offset uint64) int {
 		if record.Offset < offset {
 			return -1
--- a/internal/fanout/choice.go
+++ b/internal/fanout/choice.go
@@ -10,23 +10,23 @@
 	// process that stopped is back after about 2 s, and its entry in the directory remains
 	// meanwhile.
 	failedReaderBackoff = 3 * time.Second
-	// StalestAge is the maximum age of a reader's entries; beyond it the reader lags. A reader
+	// MaxReaderAge is the maximum age of a reader's entries; beyond it the reader lags. A reader
 	// that reaches the log gets an answer from it every 0.6 s and pauses for 0.1 s. On the
 	// users' smallest deployments a leaving sampler must get no new work after 2 s: this age,
 	// the 0.6 s for which a request is held and a pause of 0.1 s add up to less.
-	StalestAge = 1200 * time.Millisecond
+	MaxReaderAge = 1200 * time.Millisecond
 	// startTimeout is how long a node without entries retries the readers, from its first
 	// request on, before it reads all entries itself. If all nodes start at once, about 35
 	// readers of 20 pages each read 280 MB, which is 3.5 s of the log's 80 MB/s; all 985 nodes
 	// would read 7.9 GB.
 	startTimeout = 4 * time.Second
-	// AskAgain is the pause between two such retries.
-	AskAgain = 250 * time.Millisecond
+	// RetryInterval is the pause between two such retries.
+	RetryInterval = 250 * time.Millisecond
 )
 
-// Choice selects the readers that a node asks, and avoids those that failed recently. It is
+// ReaderSelector selects the readers that a node asks, and avoids those that failed recently. It is
 // safe for concurrent use.
-type Choice struct {
+type ReaderSelector struct {
 	mutex sync.Mutex
 	// firstRequestAt is when the node first selected readers to ask.
 	firstRequestAt time.Time
@@ -34,13 +34,13 @@
 	avoidUntil map[string]time.Time
 }
 
-// NewChoice returns the state of a node that has asked no reader yet.
-func NewChoice() *Choice {
-	return &Choice{avoidUntil: make(map[string]time.Time)}
+// NewReaderSelector returns the state of a node that has asked no reader yet.
+func NewReaderSelector() *ReaderSelector {
+	return &ReaderSelector{avoidUntil: make(map[string]time.Time)}
 }
 
 // Parents returns the readers to ask now, in order of preference.
-func (c *Choice) Parents(plan Plan, now time.Time) []Node {
+func (c *ReaderSelector) Parents(plan Plan, now time.Time) []Node {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.firstRequestAt.IsZero() {
@@ -58,8 +58,8 @@
 	return available
 }
 
-// Unhelpful records that a reader gave no answer or one that is too old.
-func (c *Choice) Unhelpful(name string, now time.Time) {
+// RecordFailure records that a reader gave no answer or one that is too old.
+func (c *ReaderSelector) RecordFailure(name string, now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.avoidUntil[name] = now.Add(failedReaderBackoff)
@@ -70,9 +70,9 @@
 	}
 }
 
-// Waits reports whether a node without entries should retry the readers rather than read the
+// MayWaitForReaders reports whether a node without entries should retry the readers rather than read the
 // log itself.
-func (c *Choice) Waits(now time.Time) bool {
+func (c *ReaderSelector) MayWaitForReaders(now time.Time) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.firstRequestAt.IsZero() || now.Sub(c.firstRequestAt) < startTimeout
--- a/internal/fanout/fanout_test.go
+++ b/internal/fanout/fanout_test.go
@@ -25,9 +25,9 @@
 }
 
 func TestFewNodesReadTheLogThemselves(t *testing.T) {
-	plan := Make(Sizes{}, "n-0-0", "zone-0", testNodes(2, defaultDirectNodes/2, 2))
+	plan := NewPlan(Sizes{}, "n-0-0", "zone-0", testNodes(2, defaultDirectNodes/2, 2))
 	require.False(t, plan.Shared)
-	require.True(t, plan.Reads)
+	require.True(t, plan.ReadsLog)
 	require.Empty(t, plan.Parents)
 }
 
@@ -39,9 +39,9 @@
 		served := make(map[string]int)
 		readers := 0
 		for _, node := range nodes {
-			plan := Make(Sizes{}, node.Name, node.Zone, nodes)
+			plan := NewPlan(Sizes{}, node.Name, node.Zone, nodes)
 			require.True(t, plan.Shared)
-			if plan.Reads {
+			if plan.ReadsLog {
 				require.True(t, node.Large, "readers are large machines")
 				readers++
 				continue
@@ -58,28 +58,28 @@
 
 func TestZoneWithoutReadersIsServedByOtherZones(t *testing.T) {
 	nodes := testNodes(3, 100, 20)
-	plan := Make(Sizes{}, "alone", "elsewhere", nodes)
-	require.False(t, plan.Reads)
+	plan := NewPlan(Sizes{}, "alone", "elsewhere", nodes)
+	require.False(t, plan.ReadsLog)
 	require.Len(t, plan.Parents, plan.Readers)
 	for i := range nodes {
 		nodes[i].Address = ""
 	}
-	plan = Make(Sizes{}, nodes[0].Name, nodes[0].Zone, nodes)
+	plan = NewPlan(Sizes{}, nodes[0].Name, nodes[0].Zone, nodes)
 	require.Empty(t, plan.Parents, "nodes that serve no requests are not asked")
 	require.True(t, plan.Shared)
 }
 
 func TestFailedReaderIsAvoidedDuringItsBackoff(t *testing.T) {
 	now := time.Unix(100, 0)
-	choice := NewChoice()
-	plan := Make(Sizes{}, "alone", "zone-0", testNodes(2, 200, 40))
+	choice := NewReaderSelector()
+	plan := NewPlan(Sizes{}, "alone", "zone-0", testNodes(2, 200, 40))
 	first := choice.Parents(plan, now)
 	require.Len(t, first, maxParentsPerRequest)
-	choice.Unhelpful(first[0].Name, now)
+	choice.RecordFailure(first[0].Name, now)
 	require.Equal(t, first[1], choice.Parents(plan, now)[0])
 	require.Equal(t, first, choice.Parents(plan, now.Add(failedReaderBackoff)))
-	require.True(t, choice.Waits(now.Add(startTimeout/2)), "the timeout runs from the first request on")
-	require.False(t, choice.Waits(now.Add(startTimeout)))
+	require.True(t, choice.MayWaitForReaders(now.Add(startTimeout/2)), "the timeout runs from the first request on")
+	require.False(t, choice.MayWaitForReaders(now.Add(startTimeout)))
 }
 
 func record(key, group string, offset uint64) sharedlog.KeyedRecord {
@@ -98,17 +98,17 @@
 
 func TestCacheServesTheWantedGroups(t *testing.T) {
 	cache := NewCache(groupByValue)
-	_, ready := cache.Newest(All())
+	_, ready := cache.Snapshot(All())
 	require.False(t, ready, "nothing has been read")
 	cache.Reset([]sharedlog.KeyedRecord{record("b", "llm", 1), record("a", "api", 2), record("c", "api", 3)}, 4)
-	batch, ready := cache.Newest(Only("api"))
+	batch, ready := cache.Snapshot(Only("api"))
 	require.True(t, ready)
 	require.Equal(t, []string{"a", "c"}, keysOf(batch))
-	require.EqualValues(t, 4, batch.Next)
-	batch, _ = cache.Newest(All())
+	require.EqualValues(t, 4, batch.NextOffset)
+	batch, _ = cache.Snapshot(All())
 	require.Equal(t, []string{"a", "b", "c"}, keysOf(batch))
 	cache.Clear()
-	_, ready = cache.Newest(All())
+	_, ready = cache.Snapshot(All())
 	require.False(t, ready)
 }
 
@@ -123,7 +123,7 @@
 	batch, available, _ := cache.Since(4, Only("api"))
 	require.True(t, available)
 	require.Equal(t, []string{"a", "c", "d"}, keysOf(batch))
-	require.EqualValues(t, 9, batch.Next, "the batch ends after the records of other groups too")
+	require.EqualValues(t, 9, batch.NextOffset, "the batch ends after the records of other groups too")
 	batch, _, _ = cache.Since(7, Only("api"))
 	require.Equal(t, []string{"d"}, keysOf(batch))
 	cache.Apply([]sharedlog.KeyedRecord{record("d", "llm", 9)}, 10)
@@ -140,7 +140,7 @@
 	batch, available, _ := cache.Since(25, All())
 	require.True(t, available)
 	require.Empty(t, batch.Records)
-	require.EqualValues(t, 25, batch.Next)
+	require.EqualValues(t, 25, batch.NextOffset)
 	_, available, _ = cache.Since(9, All())
 	require.False(t, available, "records before the reset are not held")
 	var records []sharedlog.KeyedRecord
--- a/internal/fanout/groups.go
+++ b/internal/fanout/groups.go
@@ -18,11 +18,11 @@
 	return Groups{names: slices.Compact(sorted)}
 }
 
-// Every reports whether the set includes all groups.
-func (g Groups) Every() bool { return g.all }
+// IncludesAll reports whether the set includes all groups.
+func (g Groups) IncludesAll() bool { return g.all }
 
-// Has reports whether the set includes a group.
-func (g Groups) Has(name string) bool {
+// Includes reports whether the set includes a group.
+func (g Groups) Includes(name string) bool {
 	if g.all {
 		return true
 	}
@@ -35,7 +35,7 @@
 	if g.all || other.all {
 		return g.all
 	}
-	return !slices.ContainsFunc(other.names, func(name string) bool { return !g.Has(name) })
+	return !slices.ContainsFunc(other.names, func(name string) bool { return !g.Includes(name) })
 }
 
 // Names returns the names of the groups, sorted. It is empty if the set includes all groups.
--- a/internal/fanout/plan.go
+++ b/internal/fanout/plan.go
@@ -10,15 +10,15 @@
 // Sizes are the numbers of nodes that decide whether nodes share readers, and how many. The
 // zero value stands for the defaults: 128 nodes that read directly and 32 nodes per reader.
 type Sizes struct {
-	// Direct is the maximum number of nodes that all read the log themselves, PerReader the
+	// MaxDirectNodes is the maximum number of nodes that all read the log themselves, NodesPerReader the
 	// mean number of nodes that one reader serves.
-	Direct, PerReader int
+	MaxDirectNodes, NodesPerReader int
 }
 
 // orDefault replaces the zero value by the defaults.
 func (s Sizes) orDefault() Sizes {
 	if s == (Sizes{}) {
-		return Sizes{Direct: defaultDirectNodes, PerReader: defaultNodesPerReader}
+		return Sizes{MaxDirectNodes: defaultDirectNodes, NodesPerReader: defaultNodesPerReader}
 	}
 	return s
 }
@@ -53,8 +53,8 @@
 type Plan struct {
 	// Shared is set if some nodes read for the others; otherwise every node reads for itself.
 	Shared bool
-	// Reads is set if this node reads the log, for other nodes too if Shared is set.
-	Reads bool
+	// ReadsLog is set if this node reads the log, for other nodes too if Shared is set.
+	ReadsLog bool
 	// Readers is the number of nodes that read the log.
 	Readers int
 	// Parents are the readers that this node asks, in order of preference. It is empty if
@@ -62,27 +62,27 @@
 	Parents []Node
 }
 
-// Make returns the plan of the node self in a zone, given the nodes that it knows. Nodes that
+// NewPlan returns the plan of the node self in a zone, given the nodes that it knows. Nodes that
 // know the same nodes make consistent plans. While their knowledge differs, a node may be
 // asked that does not read; it refuses the request.
-func Make(sizes Sizes, self string, zone string, known []Node) Plan {
+func NewPlan(sizes Sizes, self string, zone string, known []Node) Plan {
 	sizes = sizes.orDefault()
-	if len(known) <= sizes.Direct {
-		return Plan{Reads: true, Readers: len(known)}
+	if len(known) <= sizes.MaxDirectNodes {
+		return Plan{ReadsLog: true, Readers: len(known)}
 	}
 	plan := Plan{Shared: true}
 	var parents []Node
 	for _, nodes := range addressableByZone(known) {
-		readers := selectReaders(nodes, sizes.PerReader)
+		readers := selectReaders(nodes, sizes.NodesPerReader)
 		plan.Readers += len(readers)
 		for _, reader := range readers {
 			if reader.Name == self {
-				plan.Reads = true
+				plan.ReadsLog = true
 			}
 		}
 		parents = append(parents, readers...)
 	}
-	if plan.Reads {
+	if plan.ReadsLog {
 		return plan
 	}
 	plan.Parents = rankNodes(parents, self, func(node Node) bool { return node.Zone == zone })
--- a/internal/fanout/size_test.go
+++ b/internal/fanout/size_test.go
@@ -7,6 +7,6 @@
 func BenchmarkMake(b *testing.B) {
 	nodes := testNodes(5, 197, 40)
 	for b.Loop() {
-		Make(Sizes{}, nodes[900].Name, nodes[900].Zone, nodes)
+		NewPlan(Sizes{}, nodes[900].Name, nodes[900].Zone, nodes)
 	}
 }
--- a/internal/feed/ask.go
+++ b/internal/feed/ask.go
@@ -22,7 +22,7 @@
 	request.Topic = f.config.Topic
 	for _, parent := range f.choice.Parents(plan, time.Now()) {
 		batch, err := f.fetchFrom(ctx, parent, request, hold)
-		f.config.Counts.EntriesRead(FromReader, err == nil)
+		f.config.Counter.EntriesRead(FromReader, err == nil)
 		if err == nil {
 			return batch, true
 		}
@@ -40,7 +40,7 @@
 // avoid excludes a reader from being selected for a while, and logs its error.
 func (f *Feed) avoid(parent fanout.Node, err error) {
 	now := time.Now()
-	f.choice.Unhelpful(parent.Name, now)
+	f.choice.RecordFailure(parent.Name, now)
 	if f.logLimiter.Allow(now) {
 		f.config.Logger.Log(event.ReaderUnhelpful, "reader", parent.Name, "topic", f.config.Topic, "detail", err.Error())
 	}
@@ -64,7 +64,7 @@
 		return sharedlog.KeyedBatch{}, result.New(result.FrameMalformed, "the response is not an entry batch")
 	case response.Truncated:
 		return sharedlog.KeyedBatch{}, nil
-	case response.AgeMs < 0 || time.Duration(response.AgeMs)*time.Millisecond > fanout.StalestAge:
+	case response.AgeMs < 0 || time.Duration(response.AgeMs)*time.Millisecond > fanout.MaxReaderAge:
 		return sharedlog.KeyedBatch{}, result.New(result.LogUnavailable, "the reader last read the log %d ms ago", response.AgeMs)
 	case response.Next == 0 && !request.Newest || response.Next < request.From:
 		return sharedlog.KeyedBatch{}, result.New(result.FrameMalformed, "the response to a read from offset %d ends at offset %d", request.From, response.Next)
@@ -81,6 +81,6 @@
 		}
 	}
 	return sharedlog.KeyedBatch{
-		End: response.Next, Next: response.Next, Records: records, Age: time.Duration(response.AgeMs) * time.Millisecond,
+		EndOffset: response.Next, NextOffset: response.Next, Records: records, Age: time.Duration(response.AgeMs) * time.Millisecond,
 	}, nil
 }
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -44,21 +44,21 @@
 	GroupOf func(sharedlog.KeyedRecord) string
 	// Plan returns this node's current role and its readers.
 	Plan func() fanout.Plan
-	// Wanted returns the groups that this node needs if it reads through others.
-	Wanted func() fanout.Groups
-	Caller Caller
-	// Hurried makes the node read the log at once if no reader responds, instead of waiting
+	// RequiredGroups returns the groups that this node needs if it reads through others.
+	RequiredGroups func() fanout.Groups
+	Caller         Caller
+	// SkipReaderWait makes the node read the log at once if no reader responds, instead of waiting
 	// for a reader to become ready.
-	Hurried bool
-	Counts  Counter
-	Logger  *event.Logger
+	SkipReaderWait bool
+	Counter        Counter
+	Logger         *event.Logger
 }
 
 // Feed reads a keyed topic from the log or through a reader. It is safe for concurrent use.
 type Feed struct {
 	sharedlog.Log
 	config Config
-	choice *fanout.Choice
+	choice *fanout.ReaderSelector
 	cache  *fanout.Cache
 	// logLimiter limits the rate of log entries about failed readers.
 	logLimiter event.Limiter
@@ -78,21 +78,21 @@
 // New returns a feed that has read nothing.
 func New(config Config) *Feed {
 	return &Feed{
-		Log: config.Log, config: config, choice: fanout.NewChoice(), cache: fanout.NewCache(config.GroupOf),
+		Log: config.Log, config: config, choice: fanout.NewReaderSelector(), cache: fanout.NewCache(config.GroupOf),
 	}
 }
 
-// Watch sets the function that returns the age of the follower's data. Requests of other
+// SetAgeFunc sets the function that returns the age of the follower's data. Requests of other
 // nodes are refused before it is set.
-func (f *Feed) Watch(age func() time.Duration) { f.age.Store(&age) }
+func (f *Feed) SetAgeFunc(age func() time.Duration) { f.age.Store(&age) }
 
 // requiredGroups returns the groups that this node needs under a plan: all of them if it reads
 // the log.
 func (f *Feed) requiredGroups(plan fanout.Plan) fanout.Groups {
-	if plan.Reads {
+	if plan.ReadsLog {
 		return fanout.All()
 	}
-	return f.config.Wanted()
+	return f.config.RequiredGroups()
 }
 
 func (f *Feed) loadedGroups() fanout.Groups {
@@ -102,13 +102,13 @@
 }
 
 // Complete reports whether the follower has the entries of all groups.
-func (f *Feed) Complete() bool { return f.loadedGroups().Every() }
+func (f *Feed) Complete() bool { return f.loadedGroups().IncludesAll() }
 
 // Partial reports whether the follower has loaded entries, but only those of some groups.
 func (f *Feed) Partial() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.hasLoaded && !f.loaded.Every()
+	return f.hasLoaded && !f.loaded.IncludesAll()
 }
 
 func (f *Feed) setLoaded(groups fanout.Groups) {
@@ -128,24 +128,24 @@
 	return time.Since(f.loadedAt) > shrinkDelay
 }
 
-// Newest implements sharedlog.Log. A node that does not read the log itself requests the first
+// ReadNewest implements sharedlog.Log. A node that does not read the log itself requests the first
 // page from a reader, whose response holds the newest entries of all groups that it needs.
-func (f *Feed) Newest(ctx context.Context, partition sharedlog.Partition, after string) (sharedlog.KeyedPage, error) {
+func (f *Feed) ReadNewest(ctx context.Context, partition sharedlog.Partition, after string) (sharedlog.KeyedPage, error) {
 	plan := f.config.Plan()
-	if after == "" && !plan.Reads {
+	if after == "" && !plan.ReadsLog {
 		required := f.requiredGroups(plan)
-		batch, fetched := f.fetch(ctx, plan, &pathbendv1.ReadEntries{Newest: true, All: required.Every(), Groups: required.Names()}, 0)
+		batch, fetched := f.fetch(ctx, plan, &pathbendv1.ReadEntries{Newest: true, All: required.IncludesAll(), Groups: required.Names()}, 0)
 		if fetched {
 			f.setLoaded(required)
 			return sharedlog.KeyedPage{KeyedBatch: batch}, nil
 		}
-		if f.choice.Waits(time.Now()) && len(plan.Parents) > 0 && !f.config.Hurried {
-			wait.For(ctx, fanout.AskAgain)
+		if f.choice.MayWaitForReaders(time.Now()) && len(plan.Parents) > 0 && !f.config.SkipReaderWait {
+			wait.For(ctx, fanout.RetryInterval)
 			return sharedlog.KeyedPage{}, result.New(result.LogUnavailable, "no reader has served the newest entries yet")
 		}
 	}
-	page, err := f.Log.Newest(ctx, partition, after)
-	f.config.Counts.EntriesRead(FromLog, err == nil)
+	page, err := f.Log.ReadNewest(ctx, partition, after)
+	f.config.Counter.EntriesRead(FromLog, err == nil)
 	if err == nil && !page.More {
 		f.setLoaded(fanout.All())
 	}
@@ -157,28 +157,28 @@
 func (f *Feed) ReadKeyed(ctx context.Context, partition sharedlog.Partition, from uint64, hold time.Duration) (sharedlog.KeyedBatch, error) {
 	plan := f.config.Plan()
 	loaded := f.loadedGroups()
-	if required := f.requiredGroups(plan); !loaded.Covers(required) || loaded.Every() && !required.Every() && len(plan.Parents) > 0 && f.mayShrink() {
+	if required := f.requiredGroups(plan); !loaded.Covers(required) || loaded.IncludesAll() && !required.IncludesAll() && len(plan.Parents) > 0 && f.mayShrink() {
 		return sharedlog.KeyedBatch{}, result.New(result.LogTruncated, "the groups that this node needs differ from those that it has loaded")
 	}
 	if f.serves() && !f.cache.Ready() {
 		return sharedlog.KeyedBatch{}, result.New(result.LogTruncated, "the newest entries must be read again to serve other nodes")
 	}
-	if !plan.Reads {
-		request := &pathbendv1.ReadEntries{From: from, All: loaded.Every(), Groups: loaded.Names(), HoldMs: hold.Milliseconds()}
+	if !plan.ReadsLog {
+		request := &pathbendv1.ReadEntries{From: from, All: loaded.IncludesAll(), Groups: loaded.Names(), HoldMs: hold.Milliseconds()}
 		batch, fetched := f.fetch(ctx, plan, request, hold)
 		switch {
-		case fetched && batch.Next == 0:
+		case fetched && batch.NextOffset == 0:
 			return sharedlog.KeyedBatch{}, result.New(result.LogTruncated, "the readers no longer keep the entries from offset %d", from)
 		case fetched:
 			if len(batch.Records) == 0 {
-				batch.Held = hold
+				batch.Waited = hold
 			}
 			return batch, nil
 		}
 	}
 	batch, err := f.Log.ReadKeyed(ctx, partition, from, hold)
-	f.config.Counts.EntriesRead(FromLog, err == nil)
-	if err == nil && !loaded.Every() {
+	f.config.Counter.EntriesRead(FromLog, err == nil)
+	if err == nil && !loaded.IncludesAll() {
 		batch.Records = f.filter(batch.Records, loaded)
 	}
 	return batch, err
@@ -189,7 +189,7 @@
 func (f *Feed) filter(records []sharedlog.KeyedRecord, groups fanout.Groups) []sharedlog.KeyedRecord {
 	var kept []sharedlog.KeyedRecord
 	for _, record := range records {
-		if group := f.config.GroupOf(record); group == "" || groups.Has(group) {
+		if group := f.config.GroupOf(record); group == "" || groups.Includes(group) {
 			kept = append(kept, record)
 		}
 	}
@@ -221,5 +221,5 @@
 // serves reports whether this node is a reader that serves all groups to other nodes.
 func (f *Feed) serves() bool {
 	plan := f.config.Plan()
-	return plan.Shared && plan.Reads && f.Complete()
+	return plan.Shared && plan.ReadsLog && f.Complete()
 }
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -30,13 +30,13 @@
 	l.records = append(l.records, sharedlog.KeyedRecord{Key: key, Value: []byte(group), Offset: uint64(len(l.records))})
 }
 
-func (l *topicLog) Newest(context.Context, sharedlog.Partition, string) (sharedlog.KeyedPage, error) {
+func (l *topicLog) ReadNewest(context.Context, sharedlog.Partition, string) (sharedlog.KeyedPage, error) {
 	l.reads++
 	if l.down {
 		return sharedlog.KeyedPage{}, result.New(result.LogUnavailable, "down")
 	}
 	page := sharedlog.KeyedPage{}
-	page.Records, page.End = l.records, uint64(len(l.records))
+	page.Records, page.EndOffset = l.records, uint64(len(l.records))
 	return page, nil
 }
 
@@ -46,7 +46,7 @@
 		return sharedlog.KeyedBatch{}, result.New(result.LogUnavailable, "down")
 	}
 	end := uint64(len(l.records))
-	return sharedlog.KeyedBatch{End: end, Next: end, Records: l.records[min(from, end):]}, nil
+	return sharedlog.KeyedBatch{EndOffset: end, NextOffset: end, Records: l.records[min(from, end):]}, nil
 }
 
 type noCounts struct{}
@@ -81,7 +81,7 @@
 	if server == nil {
 		return nil, result.New(result.PeerUnreached, "no node at %s", address)
 	}
-	response, err := server.Answer(ctx, call.GetReadEntries())
+	response, err := server.Serve(ctx, call.GetReadEntries())
 	if err != nil {
 		return nil, err
 	}
@@ -92,19 +92,19 @@
 	f.plans[name] = &plan
 	feed := New(Config{
 		Log: f.log, Topic: "t", GroupOf: func(record sharedlog.KeyedRecord) string { return string(record.Value) },
-		Plan:   func() fanout.Plan { return *f.plans[name] },
-		Wanted: func() fanout.Groups { return f.required }, Caller: f, Counts: noCounts{},
+		Plan:           func() fanout.Plan { return *f.plans[name] },
+		RequiredGroups: func() fanout.Groups { return f.required }, Caller: f, Counter: noCounts{},
 		Logger: event.NewLogger(&f.logs, slog.LevelDebug),
 	})
 	f.feeds[name] = feed
-	feed.Watch(func() time.Duration { return f.ages[name] })
+	feed.SetAgeFunc(func() time.Duration { return f.ages[name] })
 	f.servers[name] = NewServer(feed)
 	return feed
 }
 
 // reader adds a node that reads the log for others and has loaded all entries.
 func (f *testCluster) reader(name string) *Feed {
-	feed := f.node(name, fanout.Plan{Shared: true, Reads: true})
+	feed := f.node(name, fanout.Plan{Shared: true, ReadsLog: true})
 	f.readNewest(feed)
 	return feed
 }
@@ -119,9 +119,9 @@
 
 func (f *testCluster) readNewest(of *Feed) []string {
 	f.t.Helper()
-	page, err := of.Newest(f.t.Context(), sharedlog.Partition{Topic: "t"}, "")
+	page, err := of.ReadNewest(f.t.Context(), sharedlog.Partition{Topic: "t"}, "")
 	require.NoError(f.t, err)
-	of.Reset(page.Records, page.End)
+	of.Reset(page.Records, page.EndOffset)
 	return keys(page.Records)
 }
 
@@ -129,7 +129,7 @@
 	f.t.Helper()
 	batch, err := of.ReadKeyed(f.t.Context(), sharedlog.Partition{Topic: "t"}, from, 100*time.Millisecond)
 	require.NoError(f.t, err)
-	of.Apply(batch.Records, batch.Next)
+	of.Apply(batch.Records, batch.NextOffset)
 	return batch
 }
 
@@ -156,7 +156,7 @@
 		f.ages["r"] = 300 * time.Millisecond
 		batch := f.readFrom(client, 2)
 		require.Equal(t, []string{"c"}, keys(batch.Records))
-		require.EqualValues(t, 4, batch.Next)
+		require.EqualValues(t, 4, batch.NextOffset)
 		require.Equal(t, 300*time.Millisecond, batch.Age, "the age is that of the reader's data")
 		require.Equal(t, reads+1, f.log.reads, "only the reader reads the log")
 		require.True(t, reader.Complete())
@@ -171,9 +171,9 @@
 		f := newTestCluster(t)
 		f.log.put("a", "api")
 		f.reader("lags")
-		f.ages["lags"] = fanout.StalestAge + time.Millisecond
+		f.ages["lags"] = fanout.MaxReaderAge + time.Millisecond
 		client := f.client("n", "gone", "lags")
-		_, err := client.Newest(t.Context(), sharedlog.Partition{Topic: "t"}, "")
+		_, err := client.ReadNewest(t.Context(), sharedlog.Partition{Topic: "t"}, "")
 		require.True(t, result.Is(err, result.LogUnavailable))
 		require.Equal(t, []string{"gone", "lags"}, f.called)
 		time.Sleep(5 * time.Second)
@@ -192,9 +192,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestCluster(t)
 		f.log.put("a", "api")
-		f.node("r", fanout.Plan{Shared: true, Reads: true})
+		f.node("r", fanout.Plan{Shared: true, ReadsLog: true})
 		client := f.client("n", "r")
-		_, err := client.Newest(t.Context(), sharedlog.Partition{Topic: "t"}, "")
+		_, err := client.ReadNewest(t.Context(), sharedlog.Partition{Topic: "t"}, "")
 		require.True(t, result.Is(err, result.LogUnavailable))
 		require.Zero(t, f.log.reads)
 		f.readNewest(f.feeds["r"])
@@ -202,7 +202,7 @@
 		require.Equal(t, 1, f.log.reads)
 		waiting := f.client("late", "gone")
 		for range 8 {
-			_, err := waiting.Newest(t.Context(), sharedlog.Partition{Topic: "t"}, "")
+			_, err := waiting.ReadNewest(t.Context(), sharedlog.Partition{Topic: "t"}, "")
 			require.True(t, result.Is(err, result.LogUnavailable))
 			time.Sleep(250 * time.Millisecond)
 		}
@@ -255,13 +255,13 @@
 			f.log.put("a", "api")
 			f.readFrom(reader, 1)
 		}()
-		response, err := f.servers["r"].Answer(t.Context(), request)
+		response, err := f.servers["r"].Serve(t.Context(), request)
 		require.NoError(t, err)
 		require.Equal(t, 300*time.Millisecond, time.Since(began), "entries of other groups do not end the hold")
 		require.EqualValues(t, 2, response.Next)
 		request.From = 2
 		began = time.Now()
-		response, err = f.servers["r"].Answer(t.Context(), request)
+		response, err = f.servers["r"].Serve(t.Context(), request)
 		require.NoError(t, err)
 		require.Empty(t, response.Packed)
 		require.Equal(t, time.Second, time.Since(began))
@@ -276,17 +276,17 @@
 		for range maxHeldRequests {
 			go func() {
 				// The request is held until ctx ends.
-				_, _ = f.servers["r"].Answer(ctx, &pathbendv1.ReadEntries{Topic: "t", All: true, HoldMs: 1 << 40})
+				_, _ = f.servers["r"].Serve(ctx, &pathbendv1.ReadEntries{Topic: "t", All: true, HoldMs: 1 << 40})
 			}()
 		}
 		synctest.Wait()
-		_, err := f.servers["r"].Answer(t.Context(), &pathbendv1.ReadEntries{Topic: "t"})
+		_, err := f.servers["r"].Serve(t.Context(), &pathbendv1.ReadEntries{Topic: "t"})
 		require.True(t, result.Is(err, result.PeerUnreached))
 		cancel()
 		synctest.Wait()
-		_, err = f.servers["r"].Answer(t.Context(), &pathbendv1.ReadEntries{Topic: "t"})
+		_, err = f.servers["r"].Serve(t.Context(), &pathbendv1.ReadEntries{Topic: "t"})
 		require.NoError(t, err)
-		_, err = f.servers["r"].Answer(t.Context(), &pathbendv1.ReadEntries{Topic: "another"})
+		_, err = f.servers["r"].Serve(t.Context(), &pathbendv1.ReadEntries{Topic: "another"})
 		require.True(t, result.Is(err, result.FrameMalformed))
 	})
 }
@@ -316,7 +316,7 @@
 	}
 	batch, err = decodeResponse(&pathbendv1.EntryBatch{Truncated: true}, request)
 	require.NoError(t, err)
-	require.Zero(t, batch.Next, "a truncated response has no next offset, so that the newest entries are read again")
+	require.Zero(t, batch.NextOffset, "a truncated response has no next offset, so that the newest entries are read again")
 }
 
 func must(packed []byte, err error) []byte {
@@ -360,7 +360,7 @@
 			return
 		}
 		for _, record := range batch.Records {
-			require.True(t, newest || record.Offset >= from && record.Offset < batch.Next)
+			require.True(t, newest || record.Offset >= from && record.Offset < batch.NextOffset)
 		}
 	})
 }
@@ -371,17 +371,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestCluster(t)
 		f.log.put("a", "api")
-		reader := f.node("r", fanout.Plan{Reads: true})
+		reader := f.node("r", fanout.Plan{ReadsLog: true})
 		f.readNewest(reader)
 		request := &pathbendv1.ReadEntries{Topic: "t", All: true, Newest: true}
-		_, err := f.servers["r"].Answer(t.Context(), request)
+		_, err := f.servers["r"].Serve(t.Context(), request)
 		require.True(t, result.Is(err, result.NotReady))
 		f.plans["r"].Shared = true
 		_, err = reader.ReadKeyed(t.Context(), sharedlog.Partition{Topic: "t"}, 1, 0)
 		require.True(t, result.Is(err, result.LogTruncated))
 		f.readNewest(reader)
 		f.readFrom(reader, 1)
-		response, err := f.servers["r"].Answer(t.Context(), request)
+		response, err := f.servers["r"].Serve(t.Context(), request)
 		require.NoError(t, err)
 		require.NotEmpty(t, response.Packed)
 	})
--- a/internal/feed/serve.go
+++ b/internal/feed/serve.go
@@ -33,9 +33,9 @@
 	return server
 }
 
-// Answer serves one request. It returns result.NotReady if this node is not a reader of the
+// Serve serves one request. It returns result.NotReady if this node is not a reader of the
 // topic, or has not loaded it yet, and result.PeerUnreached if too many requests are held.
-func (s *Server) Answer(ctx context.Context, request *pathbendv1.ReadEntries) (*pathbendv1.EntryBatch, error) {
+func (s *Server) Serve(ctx context.Context, request *pathbendv1.ReadEntries) (*pathbendv1.EntryBatch, error) {
 	feed := s.feeds[request.Topic]
 	if feed == nil {
 		return nil, result.New(result.FrameMalformed, "topic %q is not served", request.Topic)
@@ -50,11 +50,11 @@
 	if err != nil {
 		return nil, err
 	}
-	response := &pathbendv1.EntryBatch{Next: batch.Next, Truncated: truncated, AgeMs: (*feed.age.Load())().Milliseconds()}
+	response := &pathbendv1.EntryBatch{Next: batch.NextOffset, Truncated: truncated, AgeMs: (*feed.age.Load())().Milliseconds()}
 	if response.Packed, err = compress(batch.Records); err != nil {
 		return nil, err
 	}
-	feed.config.Counts.EntriesServed(len(response.Packed))
+	feed.config.Counter.EntriesServed(len(response.Packed))
 	return response, nil
 }
 
@@ -66,7 +66,7 @@
 	}
 	groups := requestedGroups(request)
 	if request.Newest {
-		batch, ready := f.cache.Newest(groups)
+		batch, ready := f.cache.Snapshot(groups)
 		return batch, !ready, nil
 	}
 	hold := min(time.Duration(max(request.HoldMs, 0))*time.Millisecond, maxHoldTime)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -33,7 +33,7 @@
 
 // engineReport is a load report with the time at which it was received.
 type engineReport struct {
-	load       engine.Load
+	load       engine.LoadReport
 	receivedAt time.Time
 }
 
@@ -49,11 +49,11 @@
 	}
 }
 
-// NewHosted returns an empty fleet for a node at the given location whose endpoints
+// NewForPlatform returns an empty fleet for a node at the given location whose endpoints
 // send no load reports.
-func NewHosted(random *rand.Rand, location routing.Place, logger *event.Logger) *Fleet {
+func NewForPlatform(random *rand.Rand, location routing.NodeLocation, logger *event.Logger) *Fleet {
 	hosted := New(random, logger)
-	hosted.applicationProfile = routing.NewHostedProfile(random, location)
+	hosted.applicationProfile = routing.NewPlatformProfile(random, location)
 	hosted.allowedRegion = routing.AllowedRegion{Topology: location.Topology}
 	return hosted
 }
@@ -68,18 +68,18 @@
 		}
 		listed = append(listed, routing.Machine{
 			ID: machine.ID, Pool: machine.Pool, Address: machine.Address, Zone: machine.Zone, Leaving: machine.Leaving, Capacity: machine.Capacity,
-			ColdFor: machine.ColdFor, Limits: machine.Limits, Born: machine.Born,
+			ColdRemaining: machine.ColdRemaining, Limits: machine.Limits, StartedAtMs: machine.StartedAtMs,
 		})
 	}
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	changes := f.table.Update(listed)
-	f.table.NoteCold(listed, time.Now())
+	f.table.UpdateColdState(listed, time.Now())
 	f.logAdded(changes.Added)
 	for _, endpoint := range changes.Leaving {
 		f.logger.Log(event.EndpointLeaving, "endpoint", endpoint.ID, "source", "list")
 	}
-	f.handleRemoved(changes.Gone)
+	f.handleRemoved(changes.Removed)
 	for _, endpoint := range changes.Restarted {
 		delete(f.engineReports, endpoint.ID)
 		f.logger.Log(event.EndpointRestarted, "endpoint", endpoint.ID, "address", endpoint.Address)
@@ -125,16 +125,16 @@
 	defer f.mutex.Unlock()
 	endpoint := markStarted(f.applicationProfile.Pick(f.table, request))
 	if endpoint != nil {
-		endpoint.Warmup.Sent(request.Now)
+		endpoint.Warmup.RecordSent(request.Now)
 	}
 	return endpoint
 }
 
-// RoomAgain implements dispatch.Balancer.
-func (f *Fleet) RoomAgain(request *routing.Request) (at time.Time, cold bool) {
+// NextColdBudget implements dispatch.Balancer.
+func (f *Fleet) NextColdBudget(request *routing.Request) (at time.Time, cold bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.table.RoomAgain(request, f.allowedRegion)
+	return f.table.NextColdBudget(request, f.allowedRegion)
 }
 
 // PickEngine picks an engine for a generation and counts the attempt as started.
@@ -155,18 +155,18 @@
 	return ok && time.Since(last) < window
 }
 
-// NoteVersion records the weight version of tokens that an engine streamed, which
+// RecordVersion records the weight version of tokens that an engine streamed, which
 // is more recent than the version in its last load report.
-func (f *Fleet) NoteVersion(endpoint *routing.Endpoint, model string, version uint64) {
+func (f *Fleet) RecordVersion(endpoint *routing.Endpoint, model string, version uint64) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	endpoint.NoteVersion(model, version, time.Now())
+	endpoint.RecordVersion(model, version, time.Now())
 }
 
 // markStarted counts an attempt at the picked endpoint, if any.
 func markStarted(endpoint *routing.Endpoint) *routing.Endpoint {
 	if endpoint != nil {
-		endpoint.Started()
+		endpoint.AttemptStarted()
 	}
 	return endpoint
 }
@@ -178,26 +178,26 @@
 	defer f.mutex.Unlock()
 	switch {
 	case report.Ending == dispatch.Answered:
-		endpoint.Succeeded(report.Latency)
-	case report.Neutral || report.Ending == dispatch.RefusedByBackEnd:
-		endpoint.Released()
-	case endpoint.Failed(time.Now()):
+		endpoint.AttemptSucceeded(report.Latency)
+	case report.HealthUnknown || report.Ending == dispatch.RefusedByBackEnd:
+		endpoint.AttemptReleased()
+	case endpoint.AttemptFailed(time.Now()):
 		f.logger.Log(event.EndpointSlow, "endpoint", endpoint.ID)
 	}
 }
 
-// Evacuate replaces the set of evacuated zones.
-func (f *Fleet) Evacuate(zones evacuation.Zones) {
+// SetEvacuatedZones replaces the set of evacuated zones.
+func (f *Fleet) SetEvacuatedZones(zones evacuation.Zones) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.table.Evacuate(zones, time.Now())
 }
 
-// Evacuated implements dispatch.Balancer.
-func (f *Fleet) Evacuated(pool string) bool {
+// PoolEvacuated implements dispatch.Balancer.
+func (f *Fleet) PoolEvacuated(pool string) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.table.Evacuated(pool)
+	return f.table.PoolEvacuated(pool)
 }
 
 // MarkLeaving implements dispatch.Balancer. It records that the endpoint itself
@@ -262,7 +262,7 @@
 
 // RecordLoad records a load report of an engine, received at the given time. Reports
 // of unknown engines are ignored.
-func (f *Fleet) RecordLoad(id string, load engine.Load, receivedAt time.Time) {
+func (f *Fleet) RecordLoad(id string, load engine.LoadReport, receivedAt time.Time) {
 	versions := make(map[string]uint64, len(load.Models))
 	for _, model := range load.Models {
 		versions[model.Model] = model.Serving
@@ -271,7 +271,7 @@
 	endpoint := f.table.Get(id)
 	if endpoint != nil {
 		f.engineReports[id] = engineReport{load: load, receivedAt: receivedAt}
-		endpoint.Reported(routing.LoadReport{
+		endpoint.ApplyReport(routing.LoadReport{
 			Running: load.Running, Waiting: load.Waiting, Capacity: load.Capacity, Versions: versions,
 		}, receivedAt)
 	}
@@ -283,7 +283,7 @@
 
 // EngineReport returns the last load report of an engine and the time at which it
 // was received, or false if there is none.
-func (f *Fleet) EngineReport(id string) (engine.Load, time.Time, bool) {
+func (f *Fleet) EngineReport(id string) (engine.LoadReport, time.Time, bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	report, ok := f.engineReports[id]
--- a/internal/fleet/machines.go
+++ b/internal/fleet/machines.go
@@ -35,13 +35,13 @@
 	// Capacity is the number of requests that the machine serves concurrently; 0 if
 	// unknown.
 	Capacity int `json:"capacity,omitempty"`
-	// Born is the start time of the back end's incarnation; 0 if the back end does
+	// StartedAtMs is the start time of the back end's incarnation; 0 if the back end does
 	// not report it.
-	Born int64 `json:"-"`
-	// ColdFor is the remaining warm-up time that the machine reported, and Limits is
+	StartedAtMs int64 `json:"-"`
+	// ColdRemaining is the remaining warm-up time that the machine reported, and Limits is
 	// what this node may send to it until then. The platform's list contains neither.
-	ColdFor time.Duration `json:"-"`
-	Limits  warmup.Limits `json:"-"`
+	ColdRemaining time.Duration `json:"-"`
+	Limits        warmup.Limits `json:"-"`
 }
 
 const (
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -28,12 +28,12 @@
 
 // ErrorDetail describes why a request was rejected or failed.
 type ErrorDetail struct {
-	Code   int        `json:"code"`
-	Name   string     `json:"name"`
-	Run    result.Run `json:"run"`
-	Detail string     `json:"detail"`
-	Field  string     `json:"field,omitempty"`
-	Fix    string     `json:"fix"`
+	Code   int              `json:"code"`
+	Name   string           `json:"name"`
+	Run    result.Execution `json:"run"`
+	Detail string           `json:"detail"`
+	Field  string           `json:"field,omitempty"`
+	Fix    string           `json:"fix"`
 	// RetryAfterMS is the time to wait before a retry, in milliseconds; 0 if none is
 	// given.
 	RetryAfterMS int64 `json:"retry_after_ms,omitempty"`
@@ -54,14 +54,14 @@
 	header.Set("Content-Type", "application/json")
 	header.Set(HeaderResultCode, strconv.Itoa(int(typed.Code)))
 	header.Set(HeaderNode, g.services.NodeID)
-	header.Set(dispatch.HeaderRun, string(definition.Run))
+	header.Set(dispatch.HeaderRun, string(definition.Execution))
 	if typed.RetryAfter > 0 {
 		header.Set("Retry-After", strconv.Itoa(int(math.Ceil(typed.RetryAfter.Seconds()))))
 	}
 	writer.WriteHeader(definition.HTTPStatus)
 	// A write error means that the caller closed the connection.
 	_ = json.NewEncoder(writer).Encode(ErrorBody{Error: ErrorDetail{
-		Code: int(typed.Code), Name: definition.Name, Run: definition.Run, Detail: typed.Detail,
+		Code: int(typed.Code), Name: definition.Name, Run: definition.Execution, Detail: typed.Detail,
 		Field: typed.Field, Fix: definition.Fix, RetryAfterMS: typed.RetryAfter.Milliseconds(),
 	}})
 }
--- a/internal/gateway/application.go
+++ b/internal/gateway/application.go
@@ -63,7 +63,7 @@
 	}
 	ctx, cancel := context.WithDeadline(request.Context(), parsed.Deadline)
 	defer cancel()
-	release, err := g.services.Admission.Enter(ctx, tenant.Name, priority, parsed.Deadline)
+	release, err := g.services.Admission.Acquire(ctx, tenant.Name, priority, parsed.Deadline)
 	if err != nil {
 		return 0, true, err
 	}
@@ -77,13 +77,13 @@
 
 func (g *Gateway) dispatcherFor(request *dispatch.Request) Dispatcher {
 	if request.AtMostOnce && request.IdempotencyKey != "" {
-		return g.services.Keyed
+		return g.services.IdempotentDispatcher
 	}
 	return g.services.Dispatcher
 }
 
 func parseApplication(writer http.ResponseWriter, request *http.Request, tenant *config.Tenant, route *config.Route, rest string) (*dispatch.Request, admission.Priority, error) {
-	received := clock.Mark()
+	received := clock.CurrentMoment()
 	deadline, err := parseDeadline(request.Header, route.Deadline)
 	if err != nil {
 		return nil, 0, err
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -27,9 +27,9 @@
 
 // Admission limits the requests in progress.
 type Admission interface {
-	// Enter waits until a request may start and returns a function that ends it, or
+	// Acquire waits until a request may start and returns a function that ends it, or
 	// returns an error if the request is rejected.
-	Enter(ctx context.Context, tenant string, priority admission.Priority, deadline time.Time) (func(), error)
+	Acquire(ctx context.Context, tenant string, priority admission.Priority, deadline time.Time) (func(), error)
 }
 
 // Dispatcher sends application requests to back ends.
@@ -58,8 +58,8 @@
 	Submit(ctx context.Context, tenant string, spec rollout.Spec) error
 	Pull(ctx context.Context, tenant, jobID string, pull rollout.Pull) (rollout.PullAnswer, error)
 	Cancel(ctx context.Context, tenant, jobID string) error
-	// Announce records that a trainer published a weight version.
-	Announce(ctx context.Context, tenant, model string, version uint64) error
+	// AnnounceVersion records that a trainer published a weight version.
+	AnnounceVersion(ctx context.Context, tenant, model string, version uint64) error
 }
 
 // Recorder records metrics of the gateway's answers.
@@ -72,14 +72,14 @@
 	Configuration Configuration
 	Admission     Admission
 	Dispatcher    Dispatcher
-	// Keyed dispatches at-most-once requests that have an idempotency key.
-	Keyed     Dispatcher
-	Completer Completer
-	Jobs      Jobs
-	Recorder  Recorder
-	Logger    *event.Logger
-	NewID     func() string
-	NodeID    string
+	// IdempotentDispatcher dispatches at-most-once requests that have an idempotency key.
+	IdempotentDispatcher Dispatcher
+	Completer            Completer
+	Jobs                 Jobs
+	Recorder             Recorder
+	Logger               *event.Logger
+	NewID                func() string
+	NodeID               string
 }
 
 // Limits of the interface.
@@ -186,8 +186,8 @@
 	return g.drained
 }
 
-// Active returns the number of requests in progress.
-func (g *Gateway) Active() int {
+// ActiveRequests returns the number of requests in progress.
+func (g *Gateway) ActiveRequests() int {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.active
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -36,7 +36,7 @@
         - {name: upload, pool: b, deadline: 30s, priority: normal, max_attempts: 2, max_body_bytes: 5000000}
 `
 
-// fakeServices implements every interface of Services except Keyed.
+// fakeServices implements every interface of Services except IdempotentDispatcher.
 type fakeServices struct {
 	document    *config.Document
 	lastRequest *dispatch.Request
@@ -53,7 +53,7 @@
 
 func (f *fakeServices) Current() (*config.Document, uint64) { return f.document, 1 }
 
-func (f *fakeServices) Enter(context.Context, string, admission.Priority, time.Time) (func(), error) {
+func (f *fakeServices) Acquire(context.Context, string, admission.Priority, time.Time) (func(), error) {
 	return func() {}, nil
 }
 
@@ -95,12 +95,12 @@
 
 func (f *fakeServices) Pull(_ context.Context, _, _ string, pull rollout.Pull) (rollout.PullAnswer, error) {
 	f.pull = pull
-	return rollout.PullAnswer{JobID: "j", Samples: []rollout.Delivered{}}, f.err
+	return rollout.PullAnswer{JobID: "j", Samples: []rollout.DeliveredSample{}}, f.err
 }
 
 func (f *fakeServices) Cancel(context.Context, string, string) error { return f.err }
 
-func (f *fakeServices) Announce(_ context.Context, _, _ string, version uint64) error {
+func (f *fakeServices) AnnounceVersion(_ context.Context, _, _ string, version uint64) error {
 	f.version = version
 	return f.err
 }
@@ -121,7 +121,7 @@
 	require.NoError(t, err)
 	f := &fakeServices{document: decoded, answer: newAnswer("fine")}
 	g := New(Services{
-		Configuration: f, Admission: f, Dispatcher: f, Keyed: keyedDispatcher{f}, Completer: f, Jobs: f, Recorder: f,
+		Configuration: f, Admission: f, Dispatcher: f, IdempotentDispatcher: keyedDispatcher{f}, Completer: f, Jobs: f, Recorder: f,
 		Logger: event.Discard(), NewID: func() string { return "id" }, NodeID: "node",
 	})
 	server := httptest.NewUnstartedServer(nil)
@@ -305,7 +305,7 @@
 		response.Body.Close()
 		running <- string(content)
 	}()
-	require.Eventually(t, func() bool { return g.Active() == 1 }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return g.ActiveRequests() == 1 }, 5*time.Second, time.Millisecond)
 	idle := g.Drain()
 	_, content := send(t, "POST", url+"/v1/tenants/shop/routes/look", "")
 	require.Equal(t, int(result.Draining), decodeError(t, content).Code)
--- a/internal/gateway/generation.go
+++ b/internal/gateway/generation.go
@@ -84,7 +84,7 @@
 	if err != nil {
 		return err
 	}
-	release, err := g.services.Admission.Enter(request.Context(), tenant.Name, priority, time.Now().Add(completionDeadline))
+	release, err := g.services.Admission.Acquire(request.Context(), tenant.Name, priority, time.Now().Add(completionDeadline))
 	if err != nil {
 		return err
 	}
@@ -184,6 +184,6 @@
 	return controller.Flush()
 }
 
-// PriorityAtEngine converts a priority to the engine's scale. Callers' requests rank
+// EnginePriority converts a priority to the engine's scale. Callers' requests rank
 // above rollout attempts, whose priority rises with the age of their slot.
-func PriorityAtEngine(priority admission.Priority) int { return 100 + 10*int(priority) }
+func EnginePriority(priority admission.Priority) int { return 100 + 10*int(priority) }
--- a/internal/gateway/trainer.go
+++ b/internal/gateway/trainer.go
@@ -36,7 +36,7 @@
 	if body.Version == 0 {
 		return nil, result.New(result.MalformedRequest, "must be at least 1").WithField("version")
 	}
-	if err := g.services.Jobs.Announce(request.Context(), tenant.Name, model.Name, body.Version); err != nil {
+	if err := g.services.Jobs.AnnounceVersion(request.Context(), tenant.Name, model.Name, body.Version); err != nil {
 		return nil, err
 	}
 	return versionAnswer{Model: model.Name, Version: body.Version}, nil
--- a/internal/hedge/hedge_test.go
+++ b/internal/hedge/hedge_test.go
@@ -14,8 +14,8 @@
 var errLost = errors.New("lost")
 
 // testPolicy returns a policy with a delay of 100 ms between calls.
-func testPolicy(maxCalls int) Call {
-	return Call{Most: maxCalls, After: func() time.Duration { return 100 * time.Millisecond }}
+func testPolicy(maxCalls int) Policy {
+	return Policy{MaxCalls: maxCalls, Delay: func() time.Duration { return 100 * time.Millisecond }}
 }
 
 func TestFirstAnswerIsReturned(t *testing.T) {
--- a/internal/hosted/admission.go
+++ b/internal/hosted/admission.go
@@ -32,11 +32,11 @@
 	if route == nil {
 		return Admitted{}, n.deny(result.New(result.UnknownRoute, "no route for host %q and path %q", host, path))
 	}
-	tenant, err := current.Admit(route, key)
+	tenant, err := current.Authenticate(route, key)
 	if err != nil {
 		return Admitted{}, n.deny(err)
 	}
-	return Admitted{Route: route, Tenant: tenant, Regions: route.Regions.And(tenant.Regions)}, nil
+	return Admitted{Route: route, Tenant: tenant, Regions: route.Regions.Intersect(tenant.Regions)}, nil
 }
 
 // Caller returns the tenant that holds a key. It serves calls about batch jobs, which name no
@@ -46,7 +46,7 @@
 	if err != nil {
 		return credential.Tenant{}, err
 	}
-	tenant, err := current.Caller(key)
+	tenant, err := current.TenantForKey(key)
 	if err != nil {
 		return tenant, n.deny(err)
 	}
@@ -56,7 +56,7 @@
 // configuration returns the configuration in force. It returns a NotReady error if there is
 // none, or if it is so old that keys in it may have been revoked.
 func (n *Node) configuration(ctx context.Context) (*catalog.Catalog, error) {
-	n.awaitConfigured(ctx)
+	n.awaitConfiguration(ctx)
 	current := n.catalog.Load()
 	if current == nil {
 		return nil, notReady("no configuration yet")
@@ -70,18 +70,18 @@
 
 // notReady returns a NotReady error with a jittered retry hint.
 func notReady(detail string) error {
-	return spread(result.New(result.NotReady, "%s", detail).WithRetryAfter(notReadyHint))
+	return jitterRetryAfter(result.New(result.NotReady, "%s", detail).WithRetryAfter(notReadyRetryAfter))
 }
 
-// denialLimit is the largest age of a configuration by which a node denies a route or a key. A
+// maxDenialAge is the largest age of a configuration by which a node denies a route or a key. A
 // follower that is in touch with the log reads at least every 0.7 s. With an older
 // configuration the caller is told to retry, so that it may reach another node.
-const denialLimit = 1500 * time.Millisecond
+const maxDenialAge = 1500 * time.Millisecond
 
 // deny returns the denial if the node has the newest configuration, else a NotReady error: a
 // node with an older one cannot tell an unknown key or route from one that was just added.
 func (n *Node) deny(denial error) error {
-	if n.configurationAge() <= denialLimit {
+	if n.configurationAge() <= maxDenialAge {
 		return denial
 	}
 	return notReady("the route or key is not in this node's configuration, which may be out of date")
@@ -95,17 +95,17 @@
 	return n.configurationAgeFunc()
 }
 
-// WatchConfiguration sets the function that returns the time since the configuration was last
+// SetConfigurationAge sets the function that returns the time since the configuration was last
 // known to be the newest. It must be called before Start; without it the configuration always
 // counts as the newest.
-func (n *Node) WatchConfiguration(age func() time.Duration) { n.configurationAgeFunc = age }
+func (n *Node) SetConfigurationAge(age func() time.Duration) { n.configurationAgeFunc = age }
 
 // keyCheck returns a function that checks whether the caller's key still belongs to its
 // tenant. It is called before every attempt of a request.
 func (n *Node) keyCheck(admitted Admitted, key string) func() error {
 	return func() error {
 		current := n.catalog.Load()
-		tenant, err := current.Admit(admitted.Route, key)
+		tenant, err := current.Authenticate(admitted.Route, key)
 		if err != nil {
 			return n.deny(err)
 		}
@@ -116,9 +116,9 @@
 	}
 }
 
-// mayUse reports whether a tenant may read and end a job: its own, or any if the
+// mayAccessJob reports whether a tenant may read and end a job: its own, or any if the
 // configuration has no keys.
-func (n *Node) mayUse(job *ledger.Job, tenant credential.Tenant) bool {
+func (n *Node) mayAccessJob(job *ledger.Job, tenant credential.Tenant) bool {
 	if job.Spec.Tenant == tenant.Name {
 		return true
 	}
--- a/internal/hosted/admission_test.go
+++ b/internal/hosted/admission_test.go
@@ -29,8 +29,8 @@
 func nodeWithKeys(t *testing.T) *Node {
 	t.Helper()
 	node := newTestNode()
-	node.TakeCatalog(catalogWithKeys(t, 1, "of-t"))
-	node.TakeSamplers([]schedule.Sampler{})
+	node.ApplyCatalog(catalogWithKeys(t, 1, "of-t"))
+	node.ApplySamplers([]schedule.Sampler{})
 	return node
 }
 
@@ -41,7 +41,7 @@
 	require.Equal(t, "T", admitted.Tenant.Name)
 	permits := node.keyCheck(admitted, "of-t")
 	require.NoError(t, permits())
-	node.TakeCatalog(catalogWithKeys(t, 2))
+	node.ApplyCatalog(catalogWithKeys(t, 2))
 	require.True(t, result.Is(permits(), result.Unauthenticated))
 	_, err = node.Admit(t.Context(), "h", "/x", "of-t")
 	require.True(t, result.Is(err, result.Unauthenticated))
@@ -51,12 +51,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		node := nodeWithKeys(t)
 		knownAt := time.Now()
-		node.WatchConfiguration(func() time.Duration { return time.Since(knownAt) })
+		node.SetConfigurationAge(func() time.Duration { return time.Since(knownAt) })
 		for _, path := range []struct{ host, key string }{{"h", "new-key"}, {"other", "of-t"}} {
 			_, err := node.Admit(t.Context(), path.host, "/x", path.key)
 			require.False(t, result.Is(err, result.NotReady), "%v", path)
 		}
-		time.Sleep(denialLimit + time.Millisecond)
+		time.Sleep(maxDenialAge + time.Millisecond)
 		for _, path := range []struct{ host, key string }{{"h", "new-key"}, {"other", "of-t"}} {
 			_, err := node.Admit(t.Context(), path.host, "/x", path.key)
 			require.True(t, result.Is(err, result.NotReady), "%v", path)
@@ -98,10 +98,10 @@
 	built.Keys = credential.NewKeyring([]credential.Grant{
 		{Tenant: credential.Tenant{Name: "first"}}, {Tenant: credential.Tenant{Name: "second", Priority: 1}},
 	})
-	node.TakeCatalog(built)
+	node.ApplyCatalog(built)
 	last, foremost := &catalog.Route{Priority: 2}, &catalog.Route{}
-	require.Less(t, node.rankOf("first", last), node.rankOf("second", foremost))
-	require.Less(t, node.rankOf("first", foremost), node.rankOf("first", last))
-	node.TakeCatalog(catalogOf(t, 2))
-	require.Equal(t, 2, node.rankOf("first", last), "without tenants only the route's priority counts")
+	require.Less(t, node.schedulingRank("first", last), node.schedulingRank("second", foremost))
+	require.Less(t, node.schedulingRank("first", foremost), node.schedulingRank("first", last))
+	node.ApplyCatalog(catalogOf(t, 2))
+	require.Equal(t, 2, node.schedulingRank("first", last), "without tenants only the route's priority counts")
 }
--- a/internal/hosted/adopt.go
+++ b/internal/hosted/adopt.go
@@ -31,7 +31,7 @@
 				return
 			}
 			e.node.logger.Log(event.JobUnread, "job_id", job.ID, "detail", err.Error())
-			wait.For(session, adoptPause)
+			wait.For(session, loadRetryPause)
 		}
 	})
 }
@@ -43,14 +43,14 @@
 		if !logged {
 			e.node.logger.Log(event.JobUnread, "job_id", job.ID, "detail", "no route matches the job")
 		}
-		if !wait.For(session, adoptPause) {
+		if !wait.For(session, loadRetryPause) {
 			return
 		}
 	}
 }
 
-// adoptPause is the pause before loading a job is retried.
-const adoptPause = 60 * time.Millisecond
+// loadRetryPause is the pause before loading a job is retried.
+const loadRetryPause = 60 * time.Millisecond
 
 func (e *executor) isOpen(job *ledger.Job) bool {
 	open := false
@@ -59,24 +59,24 @@
 }
 
 // loadedJob is a loaded job: its items and the text generated for them so far. It implements
-// schedule.Kept.
+// schedule.StoredTextSource.
 type loadedJob struct {
 	// regions are the allowed regions of the job. remote is set if a worker in another region
 	// runs its items.
 	regions  locality.Regions
 	remote   bool
 	items    []*pathbendv1.BatchItem
-	partial  map[string]schedule.Partial
+	partial  map[string]schedule.PartialText
 	finished map[string]ledger.Result
 }
 
-// Partial implements schedule.Kept.
-func (j loadedJob) Partial(itemID string) (schedule.Partial, bool) {
+// Partial implements schedule.StoredTextSource.
+func (j loadedJob) Partial(itemID string) (schedule.PartialText, bool) {
 	partial, ok := j.partial[itemID]
 	return partial, ok
 }
 
-// Finished implements schedule.Kept.
+// Finished implements schedule.StoredTextSource.
 func (j loadedJob) Finished(itemID string) (ledger.Result, bool) {
 	listed, ok := j.finished[itemID]
 	return listed, ok
@@ -108,10 +108,10 @@
 
 // countsOnly returns the event counts and versions of partial texts without their bytes,
 // which the worker reads itself.
-func countsOnly(partial map[string]ledger.Progress) map[string]schedule.Partial {
-	counts := make(map[string]schedule.Partial, len(partial))
+func countsOnly(partial map[string]ledger.Progress) map[string]schedule.PartialText {
+	counts := make(map[string]schedule.PartialText, len(partial))
 	for itemID, progress := range partial {
-		counts[itemID] = schedule.Partial{Events: progress.Events, Versions: progress.Versions}
+		counts[itemID] = schedule.PartialText{Events: progress.Events, Versions: progress.Versions}
 	}
 	return counts
 }
@@ -122,20 +122,20 @@
 
 // readPartial reads partial texts. Those that cannot be read are left out, so that they
 // are generated again.
-func (e *executor) readPartial(ctx context.Context, job *ledger.Job, partial map[string]ledger.Progress) map[string]schedule.Partial {
+func (e *executor) readPartial(ctx context.Context, job *ledger.Job, partial map[string]ledger.Progress) map[string]schedule.PartialText {
 	var mutex sync.Mutex
-	texts := make(map[string]schedule.Partial, len(partial))
+	texts := make(map[string]schedule.PartialText, len(partial))
 	readers := pool.New().WithMaxGoroutines(maxConcurrentReads)
 	for itemID, progress := range partial {
 		readers.Go(func() {
 			parts, err := e.node.jobs.contents.Get(ctx, progress.Parts)
 			if err != nil {
-				e.logUnread(job.ID, itemID, err)
+				e.logReadFailure(job.ID, itemID, err)
 				return
 			}
 			mutex.Lock()
 			defer mutex.Unlock()
-			texts[itemID] = schedule.Partial{
+			texts[itemID] = schedule.PartialText{
 				ID: progress.ID, Events: progress.Events, Versions: progress.Versions, Text: bytes.Join(parts, []byte{'\n'}),
 			}
 		})
@@ -144,7 +144,7 @@
 	return texts
 }
 
-func (e *executor) logUnread(jobID, itemID string, err error) {
+func (e *executor) logReadFailure(jobID, itemID string, err error) {
 	e.node.logger.Log(event.JobUnread, "job_id", jobID, "item_id", itemID, "detail", err.Error())
 }
 
@@ -154,7 +154,7 @@
 func knownTexts(state *ledger.Ledger, items []*pathbendv1.BatchItem) (finished map[string]ledger.Result, partial map[string]ledger.Progress) {
 	finished, partial = make(map[string]ledger.Result), make(map[string]ledger.Progress)
 	for _, item := range items {
-		if listed, ok := state.Finished(item.Id); ok {
+		if listed, ok := state.FinishedResult(item.Id); ok {
 			finished[item.Id] = listed
 		}
 		if progress, ok := state.Progress(item.Id); ok {
@@ -177,11 +177,11 @@
 		return
 	}
 	e.applyVersions()
-	e.roll.Allow(job.Spec.Model, job.Spec.Step, e.allowedLag(job.Spec))
+	e.roll.SetAllowedLag(job.Spec.Model, job.Spec.Step, e.allowedLag(job.Spec))
 	policy := e.schedulePolicy(job)
 	policy.Regions, policy.Topology, policy.Remote = loaded.regions, e.node.settings.Topology, loaded.remote
 	if loaded.remote {
-		e.remote.jobs[job.ID] = &remoteJob{regions: loaded.regions, link: e.linkTo(loaded.regions)}
+		e.remote.jobs[job.ID] = &remoteJob{regions: loaded.regions, link: e.openLink(loaded.regions)}
 	}
 	var finished []schedule.Finished
 	var stopped []schedule.Key
@@ -194,7 +194,7 @@
 		e.cancel(run)
 	}
 	if loaded.remote {
-		e.scheduler.Hold(job.ID, e.remote.jobs[job.ID].link == nil)
+		e.scheduler.SetPaused(job.ID, e.remote.jobs[job.ID].link == nil)
 	}
 	for _, completed := range finished {
 		e.finish(completed)
@@ -223,9 +223,9 @@
 	policy.Services = activeServices(route)
 	policy.MaxFailures = route.MaxAttempts
 	policy.SingleVersion = route.SingleVersion
-	policy.Priority = e.node.rankOf(job.Spec.Tenant, route)
-	if route.Due > 0 {
-		policy.Due = job.ReceivedAt.Add(route.Due)
+	policy.Priority = e.node.schedulingRank(job.Spec.Tenant, route)
+	if route.ResultsDueAfter > 0 {
+		policy.Due = job.ReceivedAt.Add(route.ResultsDueAfter)
 	}
 	return policy
 }
@@ -234,9 +234,9 @@
 // use 0 to 2.
 const routePriorities = 3
 
-// rankOf returns the scheduling rank of a tenant's work on a route, 0 first. The tenant's
+// schedulingRank returns the scheduling rank of a tenant's work on a route, 0 first. The tenant's
 // priority takes precedence over the route's.
-func (n *Node) rankOf(tenantName string, route *catalog.Route) int {
+func (n *Node) schedulingRank(tenantName string, route *catalog.Route) int {
 	rank := min(max(route.Priority, 0), routePriorities-1)
 	if current := n.Catalog(); current != nil {
 		tenant, _ := current.Keys.Tenant(tenantName)
@@ -255,7 +255,7 @@
 
 func activeServices(route *catalog.Route) []string {
 	var services []string
-	for _, share := range route.Shares {
+	for _, share := range route.TrafficShares {
 		if share.Weight > 0 {
 			services = append(services, share.Service)
 		}
--- a/internal/hosted/announce.go
+++ b/internal/hosted/announce.go
@@ -40,7 +40,7 @@
 	defer cancel()
 	for {
 		announced, _ := n.directory.Announced()
-		if announced.Nodes > 0 || !wait.For(ctx, readPollInterval) {
+		if announced.NodeCount > 0 || !wait.For(ctx, readPollInterval) {
 			return
 		}
 	}
@@ -50,7 +50,7 @@
 // of its own region, as the relayed data may be bound to it.
 func (n *Node) Peers() []relay.Peer {
 	region := n.settings.Topology.Region(n.settings.Zone)
-	return slices.DeleteFunc(n.directory.Peers(), func(peer relay.Peer) bool {
+	return slices.DeleteFunc(n.directory.Relays(), func(peer relay.Peer) bool {
 		return n.settings.Topology.Region(peer.Zone) != region
 	})
 }
@@ -64,13 +64,13 @@
 	}
 	for !n.directoryRead() && wait.For(ctx, readPollInterval) {
 	}
-	for n.settings.takesCalls() && n.peerAddress.Load() == nil && wait.For(ctx, readPollInterval) {
+	for n.settings.acceptsPeerCalls() && n.peerAddress.Load() == nil && wait.For(ctx, readPollInterval) {
 	}
-	if n.directory.Says(n.settings.Name, n.directoryEntry()) {
+	if n.directory.HasEntry(n.settings.Name, n.directoryEntry()) {
 		wait.For(ctx, minReannounceDelay+rand.N(directory.AnnounceInterval-minReannounceDelay))
 	}
 	for ctx.Err() == nil {
-		pause := directory.AnnounceInterval + rand.N(directory.AnnounceSpread)
+		pause := directory.AnnounceInterval + rand.N(directory.AnnounceJitter)
 		if err := n.announceOnce(ctx); err != nil {
 			n.logger.Log(event.LogAppendRetried, "topic", n.settings.NodesTopic, "detail", err.Error())
 			pause = announceRetryPause + rand.N(announceRetryPause)
@@ -95,7 +95,7 @@
 // directoryEntry returns the directory entry of this node.
 func (n *Node) directoryEntry() directory.Entry {
 	return directory.Entry{
-		Millicores: n.settings.Millicores, Zone: n.settings.Zone, Address: n.settings.PeerAddress(), Worker: n.callAddress(),
+		Millicores: n.settings.Millicores, Zone: n.settings.Zone, RelayAddress: n.settings.PeerAddress(), WorkerAddress: n.callAddress(),
 	}
 }
 
--- a/internal/hosted/append_test.go
+++ b/internal/hosted/append_test.go
@@ -132,7 +132,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		log := &losingLog{lost: 4}
 		node := New(Settings{Name: "n"}, Ports{Network: network.TCP{}, Log: log}, event.Discard())
-		node.log.Appends().Answered(5*time.Millisecond, time.Now())
+		node.log.AppendTime().RecordAnswer(5*time.Millisecond, time.Now())
 		began := time.Now()
 		require.NoError(t, node.jobs.appendOne(t.Context(), nil, nil))
 		require.Less(t, time.Since(began), 2*maxAppendHedgeDelay)
--- a/internal/hosted/batch.go
+++ b/internal/hosted/batch.go
@@ -31,10 +31,10 @@
 		err = n.jobs.submit(ctx, id, spec, items, known)
 	}
 	took := time.Since(began)
-	n.metrics.submission(err, took)
+	n.metrics.recordSubmission(err, took)
 	if err != nil {
 		n.logger.Log(event.BatchRefused, "job_id", id, "step", spec.Step, "took_ms", took.Milliseconds(), "detail", err.Error())
-		return spread(err)
+		return jitterRetryAfter(err)
 	}
 	if _, already := n.jobs.check(known); already && otherTenant {
 		return resubmissionError(id, otherTenant)
@@ -55,7 +55,7 @@
 
 // submit stores the items of a job and then the job itself. Items whose job is not stored
 // never run.
-func (b *jobBook) submit(ctx context.Context, id string, spec *pathbendv1.BatchJob, items []*pathbendv1.BatchItem, known func() bool) error {
+func (b *jobStore) submit(ctx context.Context, id string, spec *pathbendv1.BatchJob, items []*pathbendv1.BatchItem, known func() bool) error {
 	began := time.Now()
 	timeout := b.submitTimeout()
 	blobs, err := b.contents.PutItems(ctx, timeout, items)
@@ -71,8 +71,8 @@
 // that has not reached the log for a while refuses early, so that the caller can try
 // another node or come back. A node that has just started and does not follow the log yet
 // does not count as such.
-func (b *jobBook) submitTimeout() time.Duration {
-	if b.inTouch() || !b.followed.Load() {
+func (b *jobStore) submitTimeout() time.Duration {
+	if b.hasCurrentLog() || !b.following.Load() {
 		return submitTimeout
 	}
 	return isolatedSubmitTimeout
@@ -114,7 +114,7 @@
 		return nil
 	}
 	entry := &pathbendv1.LedgerEntry{JobId: id, Fact: &pathbendv1.LedgerEntry_Ended{Ended: &pathbendv1.BatchEnd{}}}
-	return spread(n.jobs.record(ctx, submitTimeout, ended, entry))
+	return jitterRetryAfter(n.jobs.record(ctx, submitTimeout, ended, entry))
 }
 
 // requireJob returns an error unless the job is known and belongs to the tenant that
@@ -125,7 +125,7 @@
 	known, usable := false, false
 	inspect := func(job *ledger.Job) {
 		known = job != nil
-		usable = known && (job.Spec.Tenant == "" || denial == nil && n.mayUse(job, tenant))
+		usable = known && (job.Spec.Tenant == "" || denial == nil && n.mayAccessJob(job, tenant))
 	}
 	n.jobs.view(id, inspect)
 	switch {
@@ -183,7 +183,7 @@
 	}
 	if err := n.jobs.current(ctx, id, from); err != nil {
 		n.logger.Log(event.BatchReadRefused, "job_id", id, "from", from, "detail", err.Error())
-		return Page{}, spread(err)
+		return Page{}, jitterRetryAfter(err)
 	}
 	page, _, _ := n.jobs.page(id, from)
 	return n.readTexts(ctx, id, page, began)
@@ -206,13 +206,13 @@
 	}
 	callCtx, cancel := context.WithTimeout(ctx, textReadTimeout)
 	defer cancel()
-	texts, err := n.jobs.contents.GetFirst(callCtx, wanted)
+	texts, err := n.jobs.contents.GetUntilError(callCtx, wanted)
 	total := page.fill(texts)
 	switch {
 	case err == nil:
 	case len(page.Results) == 0:
 		n.logger.Log(event.BatchReadRefused, "job_id", id, "texts", len(wanted), "detail", err.Error())
-		return Page{}, spread(err)
+		return Page{}, jitterRetryAfter(err)
 	default:
 		n.logger.Log(event.PageCut, "job_id", id, "results", len(page.Results), "of", total, "detail", err.Error())
 	}
@@ -246,14 +246,14 @@
 // page returns the known results of a job starting at position from, up to maxPageBytes of
 // text, and a channel that is closed at the next change. settled is true if no further
 // results can follow.
-func (b *jobBook) page(id string, from int) (page Page, changed <-chan struct{}, settled bool) {
+func (b *jobStore) page(id string, from int) (page Page, changed <-chan struct{}, settled bool) {
 	page.Results = []ledger.Result{}
 	changed = b.view(id, func(job *ledger.Job) {
 		if job == nil {
 			settled = true
 			return
 		}
-		page.Total = job.Total()
+		page.Total = job.ItemCount()
 		page.Next = from
 		settled = job.Ended || job.Complete()
 		bytes := 0
@@ -276,7 +276,7 @@
 	}
 	var spec *pathbendv1.BatchJob
 	n.jobs.view(id, func(job *ledger.Job) {
-		if job != nil && job.Has(itemID) && !job.Listed(itemID) {
+		if job != nil && job.HasItem(itemID) && !job.HasResult(itemID) {
 			spec = job.Spec
 		}
 	})
@@ -284,7 +284,7 @@
 		items, err := n.jobs.contents.GetItems(ctx, spec)
 		if err != nil {
 			n.logger.Log(event.BatchReadRefused, "job_id", id, "item_id", itemID, "detail", err.Error())
-			return nil, spread(err)
+			return nil, jitterRetryAfter(err)
 		}
 		for _, item := range items {
 			if item.Id == itemID {
--- a/internal/hosted/batch_test.go
+++ b/internal/hosted/batch_test.go
@@ -28,7 +28,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		node := newTestNode()
 		require.Equal(t, submitTimeout, node.jobs.submitTimeout(), "the node does not follow the log yet")
-		node.jobs.followed.Store(true)
+		node.jobs.following.Store(true)
 		require.Equal(t, isolatedSubmitTimeout, node.jobs.submitTimeout(), "the log has not been read yet")
 		node.jobs.follower.Log = emptyLog{}
 		require.NoError(t, node.jobs.follower.CatchUp(t.Context()))
--- a/internal/hosted/claims.go
+++ b/internal/hosted/claims.go
@@ -30,20 +30,20 @@
 	node *Node
 }
 
-// MayAct implements duty.Holder.
-func (c *claims) MayAct(now time.Time) bool {
-	_, ok := c.node.ownership.MayOrder(jobPartition, now)
+// IsHolder implements duty.Holder.
+func (c *claims) IsHolder(now time.Time) bool {
+	_, ok := c.node.ownership.OrderFencingToken(jobPartition, now)
 	return ok
 }
 
-// Claim implements duty.Holder.
-func (c *claims) Claim(ctx context.Context, subject string) (duty.Right, bool) {
+// AcquirePermit implements duty.Holder.
+func (c *claims) AcquirePermit(ctx context.Context, subject string) (duty.Permit, bool) {
 	holder := c.node.settings.Name
-	fence, ok := c.node.ownership.MayOrder(jobPartition, time.Now())
+	fence, ok := c.node.ownership.OrderFencingToken(jobPartition, time.Now())
 	if !ok {
-		return duty.Right{}, false
+		return duty.Permit{}, false
 	}
-	began := clock.Mark()
+	began := clock.CurrentMoment()
 	serial := rand.Uint64()
 	entry := &pathbendv1.LedgerEntry{Fact: &pathbendv1.LedgerEntry_Claimed{Claimed: &pathbendv1.Claim{
 		Subject: subject, Holder: holder, Fence: fence, Serial: serial,
@@ -52,19 +52,19 @@
 		last, ok := c.node.jobs.ledger.LastClaim(subject, holder)
 		return ok && last.Serial == serial
 	}
-	timeout := claimTimeout + c.node.log.Beyond()
+	timeout := claimTimeout + c.node.log.ExtraLatency()
 	if err := c.node.jobs.record(ctx, timeout, readBack, entry); err != nil {
-		return duty.Right{}, false
+		return duty.Permit{}, false
 	}
 	if !c.node.jobs.awaitReadBack(ctx, timeout, readBack) || began.Age() > maxClaimAge {
-		return duty.Right{}, false
+		return duty.Permit{}, false
 	}
-	if c.superseded(fence) || c.recent(subject, time.Now()) {
-		return duty.Right{}, false
+	if c.superseded(fence) || c.claimedRecently(subject, time.Now()) {
+		return duty.Permit{}, false
 	}
 	// The node may have lost the partition while the log was slow.
-	fence, ok = c.node.ownership.MayOrder(jobPartition, time.Now())
-	return duty.Right{Holder: holder, Fence: fence}, ok
+	fence, ok = c.node.ownership.OrderFencingToken(jobPartition, time.Now())
+	return duty.Permit{Holder: holder, Fence: fence}, ok
 }
 
 // superseded reports whether another node made a claim with a higher fencing token.
@@ -72,17 +72,17 @@
 	superseded := false
 	c.node.jobs.withLedger(func(state *ledger.Ledger) {
 		newest := state.NewestClaim()
-		superseded = newest.Fence > fence && newest.Holder != c.node.settings.Name
+		superseded = newest.FencingToken > fence && newest.Holder != c.node.settings.Name
 	})
 	return superseded
 }
 
-// recent reports whether another node claimed a subject within the grace period. Calls of
+// claimedRecently reports whether another node claimed a subject within the grace period. Calls of
 // two nodes for the same subject must be at least that far apart.
-func (c *claims) recent(subject string, now time.Time) bool {
+func (c *claims) claimedRecently(subject string, now time.Time) bool {
 	recent := false
 	c.node.jobs.withLedger(func(state *ledger.Ledger) {
-		last := state.LastClaimByOthers(subject, c.node.settings.Name)
+		last := state.LastClaimByOthersReadAt(subject, c.node.settings.Name)
 		recent = !last.IsZero() && now.Sub(last) < c.node.settings.OrderGrace+ownership.OrderMargin
 	})
 	return recent
--- a/internal/hosted/cold.go
+++ b/internal/hosted/cold.go
@@ -26,7 +26,7 @@
 
 func (n *Node) limitsOf(current *catalog.Catalog, service string) warmup.Limits {
 	declared := current.Services[service]
-	return warmup.NewLimits(declared.ColdStart, declared.ColdPerSecond, n.settings.ColdOver, n.settings.ColdSlack)
+	return warmup.NewLimits(declared.ColdDuration, declared.ColdRequestsPerSecond, n.settings.ColdFactor, n.settings.ColdSlack)
 }
 
 // requestLimits returns the limits of the requests of clients and reward calls that this node
@@ -35,27 +35,27 @@
 // belongs to the executor. Other cold samplers get this node's share of their limit.
 func (n *Node) requestLimits(current *catalog.Catalog, sampler schedule.Sampler, nodes []string) warmup.Limits {
 	limits := n.limitsOf(current, sampler.Service)
-	limits.Warm = math.MaxInt
+	limits.WarmPerSecond = math.MaxInt
 	if len(current.Services[sampler.Service].Models) > 0 {
-		limits.Cold = 0
+		limits.ColdPerSecond = 0
 		return limits
 	}
-	limits.Cold = routing.ColdShare(limits.Cold, nodes, n.settings.Name, sampler.ID)
+	limits.ColdPerSecond = routing.ColdBudgetShare(limits.ColdPerSecond, nodes, n.settings.Name, sampler.ID)
 	return limits
 }
 
-// noteCold updates the metrics of cold samplers. It logs their number when it changes, and at
+// recordColdSamplers updates the metrics of cold samplers. It logs their number when it changes, and at
 // intervals that work waits for them. The caller holds the lock.
-func (e *executor) noteCold(now time.Time) {
+func (e *executor) recordColdSamplers(now time.Time) {
 	status := e.scheduler.Cold(now)
 	e.node.metrics.recordCold(status)
-	if status.Cold != e.coldBefore {
-		e.coldBefore = status.Cold
+	if status.Cold != e.lastColdCount {
+		e.lastColdCount = status.Cold
 		e.node.logger.Log(event.SamplersCold, "cold", status.Cold, "listed", status.Listed)
 	}
-	if status.Kept > 0 && now.Sub(e.coldToldAt) >= coldWorkLogInterval {
-		e.coldToldAt = now
-		e.node.logger.Log(event.ColdWorkWaits, "waiting", status.Waiting, "samplers", status.Kept, "cold", status.Cold)
+	if status.AtLimit > 0 && now.Sub(e.coldWaitLoggedAt) >= coldWorkLogInterval {
+		e.coldWaitLoggedAt = now
+		e.node.logger.Log(event.ColdWorkWaits, "waiting", status.Waiting, "samplers", status.AtLimit, "cold", status.Cold)
 	}
 }
 
--- a/internal/hosted/contact.go
+++ b/internal/hosted/contact.go
@@ -26,7 +26,7 @@
 	if n.draining.Load() || n.catalog.Load() == nil || n.samplers.Load() == nil {
 		return false
 	}
-	return !n.jobs.followed.Load() || n.jobs.inTouch() && n.reachesLog(ctx)
+	return !n.jobs.following.Load() || n.jobs.hasCurrentLog() && n.reachesLog(ctx)
 }
 
 // reachesLog reports whether the log answers this node, directly or through a peer. It
@@ -34,10 +34,10 @@
 // only after its long poll expires, and the load balancer sends clients here for two more
 // of its readiness checks.
 func (n *Node) reachesLog(ctx context.Context) bool {
-	if n.log.Quiet() < maxLogSilence {
+	if n.log.SinceLastResponse() < maxLogSilence {
 		return true
 	}
-	ctx, cancel := context.WithTimeout(ctx, logProbeTimeout+n.log.Beyond())
+	ctx, cancel := context.WithTimeout(ctx, logProbeTimeout+n.log.ExtraLatency())
 	defer cancel()
 	_, err := n.log.Owners(ctx, jobGroup)
 	return err == nil
--- a/internal/hosted/contact_test.go
+++ b/internal/hosted/contact_test.go
@@ -27,9 +27,9 @@
 func readyNode(t *testing.T, group sharedlog.Group) *Node {
 	t.Helper()
 	node := New(Settings{Name: "n"}, Ports{Network: network.TCP{}, Log: emptyLog{}, Group: group}, event.Discard())
-	node.TakeCatalog(catalogOf(t, 1))
-	node.TakeSamplers([]schedule.Sampler{})
-	node.jobs.followed.Store(true)
+	node.ApplyCatalog(catalogOf(t, 1))
+	node.ApplySamplers([]schedule.Sampler{})
+	node.jobs.following.Store(true)
 	require.NoError(t, node.jobs.follower.CatchUp(t.Context()))
 	return node
 }
--- a/internal/hosted/directory_test.go
+++ b/internal/hosted/directory_test.go
@@ -68,12 +68,12 @@
 	longest := time.Duration(0)
 	for range 200 {
 		delay := small.ledgerDelay()
-		require.Less(t, delay, 300*ledgerShare)
+		require.Less(t, delay, 300*ledgerReadInterval)
 		longest = max(longest, delay)
 	}
-	require.Greater(t, longest, 100*ledgerShare, "the delays are spread")
+	require.Greater(t, longest, 100*ledgerReadInterval, "the delays are spread")
 	crowd := node(192, append(make([]uint64, 5000), 800)...)
-	require.LessOrEqual(t, crowd.ledgerDelay(), longestLedgerDelay)
+	require.LessOrEqual(t, crowd.ledgerDelay(), maxLedgerDelay)
 }
 
 // startLog counts reads of the ledger and writes to keyed topics.
@@ -93,7 +93,7 @@
 	return l.emptyLog.Read(ctx, partition, from, wait)
 }
 
-func (l *startLog) Newest(context.Context, sharedlog.Partition, string) (sharedlog.KeyedPage, error) {
+func (l *startLog) ReadNewest(context.Context, sharedlog.Partition, string) (sharedlog.KeyedPage, error) {
 	return sharedlog.KeyedPage{KeyedBatch: sharedlog.KeyedBatch{Records: l.entries}}, nil
 }
 
@@ -113,7 +113,7 @@
 func TestNodeReadsRoutesAndSamplersBeforeTheLedger(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := &startLog{entries: []sharedlog.KeyedRecord{entryOf(t, "n", 800), entryOf(t, "other", 800)}}
-		settings := Settings{Name: "n", Millicores: 800, ShortestTTL: time.Second, OrderGrace: time.Second, KeepJobs: time.Minute}
+		settings := Settings{Name: "n", Millicores: 800, MinAssignmentTTL: time.Second, OrderGrace: time.Second, JobRetention: time.Minute}
 		node := New(settings, Ports{Network: network.TCP{}, Log: log, Group: &ownershiptest.Group{}}, event.Discard())
 		ctx, cancel := context.WithCancel(context.Background())
 		node.Start(ctx)
@@ -122,13 +122,13 @@
 		require.Zero(t, reads)
 		require.Zero(t, writes, "the directory already holds its entry")
 		require.False(t, node.Ready(t.Context()))
-		node.TakeCatalog(catalogOf(t, 1))
-		node.TakeSamplers([]schedule.Sampler{})
+		node.ApplyCatalog(catalogOf(t, 1))
+		node.ApplySamplers([]schedule.Sampler{})
 		require.True(t, node.Ready(t.Context()), "the ledger is needed only for requests about jobs")
 		synctest.Wait()
 		reads, _ = log.counts()
 		require.Positive(t, reads)
-		time.Sleep(directory.AnnounceInterval + directory.AnnounceSpread)
+		time.Sleep(directory.AnnounceInterval + directory.AnnounceJitter)
 		_, writes = log.counts()
 		require.Positive(t, writes, "entries are repeated before they expire")
 		cancel()
@@ -141,19 +141,19 @@
 // executed for 4.5 s.
 func TestSmallNodeOfANewDeploymentLeavesTheJobsToALargeOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		log := &sharedlogtest.Kept{}
-		groups := map[uint64]*ownershiptest.Group{192: {Share: ownershiptest.Holding(1)}, 800: {Share: ownershiptest.Holding(1)}}
+		log := &sharedlogtest.MemoryLog{}
+		groups := map[uint64]*ownershiptest.Group{192: {Assignment: ownershiptest.NewAssignment(1)}, 800: {Assignment: ownershiptest.NewAssignment(1)}}
 		ctx, cancel := context.WithCancel(context.Background())
 		var nodes []*Node
 		for millicores, group := range groups {
-			settings := Settings{Name: fmt.Sprint(millicores), Millicores: millicores, ShortestTTL: time.Second, OrderGrace: time.Second, KeepJobs: time.Minute}
+			settings := Settings{Name: fmt.Sprint(millicores), Millicores: millicores, MinAssignmentTTL: time.Second, OrderGrace: time.Second, JobRetention: time.Minute}
 			node := New(settings, Ports{Network: network.TCP{}, Log: log, Group: group}, event.Discard())
 			node.Start(ctx)
-			node.TakeCatalog(catalogOf(t, 1))
-			node.TakeSamplers([]schedule.Sampler{})
+			node.ApplyCatalog(catalogOf(t, 1))
+			node.ApplySamplers([]schedule.Sampler{})
 			nodes = append(nodes, node)
 		}
-		time.Sleep(ownership.ShortestLook)
+		time.Sleep(ownership.MinObserveInterval)
 		require.Positive(t, groups[800].Joins())
 		require.Zero(t, groups[192].Joins())
 		cancel()
@@ -165,14 +165,14 @@
 
 func TestNodeThatCannotAnnounceItselfJoinsTheGroupAnyway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		group := &ownershiptest.Group{Share: ownershiptest.Holding(4, 0)}
-		settings := Settings{Name: "n", Millicores: 800, ShortestTTL: time.Second, OrderGrace: time.Second, KeepJobs: time.Minute}
+		group := &ownershiptest.Group{Assignment: ownershiptest.NewAssignment(4, 0)}
+		settings := Settings{Name: "n", Millicores: 800, MinAssignmentTTL: time.Second, OrderGrace: time.Second, JobRetention: time.Minute}
 		log := &startLog{}
 		node := New(settings, Ports{Network: network.TCP{}, Log: log, Group: group}, event.Discard())
 		ctx, cancel := context.WithCancel(context.Background())
 		node.Start(ctx)
-		node.TakeCatalog(catalogOf(t, 1))
-		node.TakeSamplers([]schedule.Sampler{})
+		node.ApplyCatalog(catalogOf(t, 1))
+		node.ApplySamplers([]schedule.Sampler{})
 		time.Sleep(firstEntryTimeout / 2)
 		require.Zero(t, group.Joins())
 		time.Sleep(firstEntryTimeout)
--- a/internal/hosted/distance.go
+++ b/internal/hosted/distance.go
@@ -24,7 +24,7 @@
 func (n *Node) logRoundTripChanges(ctx context.Context) {
 	var logged roundtrip.Estimate
 	wait.Every(ctx, roundTripCheckInterval, func() {
-		current := n.log.Way().Read()
+		current := n.log.RoundTrip().Estimate()
 		if !changedSignificantly(logged, current) {
 			return
 		}
--- a/internal/hosted/early.go
+++ b/internal/hosted/early.go
@@ -11,23 +11,23 @@
 )
 
 const (
-	// startPatience is how long a request to a node that has just started waits for the
+	// startupTimeout is how long a request to a node that has just started waits for the
 	// configuration, which takes about 100 ms to arrive, and for the first samplers, which
 	// follow soon after.
-	startPatience = 400 * time.Millisecond
-	// notReadyHint is the retry-after hint of a node that has no configuration, or knows no
+	startupTimeout = 400 * time.Millisecond
+	// notReadyRetryAfter is the retry-after hint of a node that has no configuration, or knows no
 	// sampler for the request yet.
-	notReadyHint = 300 * time.Millisecond
+	notReadyRetryAfter = 300 * time.Millisecond
 	// maxPartialListAge is how long requests may use a partly read first list of samplers. Changes
 	// to entries that were read early become known only once the whole list is read, and a
 	// leaving sampler must get no new work after 3 s.
 	maxPartialListAge = 2 * time.Second
 )
 
-// earlyList is the part of the first sampler list that was read so far. It is used only
+// partialSamplerList is the part of the first sampler list that was read so far. It is used only
 // for application requests: batch jobs, and the decision whether a missing sampler is
 // gone, need the complete list.
-type earlyList struct {
+type partialSamplerList struct {
 	mutex    sync.Mutex
 	samplers *[]schedule.Sampler
 	// began is when the first part was read.
@@ -36,13 +36,13 @@
 	changed chan struct{}
 }
 
-func (l *earlyList) list() *[]schedule.Sampler {
+func (l *partialSamplerList) list() *[]schedule.Sampler {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.samplers
 }
 
-func (l *earlyList) update(listed []schedule.Sampler) {
+func (l *partialSamplerList) update(listed []schedule.Sampler) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.samplers == nil {
@@ -57,7 +57,7 @@
 
 // find reports whether the list is recent enough to be used and has a usable sampler. It
 // returns a channel that is closed when more samplers are read.
-func (l *earlyList) find(usable func(schedule.Sampler) bool) (found bool, changed <-chan struct{}) {
+func (l *partialSamplerList) find(usable func(schedule.Sampler) bool) (found bool, changed <-chan struct{}) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.changed == nil {
@@ -67,9 +67,9 @@
 	return fresh && slices.ContainsFunc(*l.samplers, usable), l.changed
 }
 
-// TakeEarlySamplers applies a part of the first sampler list. It does nothing once a
+// ApplyPartialSamplers applies a part of the first sampler list. It does nothing once a
 // complete list is known.
-func (n *Node) TakeEarlySamplers(listed []schedule.Sampler) {
+func (n *Node) ApplyPartialSamplers(listed []schedule.Sampler) {
 	if n.samplers.Load() != nil {
 		return
 	}
@@ -77,14 +77,14 @@
 	n.updateFleet()
 }
 
-// awaitConfigured waits up to startPatience for the first configuration.
-func (n *Node) awaitConfigured(ctx context.Context) {
+// awaitConfiguration waits up to startupTimeout for the first configuration.
+func (n *Node) awaitConfiguration(ctx context.Context) {
 	select {
 	case <-n.configured:
 		return
 	default:
 	}
-	ctx, cancel := context.WithTimeout(ctx, startPatience)
+	ctx, cancel := context.WithTimeout(ctx, startupTimeout)
 	defer cancel()
 	select {
 	case <-n.configured:
@@ -94,7 +94,7 @@
 
 // awaitSampler waits, on a node that has just started, until it knows a sampler for the
 // request or the complete list; before, it cannot tell whether there is one. It waits for the
-// shorter of startPatience and half of the time to the deadline, and then returns
+// shorter of startupTimeout and half of the time to the deadline, and then returns
 // NotReady.
 func (n *Node) awaitSampler(ctx context.Context, request *dispatch.Request) error {
 	if n.samplers.Load() != nil {
@@ -102,9 +102,9 @@
 	}
 	usable := func(sampler schedule.Sampler) bool {
 		return sampler.Service == request.Pool && !sampler.Leaving &&
-			(!request.Regions.Bound() || request.Regions.Allow(n.settings.Topology.Region(sampler.Zone)))
+			(!request.Regions.Restricted() || request.Regions.Allows(n.settings.Topology.Region(sampler.Zone)))
 	}
-	ctx, cancel := context.WithTimeout(ctx, min(startPatience, time.Until(request.Deadline)/2))
+	ctx, cancel := context.WithTimeout(ctx, min(startupTimeout, time.Until(request.Deadline)/2))
 	defer cancel()
 	for {
 		found, changed := n.early.find(usable)
--- a/internal/hosted/early_test.go
+++ b/internal/hosted/early_test.go
@@ -21,11 +21,11 @@
 func TestRequestIsServedOnceOneSamplerOfItsServiceIsKnown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		node := newTestNode()
-		node.TakeCatalog(catalogOf(t, 1))
+		node.ApplyCatalog(catalogOf(t, 1))
 		began := time.Now()
-		time.AfterFunc(100*time.Millisecond, func() { node.TakeEarlySamplers([]schedule.Sampler{{ID: "1", Service: "other"}}) })
+		time.AfterFunc(100*time.Millisecond, func() { node.ApplyPartialSamplers([]schedule.Sampler{{ID: "1", Service: "other"}}) })
 		time.AfterFunc(200*time.Millisecond, func() {
-			node.TakeEarlySamplers([]schedule.Sampler{{ID: "1", Service: "other"}, {ID: "2", Service: "s", Address: "a"}})
+			node.ApplyPartialSamplers([]schedule.Sampler{{ID: "1", Service: "other"}, {ID: "2", Service: "s", Address: "a"}})
 		})
 		require.NoError(t, node.awaitSampler(t.Context(), newRequest()))
 		require.Equal(t, 200*time.Millisecond, time.Since(began))
@@ -40,8 +40,8 @@
 		began := time.Now()
 		err := node.awaitSampler(t.Context(), newRequest())
 		require.True(t, result.Is(err, result.NotReady))
-		require.Equal(t, startPatience, time.Since(began))
-		node.TakeSamplers([]schedule.Sampler{})
+		require.Equal(t, startupTimeout, time.Since(began))
+		node.ApplySamplers([]schedule.Sampler{})
 		require.NoError(t, node.awaitSampler(t.Context(), newRequest()), "the complete list has none: the dispatcher reports it")
 	})
 }
@@ -49,16 +49,16 @@
 func TestExpiredPartialListIsNotUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		node := newTestNode()
-		node.TakeEarlySamplers([]schedule.Sampler{{ID: "2", Service: "s", Address: "a"}})
+		node.ApplyPartialSamplers([]schedule.Sampler{{ID: "2", Service: "s", Address: "a"}})
 		time.Sleep(maxPartialListAge)
-		node.TakeEarlySamplers([]schedule.Sampler{{ID: "2", Service: "s", Address: "a"}, {ID: "3", Service: "s", Address: "b"}})
+		node.ApplyPartialSamplers([]schedule.Sampler{{ID: "2", Service: "s", Address: "a"}, {ID: "3", Service: "s", Address: "b"}})
 		require.True(t, result.Is(node.awaitSampler(t.Context(), newRequest()), result.NotReady), "a sampler may be leaving by now")
 	})
 }
 
 func TestPartialListNeverReplacesACompleteOne(t *testing.T) {
 	node := newTestNode()
-	node.TakeSamplers([]schedule.Sampler{{ID: "1", Service: "s"}, {ID: "2", Service: "s"}})
-	node.TakeEarlySamplers([]schedule.Sampler{{ID: "1", Service: "s"}})
+	node.ApplySamplers([]schedule.Sampler{{ID: "1", Service: "s"}, {ID: "2", Service: "s"}})
+	node.ApplyPartialSamplers([]schedule.Sampler{{ID: "1", Service: "s"}})
 	require.Len(t, node.fleet.Status(), 2)
 }
--- a/internal/hosted/evacuation.go
+++ b/internal/hosted/evacuation.go
@@ -8,23 +8,23 @@
 	"github.com/pathbend/pathbend/internal/event"
 )
 
-// TakeEvacuations applies the complete list of zones that the operator wants evacuated. The
+// ApplyEvacuations applies the complete list of zones that the operator wants evacuated. The
 // caller applies it before the samplers of the same read, so that no request is sent to a
 // sampler before its evacuation is known.
-func (n *Node) TakeEvacuations(names []string) {
+func (n *Node) ApplyEvacuations(names []string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	now := time.Now()
-	next, changes := n.evacuated.Load().Take(evacuation.SourceOperator, names, now)
-	if len(changes.Evacuated)+len(changes.TakenBack) == 0 {
+	next, changes := n.evacuated.Load().ReplaceSource(evacuation.SourceOperator, names, now)
+	if len(changes.Evacuated)+len(changes.Restored) == 0 {
 		return
 	}
 	n.evacuated.Store(&next)
-	n.fleet.Evacuate(next)
+	n.fleet.SetEvacuatedZones(next)
 	for _, zone := range changes.Evacuated {
 		n.logEvacuated(zone)
 	}
-	for _, zone := range changes.TakenBack {
+	for _, zone := range changes.Restored {
 		n.logger.Log(event.ZoneTakenBack, "zone", zone.Name, "source", string(zone.Source), "lasted_ms", now.Sub(zone.Since).Milliseconds())
 	}
 	n.executor.wake()
@@ -54,11 +54,11 @@
 	return count
 }
 
-// takeEvacuations passes changed evacuations to the scheduler. It is called before anything is
+// applyEvacuations passes changed evacuations to the scheduler. It is called before anything is
 // scheduled; the caller holds the lock.
-func (e *executor) takeEvacuations() {
-	if current := e.node.evacuated.Load(); current != e.evacuated {
-		e.evacuated = current
-		e.scheduler.Evacuate(*current, time.Now())
+func (e *executor) applyEvacuations() {
+	if current := e.node.evacuated.Load(); current != e.appliedEvacuations {
+		e.appliedEvacuations = current
+		e.scheduler.SetEvacuatedZones(*current, time.Now())
 	}
 }
--- a/internal/hosted/evacuation_test.go
+++ b/internal/hosted/evacuation_test.go
@@ -32,21 +32,21 @@
 }
 
 func TestRetryAvoidsAnEvacuatedZone(t *testing.T) {
-	node := New(Settings{Name: "n", Zone: "a"}, Ports{Network: network.TCP{}, Protocol: dispatch.OwnProtocol{}}, event.Discard())
-	node.TakeCatalog(catalogOf(t, 1))
+	node := New(Settings{Name: "n", Zone: "a"}, Ports{Network: network.TCP{}, Protocol: dispatch.NativeProtocol{}}, event.Discard())
+	node.ApplyCatalog(catalogOf(t, 1))
 	var askedThere atomic.Int64
-	here := startRefusingBackEnd(t, func() { node.TakeEvacuations([]string{"b"}) })
+	here := startRefusingBackEnd(t, func() { node.ApplyEvacuations([]string{"b"}) })
 	there := startRefusingBackEnd(t, func() { askedThere.Add(1) })
-	node.TakeSamplers([]schedule.Sampler{
+	node.ApplySamplers([]schedule.Sampler{
 		{ID: "here", Service: "s", Zone: "a", Address: here, Slots: 1}, {ID: "there", Service: "s", Zone: "b", Address: there, Slots: 1},
 	})
 	admitted := Admitted{Route: &catalog.Route{
-		Name: "r", Kind: catalog.Repeatable, MaxAttempts: 3, Shares: []catalog.Share{{Service: "s", Weight: 1}},
+		Name: "r", Kind: catalog.Repeatable, MaxAttempts: 3, TrafficShares: []catalog.TrafficShare{{Service: "s", Weight: 1}},
 	}}
 	_, err := node.Forward(t.Context(), admitted, &Inbound{Method: http.MethodPost, Path: "/", Wait: time.Minute})
 	require.Error(t, err)
 	require.Zero(t, askedThere.Load())
-	node.TakeEvacuations([]string{"a", "b"})
+	node.ApplyEvacuations([]string{"a", "b"})
 	_, err = node.Forward(t.Context(), admitted, &Inbound{Method: http.MethodPost, Path: "/", Wait: time.Minute})
 	require.True(t, result.Is(err, result.ZoneEvacuated), "%v", err)
 }
@@ -59,10 +59,10 @@
 	for _, id := range []string{"a1", "a2", "b1", "b2"} {
 		listed = append(listed, schedule.Sampler{ID: id, Zone: id[:1], Service: "s", Slots: 2, Versions: versions})
 	}
-	e.scheduler.Samplers(listed, time.Now())
-	e.node.TakeVersion("m", 2)
-	e.node.TakeEvacuations([]string{"a"})
-	e.takeEvacuations()
+	e.scheduler.SetSamplers(listed, time.Now())
+	e.node.ApplyVersion("m", 2)
+	e.node.ApplyEvacuations([]string{"a"})
+	e.applyEvacuations()
 	var ordered []string
 	for _, member := range (rollFleet{executor: e, now: time.Now()}).Members() {
 		ordered = append(ordered, member.ID)
@@ -73,10 +73,10 @@
 func TestNoSamplersAreOrderedInAnEvacuatedZone(t *testing.T) {
 	node := newTestNode()
 	service := catalog.Service{Name: "s", Scaling: &catalog.Scaling{ZonePrices: map[string]float64{"a": 1, "b": 1}}}
-	node.TakeSamplers([]schedule.Sampler{
+	node.ApplySamplers([]schedule.Sampler{
 		{ID: "a1", Zone: "a", Service: "s"}, {ID: "a2", Zone: "a", Service: "s", Spot: true}, {ID: "b1", Zone: "b", Service: "s"},
 	})
-	node.TakeEvacuations([]string{"a"})
+	node.ApplyEvacuations([]string{"a"})
 	zones, evacuated := node.scaler.countByZone(service)
 	require.Len(t, zones, 1)
 	require.Equal(t, "b", zones[0].Name)
--- a/internal/hosted/executor.go
+++ b/internal/hosted/executor.go
@@ -34,21 +34,21 @@
 	executorBatchDelay = 4 * time.Millisecond
 	// progressInterval is how often the partial text of running items is saved.
 	progressInterval = 300 * time.Millisecond
-	// progressEvents is the minimum number of new events for which an item's text is saved:
+	// minProgressEvents is the minimum number of new events for which an item's text is saved:
 	// generating a shorter text again takes less time than storing it on every node.
-	progressEvents = 24
-	// flushPatience is the time limit of the final appends before a planned stop.
-	flushPatience = 700 * time.Millisecond
+	minProgressEvents = 24
+	// flushTimeout is the time limit of the final appends before a planned stop.
+	flushTimeout = 700 * time.Millisecond
 	// defaultDue is the due time of jobs on routes that configure none.
 	defaultDue = 10 * time.Second
 )
 
 // executor runs the jobs of the job partition while this node holds it.
 type executor struct {
-	node   *Node
-	lister *lister
-	roll   *weights.Roll
-	woken  chan struct{}
+	node         *Node
+	resultWriter *resultWriter
+	roll         *weights.RollingUpdate
+	woken        chan struct{}
 
 	changesMutex sync.Mutex
 	changes      []ledger.Change
@@ -57,25 +57,25 @@
 	scheduler *schedule.Scheduler // nil while this node does not execute
 	runs      map[schedule.Key]context.CancelFunc
 	// remote is the work that must run in regions other than this node's.
-	remote remoteWork
+	remote remoteState
 	// session is canceled when the node stops executing; sessionID distinguishes it from
 	// other sessions.
-	session         context.Context
-	sessionID       uint64
-	beganAt         clock.Moment
-	endSession      context.CancelFunc
-	progressSavedAt time.Time
-	reviewedAt      time.Time
+	session          context.Context
+	sessionID        uint64
+	sessionStartedAt clock.Moment
+	endSession       context.CancelFunc
+	progressSavedAt  time.Time
+	reviewedAt       time.Time
 	// appliedSamplers is the sampler list passed to the scheduler most recently, at
 	// samplersAppliedAt.
 	appliedSamplers   *[]schedule.Sampler
 	samplersAppliedAt time.Time
-	// coldBefore is the number of cold samplers logged last, coldToldAt when work that waits
+	// lastColdCount is the number of cold samplers logged last, coldWaitLoggedAt when work that waits
 	// for them was last logged.
-	coldBefore int
-	coldToldAt time.Time
-	// evacuated is the set of evacuated zones passed to the scheduler most recently.
-	evacuated *evacuation.Zones
+	lastColdCount    int
+	coldWaitLoggedAt time.Time
+	// appliedEvacuations is the set of evacuated zones passed to the scheduler most recently.
+	appliedEvacuations *evacuation.Zones
 	// appliedCatalog is the configuration under which the open jobs were loaded.
 	appliedCatalog *catalog.Catalog
 	rewards        *rewarder
@@ -85,11 +85,11 @@
 
 func newExecutor(n *Node) *executor {
 	e := &executor{
-		node: n, roll: weights.NewRoll(loadsTogether), woken: make(chan struct{}, 1),
+		node: n, roll: weights.NewRollingUpdate(maxConcurrentLoads), woken: make(chan struct{}, 1),
 		runs: make(map[schedule.Key]context.CancelFunc),
 	}
 	e.rewards = &rewarder{node: n, slots: rewardSlots{released: make(chan struct{}, 1)}}
-	e.lister = newResultWriter(n)
+	e.resultWriter = newResultWriter(n)
 	return e
 }
 
@@ -103,7 +103,7 @@
 
 // jobChanged queues a ledger change for the next step. The caller holds the ledger's lock.
 func (e *executor) jobChanged(change ledger.Change) {
-	if change.Kind == ledger.Nothing || change.Kind == ledger.Progressed {
+	if change.Kind == ledger.NoChange || change.Kind == ledger.ProgressSaved {
 		return
 	}
 	e.changesMutex.Lock()
@@ -112,7 +112,7 @@
 	e.wake()
 }
 
-func (e *executor) takeChanges() []ledger.Change {
+func (e *executor) drainChanges() []ledger.Change {
 	e.changesMutex.Lock()
 	defer e.changesMutex.Unlock()
 	taken := e.changes
@@ -121,13 +121,13 @@
 }
 
 func (e *executor) run(ctx context.Context) {
-	e.work.Go(func() { e.lister.run(ctx) })
+	e.work.Go(func() { e.resultWriter.run(ctx) })
 	ticker := time.NewTicker(idlePollInterval)
 	defer ticker.Stop()
 	executes := false
 	for ctx.Err() == nil {
 		e.step(ctx)
-		if executes != e.node.ownership.Executes(jobPartition, time.Now()) {
+		if executes != e.node.ownership.ShouldExecute(jobPartition, time.Now()) {
 			executes = !executes
 			ticker.Reset(pollInterval(executes))
 		}
@@ -151,14 +151,14 @@
 
 func (e *executor) step(ctx context.Context) {
 	now := time.Now()
-	executes := e.node.ownership.Executes(jobPartition, now)
+	executes := e.node.ownership.ShouldExecute(jobPartition, now)
 	if executes && !e.executing() {
 		e.begin(ctx)
 	}
 	if !executes && e.executing() {
 		e.flush(ctx)
 	}
-	changes := e.takeChanges()
+	changes := e.drainChanges()
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if e.scheduler == nil {
@@ -167,15 +167,15 @@
 	for _, change := range changes {
 		e.applyChange(change)
 	}
-	e.takeEvacuations()
+	e.applyEvacuations()
 	review := now.Sub(e.reviewedAt) >= executorPollInterval
 	if review {
 		e.reviewedAt = now
 		e.applyVersions()
 		e.applySamplers(now)
 		e.cancelMoved(now)
-		e.takeConfiguration()
-		e.reviewRemote()
+		e.applyConfiguration()
+		e.reconcileRemoteJobs()
 	}
 	for _, start := range e.scheduler.Starts(now) {
 		e.start(start)
@@ -189,23 +189,23 @@
 func (e *executor) review(now time.Time) {
 	if now.Sub(e.progressSavedAt) >= progressInterval {
 		e.progressSavedAt = now
-		e.saveProgress(progressEvents, now)
+		e.saveProgress(minProgressEvents, now)
 	}
-	e.noteCold(now)
+	e.recordColdSamplers(now)
 	e.node.suspects.republish(now)
 	e.orderWeights(now)
 	e.detectSplitBrain(now)
 }
 
-// peaks returns the recent peak number of concurrently requested items per model. It
+// peakDemand returns the recent peak number of concurrently requested items per model. It
 // returns false if this node does not execute.
-func (e *executor) peaks(now time.Time) (map[string]int, bool) {
+func (e *executor) peakDemand(now time.Time) (map[string]int, bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if e.scheduler == nil {
 		return nil, false
 	}
-	return e.scheduler.Demand(now), true
+	return e.scheduler.PeakDemand(now), true
 }
 
 func (e *executor) executing() bool {
@@ -220,18 +220,18 @@
 	if e.node.jobs.refresh(ctx) != nil {
 		return
 	}
-	e.takeChanges()
+	e.drainChanges()
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.scheduler = schedule.New(rand.Uint64)
-	e.scheduler.SetHolds(e.node.suspects)
+	e.scheduler.SetQuarantine(e.node.suspects)
 	e.session, e.endSession = context.WithCancel(ctx)
-	e.sessionID, e.beganAt, e.remote = rand.Uint64(), clock.Mark(), newRemoteWork()
+	e.sessionID, e.sessionStartedAt, e.remote = rand.Uint64(), clock.CurrentMoment(), newRemoteState()
 	e.appliedCatalog = e.node.Catalog()
-	e.roll.Forget()
+	e.roll.Reset()
 	e.applyVersions()
-	e.appliedSamplers, e.evacuated = nil, nil
-	e.takeEvacuations()
+	e.appliedSamplers, e.appliedEvacuations = nil, nil
+	e.applyEvacuations()
 	e.applySamplers(time.Now())
 	e.recordDemand(time.Now())
 	open := 0
@@ -239,7 +239,7 @@
 		e.loadJob(job)
 		open++
 	}
-	e.node.logger.Log(event.ExecutorStarted, "generation", e.node.ownership.Current(), "open_jobs", open)
+	e.node.logger.Log(event.ExecutorStarted, "generation", e.node.ownership.Generation(), "open_jobs", open)
 	e.node.metrics.executing.Set(1)
 }
 
@@ -248,7 +248,7 @@
 func (e *executor) recordDemand(now time.Time) {
 	e.node.jobs.withLedger(func(state *ledger.Ledger) {
 		for _, job := range state.Jobs() {
-			e.scheduler.Wanted(job.Spec.Model, len(job.Spec.ItemIds), now)
+			e.scheduler.RecordDemand(job.Spec.Model, len(job.Spec.ItemIds), now)
 		}
 	})
 }
@@ -263,16 +263,16 @@
 	}
 	e.saveProgress(1, time.Now())
 	e.mutex.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, flushPatience)
+	ctx, cancel := context.WithTimeout(ctx, flushTimeout)
 	defer cancel()
-	e.lister.flush(ctx)
+	e.resultWriter.flush(ctx)
 	e.end()
 }
 
 func (e *executor) saveProgress(minEvents uint64, now time.Time) {
 	var unsaved partsByJob
 	e.node.jobs.withLedger(func(state *ledger.Ledger) { unsaved = e.scheduler.Unsaved(minEvents, state, now) })
-	e.lister.addProgress(unsaved)
+	e.resultWriter.addProgress(unsaved)
 }
 
 func (e *executor) end() {
@@ -283,9 +283,9 @@
 	}
 	e.endSession()
 	e.stopRuns()
-	e.remote = newRemoteWork()
+	e.remote = newRemoteState()
 	e.scheduler = nil
-	e.node.logger.Log(event.ExecutorStopped, "generation", e.node.ownership.Current())
+	e.node.logger.Log(event.ExecutorStopped, "generation", e.node.ownership.Generation())
 	e.node.metrics.executing.Set(0)
 }
 
@@ -299,7 +299,7 @@
 
 func (e *executor) applyVersions() {
 	for model, version := range e.node.targets() {
-		if e.scheduler.Named(model, version) {
+		if e.scheduler.RecordVersion(model, version) {
 			e.node.logger.Log(event.VersionAnnounced, "model", model, "version", version)
 		}
 	}
@@ -312,12 +312,12 @@
 	}
 	e.appliedSamplers, e.samplersAppliedAt = listed, now
 	e.scheduler.SetLimits(e.node.coldLimits())
-	e.scheduler.Samplers(*listed, now)
+	e.scheduler.SetSamplers(*listed, now)
 }
 
-// takeConfiguration reloads the jobs whose allowed regions changed with a new
+// applyConfiguration reloads the jobs whose allowed regions changed with a new
 // configuration. The caller holds e.mutex.
-func (e *executor) takeConfiguration() {
+func (e *executor) applyConfiguration() {
 	current := e.node.Catalog()
 	if current == e.appliedCatalog {
 		return
@@ -342,19 +342,19 @@
 
 func (e *executor) applyChange(change ledger.Change) {
 	switch change.Kind {
-	case ledger.Submitted:
+	case ledger.JobSubmitted:
 		e.loadJob(change.Job)
-	case ledger.Ended:
+	case ledger.JobEnded:
 		stopped := e.scheduler.DropJob(change.Job.ID, time.Now())
 		for _, key := range stopped {
 			e.cancel(key)
 		}
-		e.node.logger.Log(event.BatchEnded, "job_id", change.Job.ID, "listed", change.Results,
-			"items", change.Job.Total(), "stopped", len(stopped))
-	case ledger.Listed:
-		for _, listed := range change.Listed {
+		e.node.logger.Log(event.BatchEnded, "job_id", change.Job.ID, "listed", change.ResultCount,
+			"items", change.Job.ItemCount(), "stopped", len(stopped))
+	case ledger.ResultsAdded:
+		for _, listed := range change.NewResults {
 			key := schedule.Key{Job: change.Job.ID, Item: listed.ItemID}
-			milestones, stopped := e.scheduler.Settled(key)
+			milestones, stopped := e.scheduler.RemoveItem(key)
 			for _, run := range stopped {
 				e.cancel(run)
 			}
@@ -374,9 +374,9 @@
 		"sampler", milestones.Sampler, "events", milestones.Events, "runs", milestones.Runs,
 		"started_ms_ago", millisecondsSince(milestones.Started, now), "completed_ms_ago", millisecondsSince(milestones.Completed, now),
 		"scored_ms_ago", millisecondsSince(milestones.Scored, now),
-		"prompt_ms", milestones.Spent.Prompt.Milliseconds(), "paused_ms", milestones.Spent.Paused.Milliseconds(),
-		"stalled_ms", milestones.Spent.Stalled.Milliseconds(), "expected_tokens", milestones.ExpectedTokens,
-		"group", milestones.Group, "group_open", milestones.GroupOpen, "carried", milestones.Carried)
+		"prompt_ms", milestones.Durations.Prompt.Milliseconds(), "paused_ms", milestones.Durations.Paused.Milliseconds(),
+		"stalled_ms", milestones.Durations.Stalled.Milliseconds(), "expected_tokens", milestones.ExpectedTokens,
+		"group", milestones.Group, "group_open", milestones.GroupOpen, "carried", milestones.Resubmitted)
 }
 
 // millisecondsSince returns the milliseconds from moment to now, or -1 if moment is zero.
@@ -397,7 +397,7 @@
 func (e *executor) cancelMoved(now time.Time) {
 	for _, move := range e.scheduler.Moves(now) {
 		e.cancel(move.Key)
-		e.node.metrics.moved.Inc()
+		e.node.metrics.runsMoved.Inc()
 		e.node.logger.Log(event.ItemMoved, "job_id", move.Key.Job, "item_id", move.Key.Item, "from", move.From,
 			"reason", move.Reason, "silent_ms", move.Silent.Milliseconds(), "pace_ms", move.Pace.Milliseconds())
 	}
@@ -406,10 +406,10 @@
 // start runs an item on its sampler in a goroutine, or passes the run to the worker that
 // serves the job's regions. The caller holds e.mutex.
 func (e *executor) start(start schedule.Start) {
-	e.node.metrics.started.Inc()
+	e.node.metrics.runsStarted.Inc()
 	e.node.logger.Log(event.ItemStarted, "job_id", start.Key.Job, "item_id", start.Key.Item,
 		"sampler", start.Sampler.ID, "running", start.Running, "candidates", start.Candidates,
-		"pace_ms", start.Pace.Milliseconds(), "after_event", start.AfterEvent, "ahead", start.Key.Ahead)
+		"pace_ms", start.Pace.Milliseconds(), "after_event", start.AfterEvent, "ahead", start.Key.Speculative)
 	if job := e.remote.jobs[start.Key.Job]; job != nil {
 		e.startRemote(job, start)
 		return
@@ -446,7 +446,7 @@
 // endRun records the end of a run. The caller holds e.mutex.
 func (e *executor) endRun(start schedule.Start, end RunEnd, now time.Time) {
 	verdict := e.scheduler.RunEnded(start.Key, start.Run, end.Ending, now)
-	e.node.metrics.runEnded(end.Ending)
+	e.node.metrics.recordRunEnd(end.Ending)
 	if end.Ending != schedule.Complete {
 		e.node.logger.Log(event.ItemRunEnded, "job_id", start.Key.Job, "item_id", start.Key.Item,
 			"sampler", start.Sampler.ID, "ending", end.Ending.String(), "detail", end.Detail, "failures", verdict.Failures)
@@ -463,13 +463,13 @@
 
 func (e *executor) recordDead(key schedule.Key, failures int, detail string) {
 	e.node.logger.Log(event.ItemDead, "job_id", key.Job, "item_id", key.Item, "failures", failures, "detail", detail)
-	e.lister.addResult(key.Job, &pathbendv1.BatchResult{ItemId: key.Item, Dead: true}, nil)
+	e.resultWriter.addResult(key.Job, &pathbendv1.BatchResult{ItemId: key.Item, Dead: true}, nil)
 }
 
 // finish scores a complete text in a goroutine and then queues its result. An item that
 // runs remotely and is not scored yet is left to its worker. The caller holds e.mutex.
 func (e *executor) finish(completed schedule.Finished) {
-	scored := completed.Kept != nil && (completed.Score != "" || completed.Reward == nil)
+	scored := completed.StoredText != nil && (completed.Score != "" || completed.Reward == nil)
 	if completed.Remote && !scored {
 		e.finishRemote(completed)
 		return
@@ -489,23 +489,23 @@
 		if !wanted {
 			return
 		}
-		e.list(completed, stamp, alive)
+		e.queueResult(completed, stamp, alive)
 	})
 }
 
-// list queues the result of a complete text for the log. If alive is false, or the text
+// queueResult queues the result of a complete text for the log. If alive is false, or the text
 // is too large for the log, it queues the item as dead.
-func (e *executor) list(completed schedule.Finished, stamp string, alive bool) {
+func (e *executor) queueResult(completed schedule.Finished, stamp string, alive bool) {
 	if !alive {
 		e.recordDead(completed.Key, 0, "its reward call failed too often")
 		return
 	}
-	if completed.Kept == nil && !e.node.jobs.contents.Fits(completed.Text) {
+	if completed.StoredText == nil && !e.node.jobs.contents.Fits(completed.Text) {
 		e.recordDead(completed.Key, 0, "its text is too large for the log")
 		return
 	}
-	e.lister.addResult(completed.Key.Job, &pathbendv1.BatchResult{
-		ItemId: completed.Key.Item, Text: completed.Kept, Versions: completed.Versions, Score: stamp, RewardId: completed.Reward.GetId(),
+	e.resultWriter.addResult(completed.Key.Job, &pathbendv1.BatchResult{
+		ItemId: completed.Key.Item, Text: completed.StoredText, Versions: completed.Versions, Score: stamp, RewardId: completed.Reward.GetId(),
 	}, completed.Text)
 }
 
--- a/internal/hosted/executor_test.go
+++ b/internal/hosted/executor_test.go
@@ -37,15 +37,15 @@
 // this: all items of its jobs start within the time that may pass after a job's end.
 func TestEndedJobIsStopped(t *testing.T) {
 	e, job := executorWithJob(t)
-	e.applyChange(ledger.Change{Kind: ledger.Ended, Job: job})
+	e.applyChange(ledger.Change{Kind: ledger.JobEnded, Job: job})
 	require.False(t, e.scheduler.HasJob("j"))
 }
 
 func TestCompleteJobIsRemoved(t *testing.T) {
 	e, job := executorWithJob(t)
-	e.applyChange(ledger.Change{Kind: ledger.Listed, Job: job, Listed: []ledger.Result{{ItemID: "a"}}})
+	e.applyChange(ledger.Change{Kind: ledger.ResultsAdded, Job: job, NewResults: []ledger.Result{{ItemID: "a"}}})
 	require.True(t, e.scheduler.HasJob("j"))
-	e.applyChange(ledger.Change{Kind: ledger.Listed, Job: job, Listed: []ledger.Result{{ItemID: "b"}}, Complete: true})
+	e.applyChange(ledger.Change{Kind: ledger.ResultsAdded, Job: job, NewResults: []ledger.Result{{ItemID: "b"}}, Complete: true})
 	require.False(t, e.scheduler.HasJob("j"))
 }
 
@@ -67,7 +67,7 @@
 	})
 	require.NoError(t, err)
 	e.scheduler = schedule.New(func() uint64 { return 1 })
-	require.Empty(t, e.scheduler.Demand(time.Now()))
+	require.Empty(t, e.scheduler.PeakDemand(time.Now()))
 	e.recordDemand(time.Now())
-	require.Equal(t, map[string]int{"m": 2}, e.scheduler.Demand(time.Now()))
+	require.Equal(t, map[string]int{"m": 2}, e.scheduler.PeakDemand(time.Now()))
 }
--- a/internal/hosted/forward.go
+++ b/internal/hosted/forward.go
@@ -49,28 +49,28 @@
 	route := admitted.Route
 	n.active.Add(1)
 	defer n.active.Add(-1)
-	received := clock.Mark()
+	received := clock.CurrentMoment()
 	began := received.Time()
 	deadline := began.Add(requestTimeout(route, in))
 	ctx, cancel := context.WithDeadline(ctx, deadline)
-	if err := n.servable(admitted.Regions); err != nil {
+	if err := n.checkServable(admitted.Regions); err != nil {
 		cancel()
 		n.metrics.recordRequest(route.Name, nil, err, time.Since(began))
 		n.LogRefusal(in.ID, in.Host, in.Path, err)
 		return nil, err
 	}
-	request := requestOf(route, in, deadline)
+	request := newDispatchRequest(route, in, deadline)
 	request.Regions, request.Received = admitted.Regions, received
 	if err := n.awaitSampler(ctx, request); err != nil {
 		cancel()
 		n.metrics.recordRequest(route.Name, nil, err, time.Since(began))
 		n.LogRefusal(in.ID, in.Host, in.Path, err)
-		return nil, spread(err)
+		return nil, jitterRetryAfter(err)
 	}
 	request.Tenant = admitted.Tenant.Name
-	request.Permitted = n.keyCheck(admitted, in.Key)
+	request.BeforeRetry = n.keyCheck(admitted, in.Key)
 	meter := n.usage.meter(admitted)
-	request.Began = meter.sent
+	request.OnMayHaveRun = meter.sent
 	answer, err := n.dispatcher.Do(ctx, request)
 	meter.watch(answer)
 	if answer == nil || answer.Buffered != nil {
@@ -79,12 +79,12 @@
 		answer.Body = dispatch.OnClose(answer.Body, cancel)
 	}
 	n.metrics.recordRequest(route.Name, answer, err, time.Since(began))
-	return answer, spread(err)
+	return answer, jitterRetryAfter(err)
 }
 
-// spread applies jitter of 0.6 to 1.4 to the retry delay of an error, so that callers that
+// jitterRetryAfter applies jitter of 0.6 to 1.4 to the retry delay of an error, so that callers that
 // were refused at the same time do not all retry at the same time. It returns nil for nil.
-func spread(err error) error {
+func jitterRetryAfter(err error) error {
 	if err == nil {
 		return nil
 	}
@@ -107,7 +107,7 @@
 	return timeout
 }
 
-func requestOf(route *catalog.Route, in *Inbound, deadline time.Time) *dispatch.Request {
+func newDispatchRequest(route *catalog.Route, in *Inbound, deadline time.Time) *dispatch.Request {
 	body := in.Body
 	if body == nil {
 		body = []byte{}
@@ -119,8 +119,8 @@
 		MaxAttempts:    route.MaxAttempts,
 		Deadline:       deadline,
 		ID:             in.ID,
-		HedgeAfter:     route.Objective / hedgeObjectiveDivisor,
-		AttemptTimeout: max(attemptTimeoutObjectives*route.Objective, minAttemptTimeout),
+		HedgeAfter:     route.LatencyObjective / hedgeObjectiveDivisor,
+		AttemptTimeout: max(attemptTimeoutObjectives*route.LatencyObjective, minAttemptTimeout),
 	}
 }
 
--- a/internal/hosted/generate.go
+++ b/internal/hosted/generate.go
@@ -15,13 +15,13 @@
 // the item of suspicion.
 func (n *Node) generate(ctx context.Context, run Run, take func(schedule.Event) bool) RunEnd {
 	end := n.ports.Generator.Generate(ctx, run, take)
-	end.Ended = end.Cut && ctx.Err() == nil && n.exchanger.BackEndEnded(ctx, run.Sampler.Address)
+	end.Ended = end.Cut && ctx.Err() == nil && n.exchanger.ProbeStopped(ctx, run.Sampler.Address)
 	switch {
 	case end.Ended:
 		end.Detail += endedDetail
-		n.suspects.items.Ended(ctx, itemDigest(run.Item.Id), run.Sampler.ID)
+		n.suspects.items.ReportCrash(ctx, itemDigest(run.Item.Id), run.Sampler.ID)
 	case end.Ending == schedule.Complete:
-		n.suspects.items.Served(ctx, func() quarantine.Digest { return itemDigest(run.Item.Id) })
+		n.suspects.items.ReportSuccess(ctx, func() quarantine.Digest { return itemDigest(run.Item.Id) })
 	}
 	return end
 }
