--- a/internal/hosted/jobs.go
+++ b/internal/hosted/jobs.go
@@ -50,16 +50,16 @@
 	maxPageBytes = 700 << 10
 )
 
-// jobBook holds the ledger of all jobs, follows the log to keep it up to date, and appends
+// jobStore holds the ledger of all jobs, follows the log to keep it up to date, and appends
 // entries to the log.
-type jobBook struct {
+type jobStore struct {
 	node     *Node
 	follower *sharedlog.Follower
 	appender *sharedlog.Appender
 	contents *content.Store
-	// followed is set once the node follows the log continuously; before that it reads the
+	// following is set once the node follows the log continuously; before that it reads the
 	// log on demand.
-	followed atomic.Bool
+	following atomic.Bool
 
 	mutex  sync.Mutex
 	ledger *ledger.Ledger
@@ -67,28 +67,28 @@
 	changed chan struct{}
 }
 
-func newJobBook(n *Node) *jobBook {
-	book := &jobBook{
+func newJobStore(n *Node) *jobStore {
+	book := &jobStore{
 		node: n, ledger: ledger.New(), changed: make(chan struct{}),
 		contents: content.New(n.log, content.Limits{
 			MaxRecordBytes: n.settings.MaxRecordBytes, MaxCallBytes: n.settings.MaxCallBytes, Partitions: n.settings.Partitions,
-		}, n.metrics.logAppend),
+		}, n.metrics.recordAppend),
 	}
 	book.follower = &sharedlog.Follower{
 		Log: n.log, Partition: sharedlog.Partition{Topic: jobTopic, Number: jobPartition},
-		Observer: n, Apply: book.apply, Pause: n.jobsPause, Beyond: n.log.Beyond,
+		Observer: n, Apply: book.apply, Pause: n.jobsPause, ExtraLatency: n.log.ExtraLatency,
 	}
 	book.appender = &sharedlog.Appender{
 		Log: n.log, Partition: book.follower.Partition, MaxBytes: n.settings.MaxCallBytes,
-		Observe: n.metrics.logAppend, Beyond: n.log.Appends().Beyond,
+		Observe: n.metrics.recordAppend, ExtraLatency: n.log.AppendTime().ExtraLatency,
 	}
 	return book
 }
 
 // appendHedgeDelay returns how long to wait for an append before sending it again in parallel,
 // and whether the log answers other appends as usual meanwhile.
-func (b *jobBook) appendHedgeDelay() (pause time.Duration, answers bool) {
-	return b.node.log.OverdueAppend(maxAppendHedgeDelay)
+func (b *jobStore) appendHedgeDelay() (pause time.Duration, answers bool) {
+	return b.node.log.AppendTimeout(maxAppendHedgeDelay)
 }
 
 // ReadFailed implements sharedlog.Observer.
@@ -101,7 +101,7 @@
 	n.logger.Log(event.LogReadRecovered, "topic", partition.Topic, "partition", partition.Number, "after_ms", after.Milliseconds())
 }
 
-func (b *jobBook) apply(offset uint64, records [][]byte) {
+func (b *jobStore) apply(offset uint64, records [][]byte) {
 	now := time.Now()
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -111,7 +111,7 @@
 			b.node.logger.Log(event.RecordSkipped, "topic", jobTopic, "offset", offset+uint64(i), "detail", err.Error())
 			continue
 		}
-		if change.Kind == ledger.Suspected {
+		if change.Kind == ledger.RequestSuspected {
 			b.applySuspect(offset+uint64(i), change.Suspect)
 			continue
 		}
@@ -122,24 +122,24 @@
 	b.changed = make(chan struct{})
 }
 
-func (b *jobBook) applySuspect(offset uint64, suspect *pathbendv1.SuspectRequest) {
+func (b *jobStore) applySuspect(offset uint64, suspect *pathbendv1.SuspectRequest) {
 	if err := b.node.suspects.merge(suspect); err != nil {
 		b.node.logger.Log(event.RecordSkipped, "topic", jobTopic, "offset", offset, "detail", err.Error())
 	}
 	b.node.executor.wake()
 }
 
-func (b *jobBook) expire(ctx context.Context) {
+func (b *jobStore) expire(ctx context.Context) {
 	wait.Every(ctx, expireInterval, func() {
 		b.mutex.Lock()
 		defer b.mutex.Unlock()
-		b.ledger.Expire(time.Now().Add(-b.node.settings.KeepJobs - keepMargin))
+		b.ledger.Expire(time.Now().Add(-b.node.settings.JobRetention - jobRetentionMargin))
 		b.node.suspects.expire()
 	})
 }
 
 // await waits for a change of the ledger. It returns false if ctx ended first.
-func (b *jobBook) await(ctx context.Context, changed <-chan struct{}) bool {
+func (b *jobStore) await(ctx context.Context, changed <-chan struct{}) bool {
 	select {
 	case <-changed:
 		return true
@@ -150,7 +150,7 @@
 
 // view calls read with a job, or nil if the job is unknown, under the ledger's lock. It
 // returns a channel that is closed at the next change.
-func (b *jobBook) view(id string, read func(job *ledger.Job)) <-chan struct{} {
+func (b *jobStore) view(id string, read func(job *ledger.Job)) <-chan struct{} {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	read(b.ledger.Job(id))
@@ -158,14 +158,14 @@
 }
 
 // withLedger calls read with the entire ledger, under its lock.
-func (b *jobBook) withLedger(read func(state *ledger.Ledger)) {
+func (b *jobStore) withLedger(read func(state *ledger.Ledger)) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	read(b.ledger)
 }
 
 // open returns the open jobs in order of arrival.
-func (b *jobBook) open() []*ledger.Job {
+func (b *jobStore) open() []*ledger.Job {
 	var open []*ledger.Job
 	b.withLedger(func(state *ledger.Ledger) {
 		for _, job := range state.Jobs() {
@@ -180,11 +180,11 @@
 // current ensures that the ledger holds the first from results of a job and was read within
 // the freshness limit, so that it has every record acknowledged at least the settle time
 // ago. It reads the log if necessary, and returns an error if it cannot ensure this.
-func (b *jobBook) current(ctx context.Context, id string, from int) error {
+func (b *jobStore) current(ctx context.Context, id string, from int) error {
 	behind := false
 	inspect := func(job *ledger.Job) { behind = job == nil || len(job.Results) < from }
 	b.view(id, inspect)
-	if !behind && b.follower.Health.Age() < b.node.settings.freshness() {
+	if !behind && b.follower.Health.Age() < b.node.settings.maxStateAge() {
 		return nil
 	}
 	if err := b.refresh(ctx); err != nil {
@@ -196,13 +196,13 @@
 	return nil
 }
 
-// inTouch reports whether the log was read within maxLogReadAge.
-func (b *jobBook) inTouch() bool {
+// hasCurrentLog reports whether the log was read within maxLogReadAge.
+func (b *jobStore) hasCurrentLog() bool {
 	return b.follower.Health.Age() < maxLogReadAge
 }
 
 // refresh reads all records that the log currently holds.
-func (b *jobBook) refresh(ctx context.Context) error {
+func (b *jobStore) refresh(ctx context.Context) error {
 	if err := b.follower.CatchUp(ctx); err != nil {
 		return result.Wrap(result.LogUnavailable, err, "read the log").WithRetryAfter(readRetryAfter)
 	}
@@ -214,7 +214,7 @@
 // ledger's lock whether the entries were read back, which proves that they are stored even
 // if the answer to the append was lost. If an append may have been stored, the error after
 // the timeout is not LogUnavailable.
-func (b *jobBook) record(ctx context.Context, timeout time.Duration, stored func() bool, entries ...*pathbendv1.LedgerEntry) error {
+func (b *jobStore) record(ctx context.Context, timeout time.Duration, stored func() bool, entries ...*pathbendv1.LedgerEntry) error {
 	calls, err := b.encode(entries)
 	if err != nil {
 		return err
@@ -242,7 +242,7 @@
 
 // awaitReadBack reads the log until stored reports, under the ledger's lock, that an entry
 // was read back. It returns false if the timeout or ctx ended first.
-func (b *jobBook) awaitReadBack(ctx context.Context, timeout time.Duration, stored func() bool) bool {
+func (b *jobStore) awaitReadBack(ctx context.Context, timeout time.Duration, stored func() bool) bool {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	if _, ok := b.check(stored); ok {
@@ -263,7 +263,7 @@
 
 // encode splits entries into records and groups these into appends of at most
 // MaxCallBytes each.
-func (b *jobBook) encode(entries []*pathbendv1.LedgerEntry) ([][][]byte, error) {
+func (b *jobStore) encode(entries []*pathbendv1.LedgerEntry) ([][][]byte, error) {
 	var records [][]byte
 	for _, entry := range entries {
 		encoded, err := ledger.Encode(entry, rand.Uint64(), b.node.settings.MaxRecordBytes)
@@ -275,17 +275,17 @@
 	var calls [][][]byte
 	size := b.node.settings.MaxCallBytes
 	for _, record := range records {
-		if size+len(record)+sharedlog.RecordFraming > b.node.settings.MaxCallBytes {
+		if size+len(record)+sharedlog.MaxRecordOverheadBytes > b.node.settings.MaxCallBytes {
 			calls = append(calls, nil)
 			size = 0
 		}
 		calls[len(calls)-1] = append(calls[len(calls)-1], record)
-		size += len(record) + sharedlog.RecordFraming
+		size += len(record) + sharedlog.MaxRecordOverheadBytes
 	}
 	return calls, nil
 }
 
-func (b *jobBook) appendAll(ctx context.Context, calls [][][]byte, stored func() bool) error {
+func (b *jobStore) appendAll(ctx context.Context, calls [][][]byte, stored func() bool) error {
 	for _, records := range calls {
 		if err := b.appendOne(ctx, records, stored); err != nil {
 			return err
@@ -296,8 +296,8 @@
 
 // appendOne appends records. It sends a second append if the first gets no answer in time,
 // and further ones only if the log is unreachable or loses answers.
-func (b *jobBook) appendOne(ctx context.Context, records [][]byte, stored func() bool) error {
-	ctx, cancel := context.WithTimeout(ctx, appendTimeout+b.node.log.Appends().Beyond())
+func (b *jobStore) appendOne(ctx context.Context, records [][]byte, stored func() bool) error {
+	ctx, cancel := context.WithTimeout(ctx, appendTimeout+b.node.log.AppendTime().ExtraLatency())
 	defer cancel()
 	answers := make(chan error, maxAppends)
 	send := func() { answers <- b.appender.Append(ctx, records) }
@@ -339,7 +339,7 @@
 
 // check returns the channel that is closed at the next change of the ledger, and the result
 // of stored, evaluated under the ledger's lock; false if stored is nil.
-func (b *jobBook) check(stored func() bool) (<-chan struct{}, bool) {
+func (b *jobStore) check(stored func() bool) (<-chan struct{}, bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.changed, stored != nil && stored()
--- a/internal/hosted/listen.go
+++ b/internal/hosted/listen.go
@@ -15,15 +15,15 @@
 // earlier process of the machine may hold them for up to 2 s.
 const listenRetryDelay = 500 * time.Millisecond
 
-// takesCalls reports whether other nodes can call this one, to have it execute work that is
+// acceptsPeerCalls reports whether other nodes can call this one, to have it execute work that is
 // bound to a region or to read entries of samplers. The first port of the range is reserved
 // for calls to the log (see PeerAddress), so it takes a range of at least two ports.
-func (s *Settings) takesCalls() bool { return s.PeerPorts[1] > s.PeerPorts[0] }
+func (s *Settings) acceptsPeerCalls() bool { return s.PeerPorts[1] > s.PeerPorts[0] }
 
 // listen accepts calls of other nodes until ctx ends, on the first free port of the range
 // after the port for calls to the log.
 func (n *Node) listen(ctx context.Context) {
-	if !n.settings.takesCalls() {
+	if !n.settings.acceptsPeerCalls() {
 		return
 	}
 	server := peer.NewServer(peerHandler{n}, n.logger)
--- a/internal/hosted/lister.go
+++ b/internal/hosted/lister.go
@@ -43,10 +43,10 @@
 type resultsByJob map[string][]pendingResult
 
 // partsByJob maps job ids to unsaved parts of texts.
-type partsByJob map[string][]schedule.Part
+type partsByJob map[string][]schedule.TextPart
 
-// lister appends results and progress of items to the log in batches.
-type lister struct {
+// resultWriter appends results and progress of items to the log in batches.
+type resultWriter struct {
 	node  *Node
 	woken chan struct{}
 	// rounds is a semaphore with one token per round of appends in progress.
@@ -57,22 +57,22 @@
 	progress partsByJob
 }
 
-func newResultWriter(n *Node) *lister {
-	return &lister{
+func newResultWriter(n *Node) *resultWriter {
+	return &resultWriter{
 		node: n, woken: make(chan struct{}, 1), rounds: make(chan struct{}, maxConcurrentRounds),
 		results:  make(resultsByJob),
 		progress: make(partsByJob),
 	}
 }
 
-func (l *lister) addResult(jobID string, listed *pathbendv1.BatchResult, text []byte) {
+func (l *resultWriter) addResult(jobID string, listed *pathbendv1.BatchResult, text []byte) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.results[jobID] = append(l.results[jobID], pendingResult{listed: listed, text: text})
 	l.wake()
 }
 
-func (l *lister) addProgress(unsaved partsByJob) {
+func (l *resultWriter) addProgress(unsaved partsByJob) {
 	if len(unsaved) == 0 {
 		return
 	}
@@ -84,7 +84,7 @@
 	l.wake()
 }
 
-func (l *lister) wake() {
+func (l *resultWriter) wake() {
 	select {
 	case l.woken <- struct{}{}:
 	default:
@@ -92,7 +92,7 @@
 }
 
 // run starts rounds of appends whenever results or progress are added, until ctx ends.
-func (l *lister) run(ctx context.Context) {
+func (l *resultWriter) run(ctx context.Context) {
 	var rounds conc.WaitGroup
 	defer rounds.Wait()
 	for {
@@ -111,7 +111,7 @@
 			defer l.releaseRounds(1)
 			l.round(ctx)
 		})
-		overlap := time.NewTimer(roundOverlapDelay + l.node.log.Appends().Beyond())
+		overlap := time.NewTimer(roundOverlapDelay + l.node.log.AppendTime().ExtraLatency())
 		select {
 		case <-ended:
 		case <-overlap.C:
@@ -122,7 +122,7 @@
 
 // flush appends everything pending and waits for the rounds in progress, until all results
 // are stored or no longer needed, or ctx ends.
-func (l *lister) flush(ctx context.Context) {
+func (l *resultWriter) flush(ctx context.Context) {
 	if l.acquireRound(ctx) {
 		l.round(ctx)
 		l.releaseRounds(1)
@@ -136,7 +136,7 @@
 	l.releaseRounds(maxConcurrentRounds)
 }
 
-func (l *lister) acquireRound(ctx context.Context) bool {
+func (l *resultWriter) acquireRound(ctx context.Context) bool {
 	select {
 	case l.rounds <- struct{}{}:
 		return true
@@ -145,7 +145,7 @@
 	}
 }
 
-func (l *lister) releaseRounds(count int) {
+func (l *resultWriter) releaseRounds(count int) {
 	for range count {
 		<-l.rounds
 	}
@@ -153,7 +153,7 @@
 
 // round appends everything pending, until it is stored or no longer needed, or ctx ends. A
 // round may last as long as the log is down.
-func (l *lister) round(ctx context.Context) {
+func (l *resultWriter) round(ctx context.Context) {
 	results, progress := l.takePending()
 	for ctx.Err() == nil {
 		results = l.withoutListed(results)
@@ -168,7 +168,7 @@
 
 // appendResults stores the texts, then the entries that refer to them. Reading the entries
 // back proves that they are stored, even if the answer to the append was lost.
-func (l *lister) appendResults(ctx context.Context, results resultsByJob) error {
+func (l *resultWriter) appendResults(ctx context.Context, results resultsByJob) error {
 	if err := l.storeResultTexts(ctx, results); err != nil {
 		return err
 	}
@@ -178,7 +178,7 @@
 
 // appendProgress stores parts of texts. It does not retry beyond its timeout: what is lost
 // is generated again.
-func (l *lister) appendProgress(ctx context.Context, progress partsByJob) {
+func (l *resultWriter) appendProgress(ctx context.Context, progress partsByJob) {
 	err := l.storeProgressTexts(ctx, progress)
 	if err == nil {
 		err = l.node.jobs.record(ctx, progressTimeout, nil, progressEntries(progress)...)
@@ -188,7 +188,7 @@
 	}
 }
 
-func (l *lister) storeResultTexts(ctx context.Context, results resultsByJob) error {
+func (l *resultWriter) storeResultTexts(ctx context.Context, results resultsByJob) error {
 	var unstored []*pathbendv1.BatchResult
 	var texts [][]byte
 	for _, jobID := range slices.Sorted(maps.Keys(results)) {
@@ -201,7 +201,7 @@
 	return l.storeTexts(ctx, content.Texts, texts, func(i int, blob *pathbendv1.Blob) { unstored[i].Text = blob })
 }
 
-func (l *lister) storeProgressTexts(ctx context.Context, progress partsByJob) error {
+func (l *resultWriter) storeProgressTexts(ctx context.Context, progress partsByJob) error {
 	var unstored []*pathbendv1.ItemProgress
 	var texts [][]byte
 	for _, jobID := range slices.Sorted(maps.Keys(progress)) {
@@ -209,12 +209,12 @@
 			unstored, texts = append(unstored, part.Progress), append(texts, part.Text)
 		}
 	}
-	return l.storeTexts(ctx, content.Parts, texts, func(i int, blob *pathbendv1.Blob) { unstored[i].Text = blob })
+	return l.storeTexts(ctx, content.TextParts, texts, func(i int, blob *pathbendv1.Blob) { unstored[i].Text = blob })
 }
 
 // storeTexts stores texts as blobs and calls name with the reference of each that was stored,
 // even if it returns an error because others were not.
-func (l *lister) storeTexts(ctx context.Context, kind content.Kind, texts [][]byte, name func(i int, blob *pathbendv1.Blob)) error {
+func (l *resultWriter) storeTexts(ctx context.Context, kind content.Kind, texts [][]byte, name func(i int, blob *pathbendv1.Blob)) error {
 	blobs, err := l.node.jobs.contents.Put(ctx, kind, storeTimeout, texts)
 	for i, blob := range blobs {
 		name(i, blob)
@@ -223,7 +223,7 @@
 }
 
 // takePending removes and returns everything pending.
-func (l *lister) takePending() (resultsByJob, partsByJob) {
+func (l *resultWriter) takePending() (resultsByJob, partsByJob) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	results, progress := l.results, l.progress
@@ -234,7 +234,7 @@
 
 // withoutListed returns the results without those that the ledger already lists and those of
 // jobs that are no longer open.
-func (l *lister) withoutListed(results resultsByJob) resultsByJob {
+func (l *resultWriter) withoutListed(results resultsByJob) resultsByJob {
 	remaining := make(resultsByJob, len(results))
 	for jobID, listed := range results {
 		l.node.jobs.view(jobID, func(job *ledger.Job) {
@@ -242,7 +242,7 @@
 				return
 			}
 			for _, result := range listed {
-				if !job.Listed(result.listed.ItemId) {
+				if !job.HasResult(result.listed.ItemId) {
 					remaining[jobID] = append(remaining[jobID], result)
 				}
 			}
@@ -253,13 +253,13 @@
 
 // allListed reports whether all results were read back, ignoring those of unknown and
 // ended jobs. The caller holds the ledger's lock.
-func (l *lister) allListed(results resultsByJob) bool {
+func (l *resultWriter) allListed(results resultsByJob) bool {
 	for jobID, listed := range results {
 		job := l.node.jobs.ledger.Job(jobID)
 		if job == nil || job.Ended {
 			continue
 		}
-		if !slices.ContainsFunc(listed, func(result pendingResult) bool { return !job.Listed(result.listed.ItemId) }) {
+		if !slices.ContainsFunc(listed, func(result pendingResult) bool { return !job.HasResult(result.listed.ItemId) }) {
 			continue
 		}
 		return false
--- a/internal/hosted/metrics.go
+++ b/internal/hosted/metrics.go
@@ -28,8 +28,8 @@
 	runEnds             *prometheus.CounterVec
 	versionMoves        *prometheus.CounterVec
 	versionMoveDuration prometheus.Histogram
-	started             prometheus.Counter
-	moved               prometheus.Counter
+	runsStarted         prometheus.Counter
+	runsMoved           prometheus.Counter
 	executing           prometheus.Gauge
 	usageReports        *prometheus.CounterVec
 	usageReportAge      prometheus.Histogram
@@ -87,8 +87,8 @@
 		runEnds:             newCounterVec("pathbend_item_runs_total", "Runs of items that ended, by ending.", "ending"),
 		versionMoves:        newCounterVec("pathbend_version_moves_total", "Orders to change weights that are over, by whether the version was seen.", "reached"),
 		versionMoveDuration: newHistogram("pathbend_version_move_duration_seconds", "Time from the first question to a sampler until it served a new version."),
-		started:             prometheus.NewCounter(prometheus.CounterOpts{Name: "pathbend_item_starts_total", Help: "Runs of items that were started."}),
-		moved:               prometheus.NewCounter(prometheus.CounterOpts{Name: "pathbend_item_moves_total", Help: "Runs that were stopped to go on at another sampler."}),
+		runsStarted:         prometheus.NewCounter(prometheus.CounterOpts{Name: "pathbend_item_starts_total", Help: "Runs of items that were started."}),
+		runsMoved:           prometheus.NewCounter(prometheus.CounterOpts{Name: "pathbend_item_moves_total", Help: "Runs that were stopped to go on at another sampler."}),
 		executing:           prometheus.NewGauge(prometheus.GaugeOpts{Name: "pathbend_executing", Help: "1 while this node runs the batch jobs."}),
 	}
 	m.rejectedSamplerEntries = prometheus.NewCounter(prometheus.CounterOpts{
@@ -127,7 +127,7 @@
 	m.peerCalls = newCounterVec("pathbend_log_peer_calls_total", "Calls to the log through peers, by whether this node asked for them or made them, and whether the log answered.", "role", "answered")
 	m.registry.MustRegister(m.peerCalls, m.usageReports, m.usageReportAge, m.samplerOrders, m.samplerReserve)
 	m.registry.MustRegister(m.requests, m.requestDuration, m.submissions, m.submissionDuration, m.appends, m.appendDuration, m.runEnds,
-		m.versionMoves, m.versionMoveDuration, m.started, m.moved, m.executing)
+		m.versionMoves, m.versionMoveDuration, m.runsStarted, m.runsMoved, m.executing)
 	m.registerGauge("pathbend_catalog_version", "Version of the routes and services in force.", func() float64 {
 		if current := n.Catalog(); current != nil {
 			return float64(current.Version)
@@ -136,7 +136,7 @@
 	})
 	m.registerGauge("pathbend_requests_active", "Requests in progress.", func() float64 { return float64(n.active.Load()) })
 	m.registerGauge("pathbend_group_generation", "Generation of the group that deals the job partitions out.", func() float64 {
-		return float64(n.ownership.Current())
+		return float64(n.ownership.Generation())
 	})
 	m.registerGauge("pathbend_log_current_age_seconds", "Age of what this node knows of the batch jobs.", func() float64 {
 		return n.jobs.follower.Health.Age().Seconds()
@@ -147,8 +147,8 @@
 		}
 		return 0
 	})
-	m.registerRoundTrip("pathbend_log_round_trip", "calls that the log answers at once", n.log.Way())
-	m.registerRoundTrip("pathbend_log_append_round_trip", "appends to the log", n.log.Appends())
+	m.registerRoundTrip("pathbend_log_round_trip", "calls that the log answers at once", n.log.RoundTrip())
+	m.registerRoundTrip("pathbend_log_append_round_trip", "appends to the log", n.log.AppendTime())
 	m.registerGauge("pathbend_zones_evacuated", "Zones whose samplers get nothing new from this node.", func() float64 {
 		return float64(len(n.evacuated.Load().Names()))
 	})
@@ -166,21 +166,21 @@
 			return float64(read(guard.Counts()))
 		}))
 	}
-	count("pathbend_back_ends_ended_total", "Back ends that ended under requests or items of this node.", func(c quarantine.Counts) int { return c.Ended })
+	count("pathbend_back_ends_ended_total", "Back ends that ended under requests or items of this node.", func(c quarantine.Counts) int { return c.Crashes })
 	count("pathbend_quarantine_refusals_total", "Attempts that were held back, as back ends ended under their request.", func(c quarantine.Counts) int { return c.Refused })
 	m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "pathbend_quarantined", Help: "Requests or items that are kept from back ends.", ConstLabels: labels,
-	}, func() float64 { return float64(guard.Counts().Held) }))
+	}, func() float64 { return float64(guard.Counts().Quarantined) }))
 }
 
 // registerRoundTrip registers the round-trip estimate of one kind of calls.
 func (m *Metrics) registerRoundTrip(name, calls string, estimator *roundtrip.Estimator) {
-	m.registerGauge(name+"_seconds", "Smoothed round trip of "+calls+".", func() float64 { return estimator.Read().Smoothed.Seconds() })
+	m.registerGauge(name+"_seconds", "Smoothed round trip of "+calls+".", func() float64 { return estimator.Estimate().Smoothed.Seconds() })
 	m.registerGauge(name+"_deviation_seconds", "Mean deviation of the round trip of "+calls+".", func() float64 {
-		return estimator.Read().Deviation.Seconds()
+		return estimator.Estimate().Deviation.Seconds()
 	})
 	m.registerGauge(name+"_timeout_seconds", "Time after which an answer counts as lost, of "+calls+".", func() float64 {
-		return estimator.Read().Timeout.Seconds()
+		return estimator.Estimate().Timeout.Seconds()
 	})
 }
 
@@ -223,12 +223,12 @@
 	m.requestDuration.WithLabelValues(route).Observe(duration.Seconds())
 }
 
-func (m *Metrics) submission(err error, duration time.Duration) {
+func (m *Metrics) recordSubmission(err error, duration time.Duration) {
 	m.submissions.WithLabelValues(resultCode(err)).Inc()
 	m.submissionDuration.Observe(duration.Seconds())
 }
 
-func (m *Metrics) logAppend(err error, duration time.Duration) {
+func (m *Metrics) recordAppend(err error, duration time.Duration) {
 	m.appends.WithLabelValues(resultCode(err)).Inc()
 	m.appendDuration.Observe(duration.Seconds())
 }
@@ -246,13 +246,13 @@
 	m.samplerOrders.WithLabelValues(zone, strconv.FormatBool(accepted)).Inc()
 }
 
-func (m *Metrics) recordCold(status schedule.Cold) {
+func (m *Metrics) recordCold(status schedule.ColdStatus) {
 	m.samplersCold.Set(float64(status.Cold))
 	m.coldRequests.Set(float64(status.Sent))
 	m.itemsAwaitingWarmup.Set(float64(status.Waiting))
 }
 
-func (m *Metrics) runEnded(ending schedule.Ending) {
+func (m *Metrics) recordRunEnd(ending schedule.Ending) {
 	m.runEnds.WithLabelValues(ending.String()).Inc()
 }
 
--- a/internal/hosted/node.go
+++ b/internal/hosted/node.go
@@ -49,14 +49,14 @@
 type Node struct {
 	settings   Settings
 	ports      Ports
-	log        *sharedlog.Measured
+	log        *sharedlog.MeteredLog
 	logger     *event.Logger
 	metrics    *Metrics
 	fleet      *fleet.Fleet
 	exchanger  *dispatch.Exchanger
 	dispatcher *dispatch.Dispatcher
 	directory  *directory.Directory
-	jobs       *jobBook
+	jobs       *jobStore
 	ownership  *ownership.Holder
 	executor   *executor
 	worker     *worker
@@ -93,7 +93,7 @@
 	configured     chan struct{}
 	configuredOnce sync.Once
 	// early is the part of the first list of samplers that has been read so far.
-	early earlyList
+	early partialSamplerList
 	// informed is closed once the node has a configuration and a complete list of samplers.
 	informed     chan struct{}
 	informedOnce sync.Once
@@ -114,8 +114,8 @@
 // New returns a node that is idle until Start.
 func New(settings Settings, ports Ports, logger *event.Logger) *Node {
 	n := &Node{
-		settings: settings, ports: ports, logger: logger, log: sharedlog.Measure(ports.Log, ports.Group),
-		fleet:     fleet.NewHosted(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), settings.place(), logger),
+		settings: settings, ports: ports, logger: logger, log: sharedlog.NewMeteredLog(ports.Log, ports.Group),
+		fleet:     fleet.NewForPlatform(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), settings.place(), logger),
 		exchanger: dispatch.NewExchanger(ports.Network),
 		versions:  make(map[string]uint64),
 		informed:  make(chan struct{}),
@@ -127,7 +127,7 @@
 	n.metrics = newMetrics(n)
 	n.dispatcher = dispatch.NewDispatcher(n.exchanger, ports.Protocol, n.fleet, n.suspects.requests, settings.Zone, newID, logger)
 	n.directory = directory.New(n.log, settings.NodesTopic, settings.Name, n, logger)
-	n.jobs = newJobBook(n)
+	n.jobs = newJobStore(n)
 	n.executor = newExecutor(n)
 	n.worker = newWorker(n)
 	n.peers = peer.NewPool(ports.Network, settings.Name)
@@ -136,7 +136,7 @@
 	n.scaler = &scaler{node: n}
 	n.readers = &readers{node: n}
 	n.ownership = ownership.New(settings.member(), n.log, n.directory, n.readers,
-		ownership.Callbacks{HandOver: n.executor.flush, Changed: n.executor.wake}, logger)
+		ownership.Callbacks{BeforeRelease: n.executor.flush, OnChange: n.executor.wake}, logger)
 	n.createFeeds(ports.Topics)
 	return n
 }
@@ -170,13 +170,13 @@
 }
 
 const (
-	// ledgerShare is the average interval between the ledger reads of starting nodes that do
+	// ledgerReadInterval is the average interval between the ledger reads of starting nodes that do
 	// not need the ledger at once. The store takes about as long to send one node the ledger
 	// of a busy minute: some 500 KB at 80 MB/s, with as much bandwidth left for others.
-	ledgerShare = 10 * time.Millisecond
-	// longestLedgerDelay bounds the delay of such a read, however many nodes there are. A node
+	ledgerReadInterval = 10 * time.Millisecond
+	// maxLedgerDelay bounds the delay of such a read, however many nodes there are. A node
 	// without the ledger reads it at the first request about a job.
-	longestLedgerDelay = 5 * time.Second
+	maxLedgerDelay = 5 * time.Second
 )
 
 // followJobs follows the ledger. A starting node first reads routes and samplers, which are
@@ -191,7 +191,7 @@
 		return
 	}
 	wait.For(ctx, n.ledgerDelay())
-	n.jobs.followed.Store(true)
+	n.jobs.following.Store(true)
 	n.jobs.follower.Run(ctx)
 }
 
@@ -200,10 +200,10 @@
 func (n *Node) ledgerDelay() time.Duration {
 	announced, ok := n.directory.Announced()
 	view := election.View{Largest: announced.Largest}
-	if !ok || announced.Nodes == 0 || view.Regular(n.settings.Millicores) {
+	if !ok || announced.NodeCount == 0 || view.IsLarge(n.settings.Millicores) {
 		return 0
 	}
-	return rand.N(min(time.Duration(announced.Nodes)*ledgerShare, longestLedgerDelay))
+	return rand.N(min(time.Duration(announced.NodeCount)*ledgerReadInterval, maxLedgerDelay))
 }
 
 // Drain marks the node as draining and hands its share of the jobs over. Requests in progress
@@ -230,7 +230,7 @@
 func (n *Node) Draining() bool { return n.draining.Load() }
 
 // Log returns the node's client of the log service, which measures round trips.
-func (n *Node) Log() *sharedlog.Measured { return n.log }
+func (n *Node) Log() *sharedlog.MeteredLog { return n.log }
 
 // Metrics returns the node's Prometheus metrics.
 func (n *Node) Metrics() *Metrics { return n.metrics }
@@ -238,8 +238,8 @@
 // Catalog returns the configuration in force, nil before the first one was applied.
 func (n *Node) Catalog() *catalog.Catalog { return n.catalog.Load() }
 
-// TakeCatalog applies a configuration unless the one in force is as new or newer.
-func (n *Node) TakeCatalog(update *catalog.Catalog) {
+// ApplyCatalog applies a configuration unless the one in force is as new or newer.
+func (n *Node) ApplyCatalog(update *catalog.Catalog) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	current := n.catalog.Load()
@@ -247,7 +247,7 @@
 		return
 	}
 	n.catalog.Store(update)
-	n.logger.Log(event.CatalogApplied, "version", update.Version, "routes", update.Routes(), "services", len(update.Services))
+	n.logger.Log(event.CatalogApplied, "version", update.Version, "routes", update.RouteCount(), "services", len(update.Services))
 	if current == nil {
 		n.logger.Log(event.NodeReady, "version", update.Version)
 	}
@@ -281,9 +281,9 @@
 	}
 }
 
-// PassOverSampler counts a late entry of an earlier incarnation of a sampler, which is
+// IgnoreStaleSampler counts a late entry of an earlier incarnation of a sampler, which is
 // ignored.
-func (n *Node) PassOverSampler(sampler schedule.Sampler) {
+func (n *Node) IgnoreStaleSampler(sampler schedule.Sampler) {
 	n.metrics.staleSamplerEntries.Inc()
 }
 
@@ -294,9 +294,9 @@
 	}
 }
 
-// TakeVersion records a weight version that a trainer announced, unless a newer one is known.
+// ApplyVersion records a weight version that a trainer announced, unless a newer one is known.
 // Every node receives it; the executor logs it.
-func (n *Node) TakeVersion(model string, version uint64) {
+func (n *Node) ApplyVersion(model string, version uint64) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	if n.versions[model] >= version {
@@ -317,8 +317,8 @@
 	return targets
 }
 
-// TakeSamplers applies a complete list of samplers.
-func (n *Node) TakeSamplers(samplers []schedule.Sampler) {
+// ApplySamplers applies a complete list of samplers.
+func (n *Node) ApplySamplers(samplers []schedule.Sampler) {
 	n.samplers.Store(&samplers)
 	n.updateFleet()
 	n.checkInformed()
@@ -344,9 +344,9 @@
 		machine := fleet.Machine{
 			ID: sampler.ID, Role: fleet.RoleBackEnd, Pool: sampler.Service,
 			Address: sampler.Address, Zone: sampler.Zone, Leaving: sampler.Leaving, Capacity: sampler.Slots,
-			ColdFor: sampler.ColdFor, Born: sampler.Born,
+			ColdRemaining: sampler.ColdRemaining, StartedAtMs: sampler.StartedAtMs,
 		}
-		if current != nil && (sampler.ColdFor > 0 || evacuated.Has(sampler.Zone)) {
+		if current != nil && (sampler.ColdRemaining > 0 || evacuated.Contains(sampler.Zone)) {
 			machine.Limits = n.requestLimits(current, sampler, nodes)
 		}
 		machines = append(machines, machine)
--- a/internal/hosted/node_test.go
+++ b/internal/hosted/node_test.go
@@ -24,7 +24,7 @@
 func catalogOf(t *testing.T, version uint64) *catalog.Catalog {
 	t.Helper()
 	built, err := catalog.New(version, []catalog.Route{{
-		Name: "r", Host: "h", Prefix: "/", Kind: catalog.Repeatable, Shares: []catalog.Share{{Service: "s", Weight: 1}},
+		Name: "r", Host: "h", Prefix: "/", Kind: catalog.Repeatable, TrafficShares: []catalog.TrafficShare{{Service: "s", Weight: 1}},
 	}}, nil, catalog.Limits{}, nil)
 	require.NoError(t, err)
 	return built
@@ -37,8 +37,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		node := newTestNode()
 		time.AfterFunc(100*time.Millisecond, func() {
-			node.TakeCatalog(catalogOf(t, 1))
-			node.TakeSamplers([]schedule.Sampler{})
+			node.ApplyCatalog(catalogOf(t, 1))
+			node.ApplySamplers([]schedule.Sampler{})
 		})
 		admitted, err := node.Admit(t.Context(), "h", "/x", "")
 		require.NoError(t, err)
@@ -54,32 +54,32 @@
 		began := time.Now()
 		_, err := node.Admit(t.Context(), "h", "/x", "")
 		require.True(t, result.Is(err, result.NotReady), "a node without a configuration cannot know that the route does not exist")
-		require.InDelta(t, notReadyHint, result.From(err).RetryAfter, float64(notReadyHint)*0.4)
-		require.Equal(t, startPatience, time.Since(began))
+		require.InDelta(t, notReadyRetryAfter, result.From(err).RetryAfter, float64(notReadyRetryAfter)*0.4)
+		require.Equal(t, startupTimeout, time.Since(began))
 	})
 }
 
 func TestOlderConfigurationIsIgnored(t *testing.T) {
 	node := newTestNode()
-	node.TakeCatalog(catalogOf(t, 5))
-	node.TakeCatalog(catalogOf(t, 3))
+	node.ApplyCatalog(catalogOf(t, 5))
+	node.ApplyCatalog(catalogOf(t, 3))
 	require.EqualValues(t, 5, node.Catalog().Version)
-	node.TakeVersion("m", 4)
-	node.TakeVersion("m", 2)
+	node.ApplyVersion("m", 4)
+	node.ApplyVersion("m", 2)
 	require.EqualValues(t, 4, node.targets()["m"])
 }
 
 func TestRetryAfterIsJittered(t *testing.T) {
 	times := make(map[time.Duration]struct{})
 	for range 50 {
-		err := spread(result.New(result.NoBackEnd, "none").WithRetryAfter(time.Second))
+		err := jitterRetryAfter(result.New(result.NoBackEnd, "none").WithRetryAfter(time.Second))
 		after := result.From(err).RetryAfter
 		require.GreaterOrEqual(t, after, 600*time.Millisecond)
 		require.LessOrEqual(t, after, 1400*time.Millisecond)
 		times[after] = struct{}{}
 	}
 	require.Greater(t, len(times), 40)
-	require.NoError(t, spread(nil))
+	require.NoError(t, jitterRetryAfter(nil))
 }
 
 // emptyLog has no records.
@@ -95,7 +95,7 @@
 	return sharedlog.KeyedBatch{}, nil
 }
 
-func (emptyLog) Newest(context.Context, sharedlog.Partition, string) (sharedlog.KeyedPage, error) {
+func (emptyLog) ReadNewest(context.Context, sharedlog.Partition, string) (sharedlog.KeyedPage, error) {
 	return sharedlog.KeyedPage{}, nil
 }
 
@@ -103,15 +103,15 @@
 // hold the jobs although other nodes have the list: a restarted executor held them for 4 s.
 func TestNodeWithoutSamplersDoesNotJoinTheGroup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		group := &ownershiptest.Group{Share: ownershiptest.Holding(4, 0)}
-		settings := Settings{Name: "n", Zone: "a", ShortestTTL: time.Second, OrderGrace: time.Second, KeepJobs: time.Minute}
+		group := &ownershiptest.Group{Assignment: ownershiptest.NewAssignment(4, 0)}
+		settings := Settings{Name: "n", Zone: "a", MinAssignmentTTL: time.Second, OrderGrace: time.Second, JobRetention: time.Minute}
 		node := New(settings, Ports{Network: network.TCP{}, Log: emptyLog{}, Group: group}, event.Discard())
 		ctx, cancel := context.WithCancel(context.Background())
 		node.Start(ctx)
-		node.TakeCatalog(catalogOf(t, 1))
+		node.ApplyCatalog(catalogOf(t, 1))
 		time.Sleep(5 * time.Second)
 		require.Zero(t, group.Joins())
-		node.TakeSamplers([]schedule.Sampler{})
+		node.ApplySamplers([]schedule.Sampler{})
 		time.Sleep(time.Second)
 		require.Positive(t, group.Joins())
 		cancel()
--- a/internal/hosted/pace.go
+++ b/internal/hosted/pace.go
@@ -31,7 +31,7 @@
 	// minSharedPause replaces minSamplersPause if a few nodes read the entries on behalf
 	// of the others, as their pause delays all other nodes.
 	minSharedPause = 100 * time.Millisecond
-	// drainWindowParts divides DrainWithin, the time after which a leaving sampler must get no new
+	// drainWindowParts divides DrainDeadline, the time after which a leaving sampler must get no new
 	// work. A node that reads the entries from another node uses one such part for its long
 	// poll and one for the pause after it; together with the age of a lagging reader, 1.2 s,
 	// both stay within that time. Otherwise every entry would cause a call to each node while
@@ -43,10 +43,10 @@
 func (n *Node) SamplersPause() time.Duration {
 	plan := n.readers.Plan()
 	switch {
-	case plan.Shared && plan.Reads:
+	case plan.Shared && plan.ReadsLog:
 		return minSharedPause
 	case len(plan.Parents) > 0:
-		return max(n.settings.DrainWithin/drainWindowParts, minSharedPause)
+		return max(n.settings.DrainDeadline/drainWindowParts, minSharedPause)
 	}
 	return n.readPause(minSamplersPause, samplersReadShare)
 }
@@ -58,7 +58,7 @@
 	if len(n.readers.Plan().Parents) == 0 {
 		return 0
 	}
-	return n.settings.DrainWithin / drainWindowParts
+	return n.settings.DrainDeadline / drainWindowParts
 }
 
 // readPause returns the pause with which all nodes together use the fraction share of the
@@ -69,6 +69,6 @@
 	if !ok || n.settings.ReadsPerSecond <= 0 {
 		return minPause
 	}
-	pause := time.Duration(float64(announced.Nodes) / (share * n.settings.ReadsPerSecond) * float64(time.Second))
+	pause := time.Duration(float64(announced.NodeCount) / (share * n.settings.ReadsPerSecond) * float64(time.Second))
 	return min(max(minPause, pause), maxReadPause)
 }
--- a/internal/hosted/ports.go
+++ b/internal/hosted/ports.go
@@ -46,8 +46,8 @@
 
 // SamplerReport is the status of a sampler as it reports it. It may be some 100 ms old.
 type SamplerReport struct {
-	// Born is the start time of the incarnation that answered, 0 if unknown.
-	Born int64
+	// StartedAtMs is the start time of the incarnation that answered, 0 if unknown.
+	StartedAtMs int64
 	// Orders counts the orders that the sampler accepted.
 	Orders uint64
 	// Busy is set while an order is in progress.
@@ -76,10 +76,10 @@
 
 // Answers to orders.
 const (
-	// OrderTaken means that the sampler accepted the order and is executing it.
-	OrderTaken OrderAnswer = iota + 1
-	// OrderHolds means that the sampler already serves the version.
-	OrderHolds
+	// OrderAccepted means that the sampler accepted the order and is executing it.
+	OrderAccepted OrderAnswer = iota + 1
+	// OrderAlreadyServing means that the sampler already serves the version.
+	OrderAlreadyServing
 	// OrderConflict means that another order is in progress or was accepted before.
 	OrderConflict
 	// OrderRefused means that the sampler rejected the order.
@@ -108,7 +108,7 @@
 // Scaler orders samplers from the platform.
 type Scaler interface {
 	// OrderSamplers returns nil once the platform accepted the order. It is idempotent.
-	OrderSamplers(ctx context.Context, right duty.Right, order SamplerOrder) error
+	OrderSamplers(ctx context.Context, right duty.Permit, order SamplerOrder) error
 }
 
 // Scored is the content of an answer to a reward call.
@@ -125,21 +125,21 @@
 	Zone string
 	// Topology maps zones to regions.
 	Topology locality.Topology
-	// EvacuateWithin is the time after its acknowledgement within which an evacuation must be
+	// EvacuationDeadline is the time after its acknowledgement within which an evacuation must be
 	// in force; 0 if zones are not evacuated.
-	EvacuateWithin time.Duration
-	// ColdOver and ColdSlack bound the requests that a cold sampler may get in any second from
-	// all nodes together: ColdOver times the rate that its service declares, plus ColdSlack.
+	EvacuationDeadline time.Duration
+	// ColdFactor and ColdSlack bound the requests that a cold sampler may get in any second from
+	// all nodes together: ColdFactor times the rate that its service declares, plus ColdSlack.
 	// Both are 0 if there is no such bound.
-	ColdOver  float64
-	ColdSlack float64
+	ColdFactor float64
+	ColdSlack  float64
 	// PeerPorts are the first and last port on which nodes may listen for calls of each other,
 	// 0 if there are none. IP is the address of the machine.
 	PeerPorts [2]int
 	IP        string
-	// DrainWithin is the time after which a leaving sampler must get nothing new, 0 if the
+	// DrainDeadline is the time after which a leaving sampler must get nothing new, 0 if the
 	// platform does not state one.
-	DrainWithin time.Duration
+	DrainDeadline time.Duration
 	// Sharing determines from how many nodes on some read the samplers' entries on behalf of
 	// the others.
 	Sharing fanout.Sizes
@@ -150,14 +150,14 @@
 	MaxCallBytes   int
 	// Partitions is the number of partitions of a topic.
 	Partitions int
-	// ShortestTTL is the shortest time for which the group assigns a share.
-	ShortestTTL time.Duration
+	// MinAssignmentTTL is the shortest time for which the group assigns a share.
+	MinAssignmentTTL time.Duration
 	// OrderGrace is the minimum time between orders of two different nodes to one sampler.
 	OrderGrace time.Duration
-	// Settle bounds the age of the state by which a node denies that a job or a result exists.
-	Settle time.Duration
-	// KeepJobs is how long jobs can be read after their submission.
-	KeepJobs time.Duration
+	// MaxStaleness bounds the age of the state by which a node denies that a job or a result exists.
+	MaxStaleness time.Duration
+	// JobRetention is how long jobs can be read after their submission.
+	JobRetention time.Duration
 	// ReadsPerSecond is the rate at which all nodes together may read the log, 0 if unknown.
 	ReadsPerSecond float64
 	// Millicores is the CPU limit of the node in thousandths of a core, 0 if unknown.
@@ -177,15 +177,15 @@
 
 const (
 	// shareTTLFactor is the time for which a share outlasts its last renewal, as a multiple of
-	// Settings.ShortestTTL.
+	// Settings.MinAssignmentTTL.
 	shareTTLFactor = 1.5
-	// loadsTogether is the number of samplers that change weights concurrently in a small
+	// maxConcurrentLoads is the number of samplers that change weights concurrently in a small
 	// fleet: more of them slow each other's loads down.
-	loadsTogether = 2
+	maxConcurrentLoads = 2
 	// answerMargin is reserved for the transit of an answer to the client.
 	answerMargin = 200 * time.Millisecond
-	// keepMargin is the time for which jobs can be read beyond Settings.KeepJobs.
-	keepMargin = 30 * time.Second
+	// jobRetentionMargin is the time for which jobs can be read beyond Settings.JobRetention.
+	jobRetentionMargin = 30 * time.Second
 )
 
 // PeerAddress returns the address at which this node accepts calls to the log on behalf of
@@ -199,7 +199,7 @@
 
 // shareTTL returns how long a share of the partitions outlasts its last renewal.
 func (s *Settings) shareTTL() time.Duration {
-	return time.Duration(float64(s.ShortestTTL) * shareTTLFactor)
+	return time.Duration(float64(s.MinAssignmentTTL) * shareTTLFactor)
 }
 
 // member returns the settings of the node's membership of the group.
@@ -209,5 +209,5 @@
 	}
 }
 
-// freshness returns the largest age of the state by which a node denies that something exists.
-func (s *Settings) freshness() time.Duration { return max(s.Settle-answerMargin, answerMargin) }
+// maxStateAge returns the largest age of the state by which a node denies that something exists.
+func (s *Settings) maxStateAge() time.Duration { return max(s.MaxStaleness-answerMargin, answerMargin) }
--- a/internal/hosted/readers.go
+++ b/internal/hosted/readers.go
@@ -34,12 +34,12 @@
 // whom it gets entries otherwise.
 func (r *readers) Plan() fanout.Plan {
 	now := time.Now()
-	changes := r.node.directory.Changes()
+	changes := r.node.directory.ChangeCount()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if changes != r.changes || now.Sub(r.plannedAt) > maxPlanAge {
 		settings := &r.node.settings
-		r.plan = fanout.Make(settings.Sharing, settings.Name, settings.Zone, r.node.directory.Answering())
+		r.plan = fanout.NewPlan(settings.Sharing, settings.Name, settings.Zone, r.node.directory.Responders())
 		r.changes, r.plannedAt = changes, now
 	}
 	return r.plan
@@ -66,18 +66,18 @@
 	return fanout.Only(current.RequestServices()...)
 }
 
-// Candidate implements ownership.Candidacy: if some nodes read for the others, these are the
+// IsCandidate implements ownership.Preparation: if some nodes read for the others, these are the
 // candidates for the jobs, as they already have the list of samplers.
-func (r *readers) Candidate() (stands bool, candidates int) {
+func (r *readers) IsCandidate() (stands bool, candidates int) {
 	plan := r.Plan()
-	return plan.Reads, plan.Readers
+	return plan.ReadsLog, plan.Readers
 }
 
-// Able implements ownership.Candidacy: it returns false while this node has the entries of
+// Ready implements ownership.Preparation: it returns false while this node has the entries of
 // some services only.
-func (r *readers) Able() bool { return !r.node.samplerFeed.Partial() }
+func (r *readers) Ready() bool { return !r.node.samplerFeed.Partial() }
 
-// Prepare and Release implement ownership.Candidacy: the executor needs the entries of all
+// Prepare and Release implement ownership.Preparation: the executor needs the entries of all
 // services.
 func (r *readers) Prepare() { r.SetReadAll(true) }
 func (r *readers) Release() { r.SetReadAll(false) }
@@ -96,13 +96,13 @@
 // passes their entries to other nodes.
 func (n *Node) createFeeds(topics Topics) {
 	shared := feed.Config{
-		Log: n.log, Plan: n.readers.Plan, Caller: n.peers, Counts: n.metrics, Logger: n.logger,
+		Log: n.log, Plan: n.readers.Plan, Caller: n.peers, Counter: n.metrics, Logger: n.logger,
 	}
 	samplers, operator := shared, shared
-	samplers.Topic, samplers.GroupOf, samplers.Wanted = topics.Samplers, topics.serviceOf, n.readers.wanted
-	operator.Topic, operator.GroupOf, operator.Wanted = topics.Operator, ungrouped, fanout.All
+	samplers.Topic, samplers.GroupOf, samplers.RequiredGroups = topics.Samplers, topics.serviceOf, n.readers.wanted
+	operator.Topic, operator.GroupOf, operator.RequiredGroups = topics.Operator, ungrouped, fanout.All
 	// Routes are small, and no request can be served without them.
-	operator.Hurried = true
+	operator.SkipReaderWait = true
 	n.samplerFeed, n.operatorFeed = feed.New(samplers), feed.New(operator)
 	n.entries = feed.NewServer(n.samplerFeed, n.operatorFeed)
 }
@@ -123,7 +123,7 @@
 // many nodes start at once, each would otherwise read all samplers itself before it knows of
 // the others: 246 nodes that did so kept the log busy for 8 s.
 func (n *Node) AwaitNodes(ctx context.Context) {
-	for n.settings.takesCalls() && !n.directory.Settled() && wait.For(ctx, nodesPollInterval) {
+	for n.settings.acceptsPeerCalls() && !n.directory.LikelyComplete() && wait.For(ctx, nodesPollInterval) {
 	}
 }
 
@@ -146,7 +146,7 @@
 	if request == nil {
 		return c.node.worker.HandlePeer(ctx, call)
 	}
-	answer, err := c.node.entries.Answer(ctx, request)
+	answer, err := c.node.entries.Serve(ctx, request)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/hosted/regions.go
+++ b/internal/hosted/regions.go
@@ -11,8 +11,8 @@
 )
 
 // place returns the location of the node for routing decisions.
-func (s *Settings) place() routing.Place {
-	return routing.Place{Node: s.Name, Zone: s.Zone, Topology: s.Topology}
+func (s *Settings) place() routing.NodeLocation {
+	return routing.NodeLocation{Node: s.Name, Zone: s.Zone, Topology: s.Topology}
 }
 
 // regionsOf returns the regions in which a tenant's work on a route may be served according
@@ -22,13 +22,13 @@
 	if route == nil {
 		return tenant.Regions
 	}
-	return route.Regions.And(tenant.Regions)
+	return route.Regions.Intersect(tenant.Regions)
 }
 
-// servable returns an error if no region of the deployment is allowed. The error has no
+// checkServable returns an error if no region of the deployment is allowed. The error has no
 // retry-after hint, as retrying is useless until the configuration changes.
-func (n *Node) servable(regions locality.Regions) error {
-	if !regions.Bound() || slices.ContainsFunc(n.settings.Topology.Regions(), regions.Allow) {
+func (n *Node) checkServable(regions locality.Regions) error {
+	if !regions.Restricted() || slices.ContainsFunc(n.settings.Topology.Regions(), regions.Allows) {
 		return nil
 	}
 	return result.New(result.RegionUnavailable, "no region of this deployment is in %v", regions)
@@ -41,7 +41,7 @@
 	if current == nil {
 		return nil
 	}
-	if err := n.servable(n.regionsOfJob(spec)); err != nil {
+	if err := n.checkServable(n.regionsOfJob(spec)); err != nil {
 		return err
 	}
 	for _, item := range items {
@@ -49,7 +49,7 @@
 			continue
 		}
 		if route := current.Find(item.Reward.Host, item.Reward.Path); route != nil {
-			if err := n.servable(regionsOf(current, route, spec.Tenant)); err != nil {
+			if err := n.checkServable(regionsOf(current, route, spec.Tenant)); err != nil {
 				return err
 			}
 		}
@@ -60,7 +60,7 @@
 // isOutside reports whether this node is outside the regions to which work is bound, so that
 // it must not hold the work's bodies and texts.
 func (n *Node) isOutside(regions locality.Regions) bool {
-	return regions.Bound() && !regions.Allow(n.settings.Topology.Region(n.settings.Zone))
+	return regions.Restricted() && !regions.Allows(n.settings.Topology.Region(n.settings.Zone))
 }
 
 // regionsOfJob returns the regions in which a job's items may be served.
@@ -72,21 +72,21 @@
 	return regionsOf(current, current.Find(spec.Host, spec.Path), spec.Tenant)
 }
 
-// permitsBodies returns an error if, according to this node's current configuration, it
+// checkBodiesAllowed returns an error if, according to this node's current configuration, it
 // must not hold the bodies of a job.
-func (n *Node) permitsBodies(spec *pathbendv1.BatchJob) error {
+func (n *Node) checkBodiesAllowed(spec *pathbendv1.BatchJob) error {
 	if regions := n.regionsOfJob(spec); n.isOutside(regions) {
 		return result.New(result.RegionUnavailable, "the job is bound to %v", regions)
 	}
 	return nil
 }
 
-// permitsRun returns an error if, according to this node's current configuration, it must
+// checkRunAllowed returns an error if, according to this node's current configuration, it must
 // not execute a run of a job, or a sampler in the zone must not serve it.
-func (n *Node) permitsRun(spec *pathbendv1.BatchJob, zone string) error {
+func (n *Node) checkRunAllowed(spec *pathbendv1.BatchJob, zone string) error {
 	regions := n.regionsOfJob(spec)
-	if regions.Bound() && !regions.Allow(n.settings.Topology.Region(zone)) {
+	if regions.Restricted() && !regions.Allows(n.settings.Topology.Region(zone)) {
 		return result.New(result.RegionUnavailable, "the job is bound to %v", regions)
 	}
-	return n.permitsBodies(spec)
+	return n.checkBodiesAllowed(spec)
 }
--- a/internal/hosted/regions_test.go
+++ b/internal/hosted/regions_test.go
@@ -23,18 +23,18 @@
 // of its only tenant T, which holds the key "of-t", and of the reward route "w" at host "w".
 func boundNode(t *testing.T, route, tenant, rewards locality.Regions) *Node {
 	t.Helper()
-	node := New(Settings{Name: "n", Zone: "a", Topology: twoRegions}, Ports{Network: network.TCP{}, Protocol: dispatch.OwnProtocol{}}, event.Discard())
-	shares := []catalog.Share{{Service: "s", Weight: 1}}
+	node := New(Settings{Name: "n", Zone: "a", Topology: twoRegions}, Ports{Network: network.TCP{}, Protocol: dispatch.NativeProtocol{}}, event.Discard())
+	shares := []catalog.TrafficShare{{Service: "s", Weight: 1}}
 	built, err := catalog.New(1, []catalog.Route{
-		{Name: "r", Host: "h", Prefix: "/", Kind: catalog.Repeatable, Shares: shares, Regions: route, MaxAttempts: 2},
-		{Name: "w", Host: "w", Prefix: "/", Kind: catalog.Repeatable, Shares: shares, Regions: rewards},
+		{Name: "r", Host: "h", Prefix: "/", Kind: catalog.Repeatable, TrafficShares: shares, Regions: route, MaxAttempts: 2},
+		{Name: "w", Host: "w", Prefix: "/", Kind: catalog.Repeatable, TrafficShares: shares, Regions: rewards},
 	}, nil, catalog.Limits{}, nil)
 	require.NoError(t, err)
 	built.Keys = credential.NewKeyring([]credential.Grant{
 		{Tenant: credential.Tenant{Name: "T", Regions: tenant}, Keys: []string{"of-t"}},
 	})
-	node.TakeCatalog(built)
-	node.TakeSamplers([]schedule.Sampler{{ID: "s-north", Service: "s", Zone: "a", Address: "127.0.0.1:1"}})
+	node.ApplyCatalog(built)
+	node.ApplySamplers([]schedule.Sampler{{ID: "s-north", Service: "s", Zone: "a", Address: "127.0.0.1:1"}})
 	return node
 }
 
--- a/internal/hosted/remote.go
+++ b/internal/hosted/remote.go
@@ -36,10 +36,10 @@
 	maxOrdersPerCall = 256
 )
 
-// remoteWork is the executor's state of jobs that are bound to other regions. This node may
+// remoteState is the executor's state of jobs that are bound to other regions. This node may
 // not read their bodies and texts; workers in those regions execute their runs. It is guarded
 // by the executor's lock.
-type remoteWork struct {
+type remoteState struct {
 	jobs  map[string]*remoteJob
 	links map[string]*workerLink
 	// avoidedUntil holds the end of the cooldown of workers that failed, by name.
@@ -48,8 +48,8 @@
 	workerMissing bool
 }
 
-func newRemoteWork() remoteWork {
-	return remoteWork{jobs: make(map[string]*remoteJob), links: make(map[string]*workerLink), avoidedUntil: make(map[string]time.Time)}
+func newRemoteState() remoteState {
+	return remoteState{jobs: make(map[string]*remoteJob), links: make(map[string]*workerLink), avoidedUntil: make(map[string]time.Time)}
 }
 
 // remoteJob is a job whose runs a worker executes.
@@ -79,11 +79,11 @@
 	runs map[uint64]schedule.Start
 }
 
-// linkTo returns the link to the worker for the given regions and opens it if necessary. It
+// openLink returns the link to the worker for the given regions and opens it if necessary. It
 // returns nil if there is no eligible node. The caller holds the lock.
-func (e *executor) linkTo(regions locality.Regions) *workerLink {
+func (e *executor) openLink(regions locality.Regions) *workerLink {
 	now := time.Now()
-	chosen, found := carry.Choose(e.node.directory.Workers(), e.node.settings.Topology, regions, func(name string) bool {
+	chosen, found := carry.ChooseWorker(e.node.directory.Workers(), e.node.settings.Topology, regions, func(name string) bool {
 		return now.Before(e.remote.avoidedUntil[name])
 	})
 	if !found {
@@ -94,9 +94,9 @@
 	}
 	ctx, cancel := context.WithCancel(e.session)
 	created := &workerLink{
-		executor: e, worker: chosen, cancel: cancel, closed: ctx.Done(), sessionStart: e.beganAt, wakeup: make(chan struct{}, 1),
+		executor: e, worker: chosen, cancel: cancel, closed: ctx.Done(), sessionStart: e.sessionStartedAt, wakeup: make(chan struct{}, 1),
 		session: carry.Session{
-			Decider: e.node.settings.Name, Generation: e.node.ownership.Current(), ID: e.sessionID,
+			Executor: e.node.settings.Name, Generation: e.node.ownership.Generation(), ID: e.sessionID,
 		},
 		outlineWaiters: make(map[string][]chan *pathbendv1.JobOutline), runs: make(map[uint64]schedule.Start),
 	}
@@ -133,7 +133,7 @@
 			}
 		}
 		e.scheduler.WorkerLost(id)
-		e.scheduler.Hold(id, true)
+		e.scheduler.SetPaused(id, true)
 	}
 	e.wake()
 }
@@ -151,14 +151,14 @@
 // abandonUnserved closes the link to a worker that the log did not serve. It keeps the link
 // if the log does not serve this node either, as another worker would fare no better.
 func (l *workerLink) abandonUnserved(detail string) {
-	if l.executor.node.jobs.inTouch() {
+	if l.executor.node.jobs.hasCurrentLog() {
 		l.abandon(detail)
 	}
 }
 
-// reviewRemote removes remote jobs that the scheduler no longer has and looks for workers
+// reconcileRemoteJobs removes remote jobs that the scheduler no longer has and looks for workers
 // for jobs without one. The caller holds the lock.
-func (e *executor) reviewRemote() {
+func (e *executor) reconcileRemoteJobs() {
 	workerMissing := false
 	for id, job := range e.remote.jobs {
 		if !e.scheduler.HasJob(id) {
@@ -166,8 +166,8 @@
 			continue
 		}
 		if job.link == nil {
-			if job.link = e.linkTo(job.regions); job.link != nil {
-				e.scheduler.Hold(id, false)
+			if job.link = e.openLink(job.regions); job.link != nil {
+				e.scheduler.SetPaused(id, false)
 			} else {
 				workerMissing = true
 			}
@@ -185,7 +185,7 @@
 	e.mutex.Lock()
 	var target *workerLink
 	if e.scheduler != nil {
-		target = e.linkTo(regions)
+		target = e.openLink(regions)
 	}
 	e.mutex.Unlock()
 	if target == nil {
@@ -225,7 +225,7 @@
 	}
 	e.node.metrics.remoteRuns.WithLabelValues(l.worker.Name).Inc()
 	l.enqueue(&pathbendv1.CarryOrder{Order: &pathbendv1.CarryOrder_Start{Start: &pathbendv1.StartRun{
-		Run: start.Run, JobId: start.Key.Job, ItemId: start.Key.Item, Ahead: start.Key.Ahead,
+		Run: start.Run, JobId: start.Key.Job, ItemId: start.Key.Item, Ahead: start.Key.Speculative,
 		SamplerId: start.Sampler.ID, Address: start.Sampler.Address, Zone: start.Sampler.Zone,
 		MinVersion: start.Job.MinVersion, SingleVersion: start.SingleVersion,
 	}}})
@@ -240,7 +240,7 @@
 		return
 	}
 	job.link.enqueue(&pathbendv1.CarryOrder{Order: &pathbendv1.CarryOrder_Finish{Finish: &pathbendv1.FinishItem{
-		JobId: completed.Key.Job, ItemId: completed.Key.Item, Text: completed.Kept, Versions: completed.Versions,
+		JobId: completed.Key.Job, ItemId: completed.Key.Item, Text: completed.StoredText, Versions: completed.Versions,
 		MinVersion: completed.MinVersion, SingleVersion: completed.SingleVersion,
 	}}})
 }
@@ -262,7 +262,7 @@
 
 // call makes one call to the worker. It fills in the session and the send time.
 func (l *workerLink) call(ctx context.Context, call *pathbendv1.CarryCall) (*pathbendv1.CarryReply, error) {
-	call.Decider, call.Generation, call.Session = l.session.Decider, l.session.Generation, l.session.ID
+	call.Decider, call.Generation, call.Session = l.session.Executor, l.session.Generation, l.session.ID
 	call.SentMs = uint64(l.sessionTime().Milliseconds())
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(call.HoldMs)*time.Millisecond+callTimeoutMargin)
 	defer cancel()
@@ -303,7 +303,7 @@
 
 // poll long-polls the worker for reports until ctx ends or the worker is abandoned.
 func (l *workerLink) poll(ctx context.Context) {
-	lastReplyAt, acknowledged, process := clock.Mark(), uint64(0), uint64(0)
+	lastReplyAt, acknowledged, process := clock.CurrentMoment(), uint64(0), uint64(0)
 	for ctx.Err() == nil {
 		reply, err := l.call(ctx, &pathbendv1.CarryCall{Acknowledged: acknowledged, HoldMs: uint32(reportLongPoll.Milliseconds())})
 		now := time.Now()
@@ -332,7 +332,7 @@
 		case reply.Leaving:
 			l.abandon("the worker is shutting down")
 			return
-		case reply.OutOfTouch && l.executor.node.jobs.inTouch():
+		case reply.OutOfTouch && l.executor.node.jobs.hasCurrentLog():
 			l.abandon("the worker is out of touch with the log")
 			return
 		}
@@ -379,11 +379,11 @@
 	if !known {
 		return
 	}
-	e.scheduler.Seen(start.Key, start.Run, state.Version)
+	e.scheduler.RecordServedVersion(start.Key, start.Run, state.Version)
 	if state.Version == 0 {
 		e.scheduler.Resumed(start.Key, start.Run, state.Events, state.Versions)
 	} else {
-		e.scheduler.Advanced(start.Key, start.Run, state.Events, state.Versions, now)
+		e.scheduler.RecordEvents(start.Key, start.Run, state.Events, state.Versions, now)
 	}
 	if state.Ending == 0 {
 		return
@@ -392,10 +392,10 @@
 	delete(e.runs, start.Key)
 	if state.Ended {
 		// The worker recorded it in the log; this node may not have read that entry yet.
-		e.node.suspects.items.Heard(itemDigest(start.Key.Item), start.Sampler.ID)
+		e.node.suspects.items.RecordCrash(itemDigest(start.Key.Item), start.Sampler.ID)
 	}
 	e.endRun(start, RunEnd{Ending: schedule.Ending(state.Ending), Detail: state.Detail}, now)
-	if state.Unserved && e.node.jobs.inTouch() {
+	if state.Unserved && e.node.jobs.hasCurrentLog() {
 		e.closeLink(l, state.Detail, now)
 	}
 }
--- a/internal/hosted/remote_test.go
+++ b/internal/hosted/remote_test.go
@@ -33,7 +33,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		node := New(Settings{Name: "n", Zone: "a", Topology: twoRegions, MaxRecordBytes: 1 << 15, MaxCallBytes: 1 << 18, Partitions: 1},
 			Ports{Network: unreachableNetwork{}, Log: &bodyLog{}}, event.Discard())
-		node.TakeCatalog(catalogWithRegions(t, 1, route))
+		node.ApplyCatalog(catalogWithRegions(t, 1, route))
 		value, err := proto.Marshal(&pathbendv1.NodeCapacity{Node: "w", Zone: "b", WorkerAddress: "w:1"})
 		require.NoError(t, err)
 		node.directory.Apply([]sharedlog.KeyedRecord{{Key: "w", Value: value}}, 1)
@@ -50,17 +50,17 @@
 func catalogWithRegions(t *testing.T, version uint64, regions locality.Regions) *catalog.Catalog {
 	t.Helper()
 	built, err := catalog.New(version, []catalog.Route{{
-		Name: "r", Host: "h", Prefix: "/", Kind: catalog.Rollout, Shares: []catalog.Share{{Service: "s", Weight: 1}}, Regions: regions,
+		Name: "r", Host: "h", Prefix: "/", Kind: catalog.Rollout, TrafficShares: []catalog.TrafficShare{{Service: "s", Weight: 1}}, Regions: regions,
 	}}, nil, catalog.Limits{}, nil)
 	require.NoError(t, err)
 	return built
 }
 
-// lockedLinkTo calls linkTo under the executor's lock.
+// lockedLinkTo calls openLink under the executor's lock.
 func (e *executor) lockedLinkTo(regions locality.Regions) *workerLink {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return e.linkTo(regions)
+	return e.openLink(regions)
 }
 
 // A worker detects delayed calls by their send times. If it is abandoned and selected again
@@ -68,8 +68,8 @@
 // delayed, and the worker would execute no start.
 func TestSendTimesContinueAcrossLinksOfASession(t *testing.T) {
 	runWithExecutor(t, locality.Only("south"), func(t *testing.T, e *executor) {
-		var way carry.Way
-		heldUp := func(l *workerLink) time.Duration { return way.HeldUp(time.Now(), l.sessionTime()) }
+		var way carry.DelayEstimator
+		heldUp := func(l *workerLink) time.Duration { return way.Delay(time.Now(), l.sessionTime()) }
 		first := e.lockedLinkTo(locality.Only("south"))
 		require.Zero(t, heldUp(first))
 		first.abandon("test")
@@ -124,7 +124,7 @@
 	require.NoError(t, err)
 	e.node.jobs.apply(0, records)
 	e.mutex.Lock()
-	for _, change := range e.takeChanges() {
+	for _, change := range e.drainChanges() {
 		e.applyChange(change)
 	}
 	e.mutex.Unlock()
@@ -147,15 +147,15 @@
 		e.node.ports.Log.(*bodyLog).readDelay = 50 * time.Millisecond
 		submitJob(t, e)
 		time.Sleep(10 * time.Millisecond)
-		e.node.TakeCatalog(catalogWithRegions(t, 2, locality.Only("south")))
+		e.node.ApplyCatalog(catalogWithRegions(t, 2, locality.Only("south")))
 		e.mutex.Lock()
-		e.takeConfiguration()
+		e.applyConfiguration()
 		e.mutex.Unlock()
 		time.Sleep(50 * time.Millisecond)
 		e.mutex.Lock()
 		defer e.mutex.Unlock()
 		regions, known := e.scheduler.Regions("j")
-		require.True(t, !known || regions.Bound(), "the job was added without its regions")
+		require.True(t, !known || regions.Restricted(), "the job was added without its regions")
 		require.Empty(t, e.scheduler.Starts(time.Now()))
 	})
 }
@@ -173,12 +173,12 @@
 // may read its bodies.
 func TestJobIsReadOnceItsRouteExists(t *testing.T) {
 	runWithExecutor(t, locality.Regions{}, func(t *testing.T, e *executor) {
-		e.node.TakeCatalog(emptyCatalog(t, 2))
+		e.node.ApplyCatalog(emptyCatalog(t, 2))
 		log := submitJob(t, e)
 		time.Sleep(time.Second)
 		require.Zero(t, log.readCount())
-		e.node.TakeCatalog(catalogWithRegions(t, 3, locality.Regions{}))
-		time.Sleep(2 * adoptPause)
+		e.node.ApplyCatalog(catalogWithRegions(t, 3, locality.Regions{}))
+		time.Sleep(2 * loadRetryPause)
 		require.Equal(t, 1, log.readCount())
 		e.mutex.Lock()
 		defer e.mutex.Unlock()
--- a/internal/hosted/rewards.go
+++ b/internal/hosted/rewards.go
@@ -129,7 +129,7 @@
 		return rewardOutcome{detail: "stopped"}
 	}
 	defer r.slots.release()
-	received := clock.Mark()
+	received := clock.CurrentMoment()
 	deadline := received.Time().Add(min(rewardTimeout<<min(attempt, 5), maxRewardTimeout))
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
@@ -164,7 +164,7 @@
 		Header: http.Header{}, Buffered: body, Length: int64(len(body)), MaxAttempts: 1,
 		Deadline: deadline, ID: reward.Id, Excluded: excluded,
 		// All reward calls come from one node and must not overload the back ends of its zone.
-		AnyZone: true,
+		IgnoreZone: true,
 	}
 }
 
@@ -176,7 +176,7 @@
 	}
 	slots, evacuated := 0, r.node.evacuated.Load()
 	for _, sampler := range *listed {
-		if route.Allows(sampler.Service) && !sampler.Leaving && !evacuated.Has(sampler.Zone) {
+		if route.Allows(sampler.Service) && !sampler.Leaving && !evacuated.Contains(sampler.Zone) {
 			slots += sampler.Slots
 		}
 	}
--- a/internal/hosted/scaler.go
+++ b/internal/hosted/scaler.go
@@ -36,7 +36,7 @@
 		return
 	}
 	for wait.For(ctx, scalerInterval) {
-		if s.node.claims.MayAct(time.Now()) {
+		if s.node.claims.IsHolder(time.Now()) {
 			s.step(ctx)
 		}
 	}
@@ -45,11 +45,11 @@
 // step plans the orders of all services that scale, unless this node does not execute the
 // jobs.
 func (s *scaler) step(ctx context.Context) {
-	if generation := s.node.ownership.Current(); generation != s.generation {
+	if generation := s.node.ownership.Generation(); generation != s.generation {
 		s.generation, s.planners = generation, make(map[string]*scaling.Planner)
 	}
 	current := s.node.Catalog()
-	peaks, isExecuting := s.node.executor.peaks(time.Now())
+	peaks, isExecuting := s.node.executor.peakDemand(time.Now())
 	if current == nil || !isExecuting {
 		return
 	}
@@ -79,8 +79,8 @@
 	}
 	zones, evacuated := s.countByZone(service)
 	state := scaling.Service{
-		Zones: zones, Evacuated: evacuated, Max: service.Scaling.Max, Slots: service.Slots,
-		SpotPrice: service.Scaling.SpotPrice, Boot: service.Scaling.Boot,
+		Zones: zones, Evacuated: evacuated, Max: service.Scaling.MaxSamplersPerZone, Slots: service.Slots,
+		SpotPrice: service.Scaling.SpotPrice, BootTime: service.Scaling.BootTime,
 	}
 	orders := planner.Plan(time.Now(), state, peak)
 	s.node.metrics.samplerReserve.WithLabelValues(service.Name).Set(float64(planner.Reserve()))
@@ -88,7 +88,7 @@
 		accepted := s.order(ctx, service.Name, order, peak, planner.Reserve())
 		s.node.metrics.recordSamplerOrder(order.Zone, accepted)
 		if accepted {
-			planner.Taken(order, time.Now())
+			planner.Accepted(order, time.Now())
 		} else {
 			planner.Refused(order, time.Now())
 		}
@@ -117,7 +117,7 @@
 	}
 	evacuatedZones := s.node.evacuated.Load()
 	for _, name := range slices.Sorted(maps.Keys(byZone)) {
-		if evacuatedZones.Has(name) {
+		if evacuatedZones.Contains(name) {
 			evacuated += byZone[name].Ordinary
 			continue
 		}
@@ -128,7 +128,7 @@
 
 // order gives an order and reports whether the platform accepted it.
 func (s *scaler) order(ctx context.Context, service string, order scaling.Order, peak, reserve int) bool {
-	right, ok := s.node.claims.Claim(ctx, "duty/scale/"+service+"/"+order.Zone)
+	right, ok := s.node.claims.AcquirePermit(ctx, "duty/scale/"+service+"/"+order.Zone)
 	if !ok {
 		return false
 	}
--- a/internal/hosted/split_brain.go
+++ b/internal/hosted/split_brain.go
@@ -71,7 +71,7 @@
 
 // detectSplitBrain queries a sampler if that is due. The caller holds e.mutex.
 func (e *executor) detectSplitBrain(now time.Time) {
-	if !e.splitBrain.due(e.node.ownership.OutOfTouch(now), now) {
+	if !e.splitBrain.due(e.node.ownership.AssignmentExpired(now), now) {
 		return
 	}
 	load, ok := e.splitBrain.nextSampler(e.scheduler.Loads())
@@ -84,17 +84,17 @@
 }
 
 func (e *executor) compareWork(ctx context.Context, scheduler *schedule.Scheduler, sampler schedule.Sampler, own int) {
-	report, err := e.report(ctx, sampler)
+	report, err := e.requestReport(ctx, sampler)
 	if err != nil {
 		return
 	}
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if e.scheduler != scheduler || !e.node.ownership.OutOfTouch(time.Now()) || !e.splitBrain.observe(report.Work, own) {
+	if e.scheduler != scheduler || !e.node.ownership.AssignmentExpired(time.Now()) || !e.splitBrain.observe(report.Work, own) {
 		return
 	}
 	e.node.logger.Log(event.ExecutorYielded, "sampler", sampler.ID, "work", report.Work, "own", own)
-	e.node.ownership.Yield()
+	e.node.ownership.Relinquish()
 	// The other executor needs the slots before the progress of these runs could be saved.
 	e.stopRuns()
 	e.wake()
--- a/internal/hosted/suspects.go
+++ b/internal/hosted/suspects.go
@@ -38,11 +38,11 @@
 func newSuspects(n *Node) *suspects {
 	s := &suspects{
 		node:     n,
-		requests: quarantine.NewGuard(quarantine.Requests(), n.logger),
-		items:    quarantine.NewGuard(quarantine.Items(), n.logger),
+		requests: quarantine.NewGuard(quarantine.RequestPolicy(), n.logger),
+		items:    quarantine.NewGuard(quarantine.ItemPolicy(), n.logger),
 	}
-	s.requests.SetTeller(&suspectPublisher{node: n})
-	s.items.SetTeller(&suspectPublisher{node: n, item: true})
+	s.requests.SetPublisher(&suspectPublisher{node: n})
+	s.items.SetPublisher(&suspectPublisher{node: n, item: true})
 	return s
 }
 
@@ -78,7 +78,7 @@
 	}
 	s.republishedAt = now
 	for _, item := range []bool{false, true} {
-		for _, record := range s.guard(item).Held() {
+		for _, record := range s.guard(item).Quarantined() {
 			publisher := &suspectPublisher{node: s.node, item: item}
 			go publisher.write(record)
 		}
@@ -95,14 +95,14 @@
 	item bool
 }
 
-// Tell implements quarantine.Teller.
-func (p *suspectPublisher) Tell(ctx context.Context, record quarantine.Record) {
-	timeout := suspectSyncWait + p.node.log.Beyond()
+// Publish implements quarantine.Publisher.
+func (p *suspectPublisher) Publish(ctx context.Context, record quarantine.Record) {
+	timeout := suspectSyncWait + p.node.log.ExtraLatency()
 	if p.node.jobs.follower.Health.Lost() {
 		// The record would not be read back in time.
 		timeout = 0
 	}
-	quarantine.TellWithin(ctx, timeout, func() { p.write(record) })
+	quarantine.RunWithin(ctx, timeout, func() { p.write(record) })
 }
 
 // write appends a record to the ledger and reads it back.
@@ -113,7 +113,7 @@
 		err = p.node.jobs.refresh(p.node.lifetime)
 	}
 	if err != nil && p.node.lifetime.Err() == nil {
-		p.node.logger.Log(event.SuspectUntold, "digest", record.Digest.String(), "ends", len(record.Ended), "detail", err.Error())
+		p.node.logger.Log(event.SuspectUntold, "digest", record.Digest.String(), "ends", len(record.CrashedBackEnds), "detail", err.Error())
 	}
 }
 
@@ -123,19 +123,19 @@
 	return quarantine.Content{Caller: []string{"item"}, Path: itemID}.Digest()
 }
 
-// HeldUntil implements schedule.Holds.
-func (s *suspects) HeldUntil(itemID string) time.Time {
+// QuarantinedUntil implements schedule.Quarantine.
+func (s *suspects) QuarantinedUntil(itemID string) time.Time {
 	if s.items.Empty() {
 		return time.Time{}
 	}
-	return s.items.HeldUntil(itemDigest(itemID))
+	return s.items.QuarantinedUntil(itemDigest(itemID))
 }
 
-// Suspect implements schedule.Holds. A single ended sampler does not make an item suspect:
+// Suspect implements schedule.Quarantine. A single ended sampler does not make an item suspect:
 // if many samplers are lost at once, every item that ran there would need a sampler of its
 // own, for example 87 items that had run on 44 samplers within a day.
 func (s *suspects) Suspect(itemID string) bool {
-	return !s.items.Empty() && s.items.Ends(itemDigest(itemID)) >= quarantine.Ends-1
+	return !s.items.Empty() && s.items.CrashCount(itemDigest(itemID)) >= quarantine.CrashLimit-1
 }
 
 // quarantineDelay returns how long a reward call must wait after an error, at most
--- a/internal/hosted/suspended_test.go
+++ b/internal/hosted/suspended_test.go
@@ -28,9 +28,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		node := readyNode(t, silentGroup{})
 		require.True(t, node.Ready(t.Context()))
-		require.True(t, node.jobs.inTouch())
+		require.True(t, node.jobs.hasCurrentLog())
 		suspended.slept = maxLogReadAge
-		require.False(t, node.jobs.inTouch())
+		require.False(t, node.jobs.hasCurrentLog())
 		require.False(t, node.Ready(t.Context()))
 	})
 }
@@ -39,11 +39,11 @@
 func TestSuspendedNodeDoesNotDenyUnknownRoutes(t *testing.T) {
 	suspended := simulateSuspension(t)
 	node := readyNode(t, silentGroup{})
-	read := clock.Mark()
-	node.WatchConfiguration(read.Age)
+	read := clock.CurrentMoment()
+	node.SetConfigurationAge(read.Age)
 	_, err := node.Admit(t.Context(), "no-such-host", "/", "")
 	require.True(t, result.Is(err, result.UnknownRoute), "%v", err)
-	suspended.slept = denialLimit
+	suspended.slept = maxDenialAge
 	_, err = node.Admit(t.Context(), "no-such-host", "/", "")
 	require.True(t, result.Is(err, result.NotReady), "%v", err)
 }
@@ -54,8 +54,8 @@
 	suspended := simulateSuspension(t)
 	node := readyNode(t, silentGroup{})
 	stopped := false
-	node.worker.heardAt = clock.Mark()
-	node.worker.runs[1] = &carriedRun{number: 1, key: schedule.Key{Job: "j", Item: "i"}, stop: func() { stopped = true }}
+	node.worker.lastCallAt = clock.CurrentMoment()
+	node.worker.runs[1] = &workerRun{number: 1, key: schedule.Key{Job: "j", Item: "i"}, stop: func() { stopped = true }}
 	node.worker.step(time.Now())
 	require.False(t, stopped)
 	suspended.slept = workerLease
@@ -67,9 +67,9 @@
 // suspended.
 func TestSuspensionReducesTheRemainingTime(t *testing.T) {
 	suspended := simulateSuspension(t)
-	route := &catalog.Route{Timeout: 10 * time.Second, Shares: []catalog.Share{{Service: "api", Weight: 1}}}
-	received := clock.Mark()
-	request := requestOf(route, &Inbound{Wait: 3 * time.Second}, received.Time().Add(3*time.Second))
+	route := &catalog.Route{Timeout: 10 * time.Second, TrafficShares: []catalog.TrafficShare{{Service: "api", Weight: 1}}}
+	received := clock.CurrentMoment()
+	request := newDispatchRequest(route, &Inbound{Wait: 3 * time.Second}, received.Time().Add(3*time.Second))
 	request.Received = received
 	require.InDelta(t, 3, request.Remaining().Seconds(), 0.1)
 	suspended.slept = 2 * time.Second
--- a/internal/hosted/usage.go
+++ b/internal/hosted/usage.go
@@ -41,15 +41,15 @@
 	if window <= 0 || n.ports.Usage == nil {
 		return u
 	}
-	usageClock := &metering.Clock{Now: time.Now, Slept: clock.Slept}
+	usageClock := &metering.Clock{Now: time.Now, SuspendedTime: clock.SuspendedTime}
 	partition := sharedlog.Partition{Topic: n.settings.UsageTopic}
 	u.recorder = metering.NewRecorder(metering.NewCounter(n.settings.Name, rand.Uint64(), window, usageClock.Read()))
 	u.recorder.Log, u.recorder.Partition, u.recorder.Clock = n.log, partition, usageClock
-	u.recorder.Pause, u.recorder.Logger = u.gatherInterval, n.logger
+	u.recorder.GatherInterval, u.recorder.Logger = u.gatherInterval, n.logger
 	u.reporter = &metering.Reporter{
 		Log: n.log, Partition: partition, Observer: n, Holder: n.claims, Sender: n.ports.Usage,
-		Clock: usageClock, Logger: n.logger, Length: window, Late: n.settings.UsageLate, Gather: u.gatherInterval,
-		Observe: n.metrics.recordUsageReport,
+		Clock: usageClock, Logger: n.logger, WindowLength: window, ReportDueAfter: n.settings.UsageLate, GatherInterval: u.gatherInterval,
+		OnReport: n.metrics.recordUsageReport,
 	}
 	return u
 }
@@ -68,7 +68,7 @@
 	if !ok {
 		return minGatherInterval
 	}
-	return min(max(minGatherInterval, time.Duration(announced.Nodes)*gatherIntervalPerNode), maxGatherInterval)
+	return min(max(minGatherInterval, time.Duration(announced.NodeCount)*gatherIntervalPerNode), maxGatherInterval)
 }
 
 // count counts a request of a tenant at the time when it began.
--- a/internal/hosted/weights.go
+++ b/internal/hosted/weights.go
@@ -28,14 +28,14 @@
 // orderWeights starts the weight changes that are due, each in its own goroutine. The caller
 // holds the lock.
 func (e *executor) orderWeights(now time.Time) {
-	if _, ok := e.node.ownership.MayOrder(jobPartition, now); !ok {
+	if _, ok := e.node.ownership.OrderFencingToken(jobPartition, now); !ok {
 		return
 	}
 	targets := e.node.targets()
 	if len(targets) == 0 {
 		return
 	}
-	e.roll.Want(e.scheduler.Demand(now))
+	e.roll.SetDemand(e.scheduler.PeakDemand(now))
 	for _, step := range e.roll.Next(now, rollFleet{executor: e, now: now}, targets) {
 		sampler, ok := e.scheduler.Sampler(step.SamplerID)
 		if !ok {
@@ -68,7 +68,7 @@
 }
 
 // Size implements weights.Fleet.
-func (f rollFleet) Size() int { return f.executor.scheduler.Size() }
+func (f rollFleet) Size() int { return f.executor.scheduler.SamplerCount() }
 
 // Members implements weights.Fleet.
 func (f rollFleet) Members() []weights.Member {
@@ -88,20 +88,20 @@
 		return weights.Member{}, false
 	}
 	member := toMember(load)
-	member.Wait = f.executor.node.claims.recent(id, f.now)
+	member.OrderPending = f.executor.node.claims.claimedRecently(id, f.now)
 	return member, true
 }
 
 func toMember(load schedule.Load) weights.Member {
 	return weights.Member{
-		ID: load.ID, Born: load.Born, Versions: load.Versions, Running: load.Running, Slots: load.Slots, Leaving: load.Leaving,
+		ID: load.ID, StartedAtMs: load.StartedAtMs, Versions: load.Versions, Running: load.Running, Slots: load.Slots, Leaving: load.Leaving,
 	}
 }
 
 // moveToVersion orders one sampler to load a version, unless it serves or loads it already,
 // and waits for it. It returns whether the sampler reported the version.
-func (e *executor) moveToVersion(ctx context.Context, scheduler *schedule.Scheduler, sampler schedule.Sampler, step weights.Step) bool {
-	report, err := e.report(ctx, sampler)
+func (e *executor) moveToVersion(ctx context.Context, scheduler *schedule.Scheduler, sampler schedule.Sampler, step weights.Update) bool {
+	report, err := e.requestReport(ctx, sampler)
 	if err != nil {
 		e.node.logger.Log(event.WeightsFailed, "sampler", sampler.ID, "model", step.Model, "version", step.Version, "detail", err.Error())
 		return false
@@ -113,8 +113,8 @@
 	if report.Busy {
 		return e.awaitVersion(ctx, scheduler, sampler, step)
 	}
-	right, ok := e.node.claims.Claim(ctx, sampler.ID)
-	if !ok || ctx.Err() != nil || e.node.evacuated.Load().Has(sampler.Zone) {
+	right, ok := e.node.claims.AcquirePermit(ctx, sampler.ID)
+	if !ok || ctx.Err() != nil || e.node.evacuated.Load().Contains(sampler.Zone) {
 		return false
 	}
 	e.setLoading(scheduler, sampler, step)
@@ -131,9 +131,9 @@
 	e.node.logger.Log(event.WeightsOrdered, "sampler", sampler.ID, "model", step.Model, "version", step.Version,
 		"fence", right.Fence, "after_orders", report.Orders, "answer", int(answer), "detail", detail)
 	switch answer {
-	case OrderTaken, OrderUnknown, OrderConflict:
+	case OrderAccepted, OrderUnknown, OrderConflict:
 		return e.awaitVersion(ctx, scheduler, sampler, step)
-	case OrderHolds:
+	case OrderAlreadyServing:
 		e.recordVersions(scheduler, sampler, map[string]uint64{step.Model: step.Version})
 		return true
 	default:
@@ -143,13 +143,13 @@
 
 // awaitVersion polls a sampler until it serves a version. It returns false after loadTimeout,
 // if the order counts as lost, or if the sampler's zone is evacuated.
-func (e *executor) awaitVersion(ctx context.Context, scheduler *schedule.Scheduler, sampler schedule.Sampler, step weights.Step) bool {
+func (e *executor) awaitVersion(ctx context.Context, scheduler *schedule.Scheduler, sampler schedule.Sampler, step weights.Update) bool {
 	e.setLoading(scheduler, sampler, step)
 	start := time.Now()
 	wait.For(ctx, firstPollDelay)
 	idleReports := 0
-	for ctx.Err() == nil && time.Since(start) < loadTimeout && !e.node.evacuated.Load().Has(sampler.Zone) {
-		report, err := e.report(ctx, sampler)
+	for ctx.Err() == nil && time.Since(start) < loadTimeout && !e.node.evacuated.Load().Contains(sampler.Zone) {
+		report, err := e.requestReport(ctx, sampler)
 		if err == nil {
 			e.recordVersions(scheduler, sampler, report.Versions)
 			if report.Versions[step.Model] >= step.Version && !report.Busy {
@@ -169,7 +169,7 @@
 func (e *executor) pollInterval() time.Duration {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return max(minPollInterval, time.Duration(e.roll.Moving())*time.Second/maxPollsPerSecond)
+	return max(minPollInterval, time.Duration(e.roll.InProgress())*time.Second/maxPollsPerSecond)
 }
 
 // maxIdleReports is how many consecutive reports may show neither the version nor an order in
@@ -184,14 +184,14 @@
 	return previous + 1
 }
 
-// report requests a sampler's status. It returns an error if another incarnation than the
+// requestReport requests a sampler's status. It returns an error if another incarnation than the
 // listed one answers; the list will soon contain the newer one.
-func (e *executor) report(ctx context.Context, sampler schedule.Sampler) (SamplerReport, error) {
+func (e *executor) requestReport(ctx context.Context, sampler schedule.Sampler) (SamplerReport, error) {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
 	report, err := e.node.ports.Control.Report(ctx, sampler)
-	if err == nil && report.Born != sampler.Born && report.Born > 0 && sampler.Born > 0 {
-		return SamplerReport{}, result.New(result.BackEndRefused, "sampler %q runs another incarnation: started at %d, listed with %d", sampler.ID, report.Born, sampler.Born)
+	if err == nil && report.StartedAtMs != sampler.StartedAtMs && report.StartedAtMs > 0 && sampler.StartedAtMs > 0 {
+		return SamplerReport{}, result.New(result.BackEndRefused, "sampler %q runs another incarnation: started at %d, listed with %d", sampler.ID, report.StartedAtMs, sampler.StartedAtMs)
 	}
 	return report, err
 }
@@ -215,7 +215,7 @@
 }
 
 // setLoading tells the scheduler that a sampler is changing weights.
-func (e *executor) setLoading(scheduler *schedule.Scheduler, sampler schedule.Sampler, step weights.Step) {
+func (e *executor) setLoading(scheduler *schedule.Scheduler, sampler schedule.Sampler, step weights.Update) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	scheduler.SetLoading(sampler.Incarnation(), step.Model, true)
--- a/internal/hosted/weights_test.go
+++ b/internal/hosted/weights_test.go
@@ -44,25 +44,25 @@
 		return sharedlog.Batch{}, result.New(result.LogUnavailable, "read canceled")
 	}
 	end := len(l.records) - l.hidden
-	return sharedlog.Batch{Records: l.records[min(int(from), end):end], End: uint64(end)}, nil
+	return sharedlog.Batch{Records: l.records[min(int(from), end):end], EndOffset: uint64(end)}, nil
 }
 
 // newHolder returns the executor of a node that believes it holds the jobs under a generation.
 func newHolder(name string, generation uint64, log sharedlog.Log) *executor {
 	settings := Settings{
-		Name: name, Zone: "a", ShortestTTL: time.Second, OrderGrace: 3 * time.Second, MaxRecordBytes: 1 << 10, MaxCallBytes: 1 << 12,
+		Name: name, Zone: "a", MinAssignmentTTL: time.Second, OrderGrace: 3 * time.Second, MaxRecordBytes: 1 << 10, MaxCallBytes: 1 << 12,
 	}
 	node := New(settings, Ports{Network: network.TCP{}, Log: log}, event.Discard())
-	node.ownership.Take(ownershiptest.Holding(generation, jobPartition), clock.Mark())
+	node.ownership.ApplyAssignment(ownershiptest.NewAssignment(generation, jobPartition), clock.CurrentMoment())
 	return node.executor
 }
 
 // canClaim claims the right to order a sampler and reports whether that succeeded.
 func canClaim(t *testing.T, e *executor, samplerID string) bool {
 	t.Helper()
-	right, ok := e.node.claims.Claim(t.Context(), samplerID)
+	right, ok := e.node.claims.AcquirePermit(t.Context(), samplerID)
 	if ok {
-		require.Equal(t, e.node.ownership.Current(), right.Fence)
+		require.Equal(t, e.node.ownership.Generation(), right.Fence)
 	}
 	return ok
 }
@@ -97,7 +97,7 @@
 		require.False(t, canClaim(t, next, "s1"))
 		require.True(t, canClaim(t, next, "s2"))
 		time.Sleep(3*time.Second + 2*ownership.OrderMargin)
-		next.node.ownership.Take(ownershiptest.Holding(5, jobPartition), clock.Mark())
+		next.node.ownership.ApplyAssignment(ownershiptest.NewAssignment(5, jobPartition), clock.CurrentMoment())
 		require.True(t, canClaim(t, next, "s1"))
 	})
 }
@@ -120,6 +120,6 @@
 	for i := range 2500 {
 		members = append(members, weights.Member{ID: fmt.Sprint(i), Versions: map[string]uint64{"m": 1}})
 	}
-	require.Len(t, e.roll.Next(time.Now(), weights.Listed(members), map[string]uint64{"m": 2}), 500)
+	require.Len(t, e.roll.Next(time.Now(), weights.MemberList(members), map[string]uint64{"m": 2}), 500)
 	require.Equal(t, 500*time.Second/maxPollsPerSecond, e.pollInterval())
 }
--- a/internal/hosted/worker.go
+++ b/internal/hosted/worker.go
@@ -58,15 +58,15 @@
 
 	mutex   sync.Mutex
 	session carry.Session
-	// heardAt is when the last call of the session arrived.
-	heardAt clock.Moment
+	// lastCallAt is when the last call of the session arrived.
+	lastCallAt clock.Moment
 	// callDelays detects calls that arrive late.
-	callDelays carry.Way
+	callDelays carry.DelayEstimator
 	reports    carry.Reports
 	// reported is closed and replaced whenever a report is added.
 	reported        chan struct{}
 	lastRun         uint64
-	runs            map[uint64]*carriedRun
+	runs            map[uint64]*workerRun
 	jobs            map[string]*workerJob
 	loading         map[string]*jobLoad
 	texts           map[textKey]*heldText
@@ -79,9 +79,9 @@
 	work     conc.WaitGroup
 }
 
-// carriedRun is a run in progress. The executor assigns its number; each session counts
+// workerRun is a run in progress. The executor assigns its number; each session counts
 // from 1.
-type carriedRun struct {
+type workerRun struct {
 	number uint64
 	key    schedule.Key
 	stop   context.CancelFunc
@@ -116,14 +116,14 @@
 	schedule.Text
 	job string
 	// run is the run that may append to the text, nil if there is none.
-	run        *carriedRun
+	run        *workerRun
 	isComplete bool
 	usedAt     time.Time
 }
 
 func newWorker(n *Node) *worker {
 	return &worker{
-		node: n, process: rand.Uint64(), wakeup: make(chan struct{}, 1), reported: make(chan struct{}), runs: make(map[uint64]*carriedRun),
+		node: n, process: rand.Uint64(), wakeup: make(chan struct{}, 1), reported: make(chan struct{}), runs: make(map[uint64]*workerRun),
 		jobs: make(map[string]*workerJob), loading: make(map[string]*jobLoad), texts: make(map[textKey]*heldText), finishing: make(map[schedule.Key]struct{}),
 		lifetime: context.Background(),
 	}
@@ -153,7 +153,7 @@
 		}
 	}
 	w.mutex.Lock()
-	w.stopRuns(func(*carriedRun) bool { return true })
+	w.stopRuns(func(*workerRun) bool { return true })
 	w.mutex.Unlock()
 	w.work.Wait()
 }
@@ -161,7 +161,7 @@
 // jobChanged queues a change of the ledger for the next step. The caller holds the ledger's
 // lock.
 func (w *worker) jobChanged(change ledger.Change) {
-	if !w.active.Load() || change.Kind != ledger.Ended && change.Kind != ledger.Listed {
+	if !w.active.Load() || change.Kind != ledger.JobEnded && change.Kind != ledger.ResultsAdded {
 		return
 	}
 	w.changesMutex.Lock()
@@ -190,14 +190,14 @@
 	for _, change := range changes {
 		w.applyChange(change, now)
 	}
-	if len(w.runs) > 0 && w.heardAt.AgeAt(now) > workerLease {
-		w.node.logger.Log(event.RunsOrphaned, "decider", w.session.Decider, "generation", w.session.Generation,
-			"runs", len(w.runs), "silent_ms", w.heardAt.AgeAt(now).Milliseconds())
-		w.stopRuns(func(*carriedRun) bool { return true })
+	if len(w.runs) > 0 && w.lastCallAt.AgeAt(now) > workerLease {
+		w.node.logger.Log(event.RunsOrphaned, "decider", w.session.Executor, "generation", w.session.Generation,
+			"runs", len(w.runs), "silent_ms", w.lastCallAt.AgeAt(now).Milliseconds())
+		w.stopRuns(func(*workerRun) bool { return true })
 	}
 	if now.Sub(w.progressSavedAt) >= progressInterval {
 		w.progressSavedAt = now
-		w.saveProgress(progressEvents, now)
+		w.saveProgress(minProgressEvents, now)
 	}
 	w.removeExpired(now)
 }
@@ -205,25 +205,25 @@
 // applyChange stops the runs of items that have a result, and those of a job that ended or is
 // complete, except for runs ahead of a later job. The caller holds the lock.
 func (w *worker) applyChange(change ledger.Change, now time.Time) {
-	for _, listed := range change.Listed {
-		w.stopRuns(func(run *carriedRun) bool { return run.key.Item == listed.ItemID })
+	for _, listed := range change.NewResults {
+		w.stopRuns(func(run *workerRun) bool { return run.key.Item == listed.ItemID })
 		delete(w.texts, textKey{item: listed.ItemID})
 		delete(w.texts, textKey{item: listed.ItemID, ahead: true})
 	}
-	if change.Kind != ledger.Ended && !change.Complete {
+	if change.Kind != ledger.JobEnded && !change.Complete {
 		return
 	}
-	w.stopRuns(func(run *carriedRun) bool { return run.key.Job == change.Job.ID && !run.key.Ahead })
+	w.stopRuns(func(run *workerRun) bool { return run.key.Job == change.Job.ID && !run.key.Speculative })
 	if job, found := w.jobs[change.Job.ID]; found && job.endedAt.IsZero() {
 		job.endedAt = now
 	}
 }
 
 // isRunning reports whether a run is in progress. The caller holds the lock.
-func (w *worker) isRunning(run *carriedRun) bool { return run != nil && w.runs[run.number] == run }
+func (w *worker) isRunning(run *workerRun) bool { return run != nil && w.runs[run.number] == run }
 
 // stopRuns stops the selected runs. The caller holds the lock.
-func (w *worker) stopRuns(selected func(*carriedRun) bool) {
+func (w *worker) stopRuns(selected func(*workerRun) bool) {
 	for number, run := range w.runs {
 		if selected(run) {
 			run.stop()
@@ -232,13 +232,13 @@
 	}
 }
 
-// removeExpired removes jobs that ended longer than schedule.AheadPatience ago and stops their
+// removeExpired removes jobs that ended longer than schedule.SpeculativeRunGracePeriod ago and stops their
 // remaining runs, which are ahead of a later job. It also removes texts that no run has
 // continued within textRetention. The caller holds the lock.
 func (w *worker) removeExpired(now time.Time) {
 	for id, job := range w.jobs {
-		if !job.endedAt.IsZero() && now.Sub(job.endedAt) > schedule.AheadPatience {
-			w.stopRuns(func(run *carriedRun) bool { return run.key.Job == id })
+		if !job.endedAt.IsZero() && now.Sub(job.endedAt) > schedule.SpeculativeRunGracePeriod {
+			w.stopRuns(func(run *workerRun) bool { return run.key.Job == id })
 			delete(w.jobs, id)
 		}
 	}
@@ -256,8 +256,8 @@
 	unsaved := make(partsByJob)
 	w.node.jobs.withLedger(func(jobs *ledger.Ledger) {
 		for _, run := range w.runs {
-			text := w.texts[textKey{item: run.key.Item, ahead: run.key.Ahead}]
-			if run.key.Ahead || text == nil || text.isComplete {
+			text := w.texts[textKey{item: run.key.Item, ahead: run.key.Speculative}]
+			if run.key.Speculative || text == nil || text.isComplete {
 				continue
 			}
 			if part, ok := text.Unsaved(run.key.Item, minEvents, jobs, rand.Uint64, now); ok {
@@ -265,7 +265,7 @@
 			}
 		}
 	})
-	w.node.executor.lister.addProgress(unsaved)
+	w.node.executor.resultWriter.addProgress(unsaved)
 }
 
 // drain saves the progress of running items and tells the executor that this node is
@@ -279,9 +279,9 @@
 	w.saveProgress(1, time.Now())
 	w.notifyReported()
 	w.mutex.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, flushPatience)
+	ctx, cancel := context.WithTimeout(ctx, flushTimeout)
 	defer cancel()
-	w.node.executor.lister.flush(ctx)
+	w.node.executor.resultWriter.flush(ctx)
 }
 
 // notifyReported wakes the calls that wait for reports. The caller holds the lock.
@@ -316,7 +316,7 @@
 // handleCall applies the orders of a call and returns the pending reports, after a long poll
 // if the call asks for one.
 func (w *worker) handleCall(ctx context.Context, call *pathbendv1.CarryCall) (*pathbendv1.CarryReply, error) {
-	session := carry.Session{Decider: call.Decider, Generation: call.Generation, ID: call.Session}
+	session := carry.Session{Executor: call.Decider, Generation: call.Generation, ID: call.Session}
 	reported, err := w.applyCall(session, call)
 	if err != nil {
 		return nil, err
@@ -327,9 +327,9 @@
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if w.session != session {
-		return nil, result.New(result.LeaseConflict, "session was replaced: node %s has been the executor since generation %d", w.session.Decider, w.session.Generation)
+		return nil, result.New(result.LeaseConflict, "session was replaced: node %s has been the executor since generation %d", w.session.Executor, w.session.Generation)
 	}
-	reply := &pathbendv1.CarryReply{Process: w.process, Leaving: w.leaving, OutOfTouch: !w.node.jobs.inTouch()}
+	reply := &pathbendv1.CarryReply{Process: w.process, Leaving: w.leaving, OutOfTouch: !w.node.jobs.hasCurrentLog()}
 	if call.HoldMs > 0 {
 		reply.Reports = w.reports.Pending()
 	}
@@ -352,8 +352,8 @@
 		w.startSession(session)
 	}
 	now := time.Now()
-	w.heardAt = clock.At(now)
-	delayed := w.callDelays.HeldUp(clock.Now(), time.Duration(call.SentMs)*time.Millisecond) > maxStartDelay
+	w.lastCallAt = clock.At(now)
+	delayed := w.callDelays.Delay(clock.Now(), time.Duration(call.SentMs)*time.Millisecond) > maxStartDelay
 	w.reports.Acknowledge(call.Acknowledged)
 	for _, order := range call.Orders {
 		w.applyOrder(session, order, delayed)
@@ -369,10 +369,10 @@
 func (w *worker) startSession(session carry.Session) {
 	w.active.Store(true)
 	w.wake()
-	w.stopRuns(func(*carriedRun) bool { return true })
-	w.node.logger.Log(event.WorkerServes, "decider", session.Decider, "generation", session.Generation,
-		"former", w.session.Decider, "texts", len(w.texts))
-	w.session, w.reports, w.callDelays, w.lastRun = session, carry.Reports{}, carry.Way{}, 0
+	w.stopRuns(func(*workerRun) bool { return true })
+	w.node.logger.Log(event.WorkerServes, "decider", session.Executor, "generation", session.Generation,
+		"former", w.session.Executor, "texts", len(w.texts))
+	w.session, w.reports, w.callDelays, w.lastRun = session, carry.Reports{}, carry.DelayEstimator{}, 0
 }
 
 // awaitReports waits until reported is closed, at most for timeout, and then for
--- a/internal/hosted/worker_runs.go
+++ b/internal/hosted/worker_runs.go
@@ -65,7 +65,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := w.node.permitsBodies(spec); err != nil {
+	if err := w.node.checkBodiesAllowed(spec); err != nil {
 		return nil, err
 	}
 	items, err := w.node.jobs.contents.GetItems(ctx, spec)
@@ -140,9 +140,9 @@
 // startRun starts a run in its own goroutine and reports its end. The caller holds the lock.
 func (w *worker) startRun(session carry.Session, start *pathbendv1.StartRun) {
 	ctx, stop := context.WithCancel(w.lifetime)
-	run := &carriedRun{number: start.Run, key: schedule.Key{Job: start.JobId, Item: start.ItemId, Ahead: start.Ahead}, stop: stop, receivedAt: clock.Mark()}
+	run := &workerRun{number: start.Run, key: schedule.Key{Job: start.JobId, Item: start.ItemId, Speculative: start.Ahead}, stop: stop, receivedAt: clock.CurrentMoment()}
 	w.runs[start.Run] = run
-	w.node.metrics.workerRuns.WithLabelValues(session.Decider).Inc()
+	w.node.metrics.workerRuns.WithLabelValues(session.Executor).Inc()
 	w.work.Go(func() {
 		defer stop()
 		state := w.executeRun(ctx, session, run, start)
@@ -164,7 +164,7 @@
 }
 
 // executeRun executes a run to its end and returns its final state.
-func (w *worker) executeRun(ctx context.Context, session carry.Session, current *carriedRun, start *pathbendv1.StartRun) *pathbendv1.RunState {
+func (w *worker) executeRun(ctx context.Context, session carry.Session, current *workerRun, start *pathbendv1.StartRun) *pathbendv1.RunState {
 	stoppedState := func(unserved bool, err error) *pathbendv1.RunState {
 		return &pathbendv1.RunState{Run: start.Run, Ending: uint32(schedule.Stopped), Unserved: unserved, Detail: err.Error()}
 	}
@@ -175,14 +175,14 @@
 	case err != nil:
 		return stoppedState(!isJobError(err) && ctx.Err() == nil, err)
 	}
-	if err := w.node.permitsRun(job.spec, start.Zone); err != nil {
+	if err := w.node.checkRunAllowed(job.spec, start.Zone); err != nil {
 		return &pathbendv1.RunState{Run: start.Run, Ending: uint32(schedule.Refused), Detail: err.Error()}
 	}
 	item := job.items[current.key.Item]
 	if item == nil {
 		return stoppedState(true, result.New(result.ItemUnknown, "the job has no item %q", current.key.Item))
 	}
-	acceptance := schedule.Acceptance{MinVersion: start.MinVersion, SingleVersion: start.SingleVersion}
+	acceptance := schedule.VersionConstraint{MinVersion: start.MinVersion, SingleVersion: start.SingleVersion}
 	text := w.selectText(ctx, session, current, acceptance)
 	if text.isComplete {
 		return w.runState(text, start.Run, 0, RunEnd{Ending: schedule.Complete})
@@ -200,7 +200,7 @@
 		w.mutex.Lock()
 		defer w.mutex.Unlock()
 		version = generated.Version
-		if ctx.Err() != nil || text.run != current || w.heardAt.Age() > workerLease || !text.Take(generated, acceptance) {
+		if ctx.Err() != nil || text.run != current || w.lastCallAt.Age() > workerLease || !text.Append(generated, acceptance) {
 			return false
 		}
 		text.usedAt = time.Now()
@@ -229,7 +229,7 @@
 // selectText returns the text that a run continues: the longest acceptable one of the texts
 // in memory and the one in the log. It makes run the only one that may append to it and
 // reports its length to the executor.
-func (w *worker) selectText(ctx context.Context, session carry.Session, run *carriedRun, acceptance schedule.Acceptance) *heldText {
+func (w *worker) selectText(ctx context.Context, session carry.Session, run *workerRun, acceptance schedule.VersionConstraint) *heldText {
 	key := run.key
 	logged := w.loggedText(ctx, key, acceptance)
 	w.mutex.Lock()
@@ -237,15 +237,15 @@
 	best := logged
 	for _, ahead := range []bool{false, true} {
 		held := w.texts[textKey{item: key.Item, ahead: ahead}]
-		if held != nil && acceptance.Fits(held.Versions()) && held.Events() > 0 && held.Events() >= best.Events() {
+		if held != nil && acceptance.Accepts(held.Versions()) && held.Events() > 0 && held.Events() >= best.Events() {
 			best = held
 		}
 	}
 	best.job, best.run, best.usedAt = key.Job, run, time.Now()
-	if !key.Ahead {
+	if !key.Speculative {
 		delete(w.texts, textKey{item: key.Item, ahead: true})
 	}
-	w.texts[textKey{item: key.Item, ahead: key.Ahead}] = best
+	w.texts[textKey{item: key.Item, ahead: key.Speculative}] = best
 	w.addRunReport(session, w.runState(best, run.number, 0, RunEnd{}))
 	return best
 }
@@ -253,22 +253,22 @@
 // loggedText returns the text of an item in the log. The text is empty if the log has none
 // that is acceptable, if one in memory is at least as long, or if it cannot be read; it is
 // then generated again.
-func (w *worker) loggedText(ctx context.Context, key schedule.Key, acceptance schedule.Acceptance) *heldText {
+func (w *worker) loggedText(ctx context.Context, key schedule.Key, acceptance schedule.VersionConstraint) *heldText {
 	text := &heldText{}
 	var progress ledger.Progress
 	w.node.jobs.withLedger(func(jobs *ledger.Ledger) { progress, _ = jobs.Progress(key.Item) })
 	w.mutex.Lock()
-	held := w.texts[textKey{item: key.Item, ahead: key.Ahead}]
+	held := w.texts[textKey{item: key.Item, ahead: key.Speculative}]
 	w.mutex.Unlock()
-	if progress.Events == 0 || !acceptance.Fits(progress.Versions) || held != nil && held.Events() >= progress.Events {
+	if progress.Events == 0 || !acceptance.Accepts(progress.Versions) || held != nil && held.Events() >= progress.Events {
 		return text
 	}
 	parts, err := w.node.jobs.contents.Get(ctx, progress.Parts)
 	if err != nil {
-		w.node.executor.logUnread(key.Job, key.Item, err)
+		w.node.executor.logReadFailure(key.Job, key.Item, err)
 		return text
 	}
-	text.Resume(schedule.Partial{
+	text.Resume(schedule.PartialText{
 		ID: progress.ID, Events: progress.Events, Versions: progress.Versions, Text: bytes.Join(parts, []byte{'\n'}),
 	}, acceptance)
 	return text
@@ -286,7 +286,7 @@
 func (w *worker) finishItem(session carry.Session, order *pathbendv1.FinishItem) {
 	key := schedule.Key{Job: order.JobId, Item: order.ItemId}
 	job, err := w.loadJob(w.lifetime, key.Job)
-	completed := schedule.Finished{Key: key, Kept: order.Text, Versions: order.Versions}
+	completed := schedule.Finished{Key: key, StoredText: order.Text, Versions: order.Versions}
 	w.mutex.Lock()
 	_, inProgress := w.finishing[key]
 	if inProgress {
@@ -313,10 +313,10 @@
 // fillCompleteText fills in a complete, acceptable text from memory and reports whether
 // there is one. The caller holds the lock.
 func (w *worker) fillCompleteText(key schedule.Key, order *pathbendv1.FinishItem, completed *schedule.Finished) bool {
-	acceptance := schedule.Acceptance{MinVersion: order.MinVersion, SingleVersion: order.SingleVersion}
+	acceptance := schedule.VersionConstraint{MinVersion: order.MinVersion, SingleVersion: order.SingleVersion}
 	for _, ahead := range []bool{false, true} {
 		text := w.texts[textKey{item: key.Item, ahead: ahead}]
-		if text != nil && text.isComplete && acceptance.Fits(text.Versions()) {
+		if text != nil && text.isComplete && acceptance.Accepts(text.Versions()) {
 			completed.Text, completed.Versions = text.Bytes(), text.Versions()
 			return true
 		}
@@ -332,13 +332,13 @@
 		stamp, alive = w.node.executor.rewards.score(w.lifetime, completed, func() bool { return w.needsResult(completed.Key) })
 	}
 	if w.lifetime.Err() == nil && w.needsResult(completed.Key) && !completed.Unscored(stamp, alive) {
-		w.node.executor.list(completed, stamp, alive)
+		w.node.executor.queueResult(completed, stamp, alive)
 	}
 }
 
 // needsResult reports whether the job of an item is open and has no result of the item yet.
 func (w *worker) needsResult(key schedule.Key) bool {
 	needed := false
-	w.node.jobs.view(key.Job, func(job *ledger.Job) { needed = job != nil && job.Open() && !job.Listed(key.Item) })
+	w.node.jobs.view(key.Job, func(job *ledger.Job) { needed = job != nil && job.Open() && !job.HasResult(key.Item) })
 	return needed
 }
--- a/internal/hosted/worker_test.go
+++ b/internal/hosted/worker_test.go
@@ -69,12 +69,12 @@
 	return uint64(len(l.records) - len(records)), nil
 }
 
-func (l *bodyLog) ReadPart(_ context.Context, _ sharedlog.Partition, from uint64, _ int) (sharedlog.Batch, error) {
+func (l *bodyLog) ReadAvailable(_ context.Context, _ sharedlog.Partition, from uint64, _ int) (sharedlog.Batch, error) {
 	time.Sleep(l.readDelay)
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.reads++
-	return sharedlog.Batch{Records: l.records[from:], End: uint64(len(l.records))}, nil
+	return sharedlog.Batch{Records: l.records[from:], EndOffset: uint64(len(l.records))}, nil
 }
 
 // readCount returns the number of reads of bodies.
@@ -110,10 +110,10 @@
 		node := New(Settings{Name: "w", Zone: "a", Topology: twoRegions, MaxRecordBytes: 1 << 15, MaxCallBytes: 1 << 18, Partitions: 1},
 			Ports{Network: network.TCP{}, Log: log, Generator: generator}, event.Discard())
 		built, err := catalog.New(1, []catalog.Route{{
-			Name: "r", Host: "h", Prefix: "/", Kind: catalog.Rollout, Shares: []catalog.Share{{Service: "s", Weight: 1}}, Regions: bound,
+			Name: "r", Host: "h", Prefix: "/", Kind: catalog.Rollout, TrafficShares: []catalog.TrafficShare{{Service: "s", Weight: 1}}, Regions: bound,
 		}}, nil, catalog.Limits{}, nil)
 		require.NoError(t, err)
-		node.TakeCatalog(built)
+		node.ApplyCatalog(built)
 		spec := &pathbendv1.BatchJob{Host: "h", Path: "/", ItemIds: []string{"i"}}
 		entry := &pathbendv1.LedgerEntry{JobId: "j", Fact: &pathbendv1.LedgerEntry_Submitted{Submitted: spec}}
 		records, err := ledger.Encode(entry, 1, 1<<10)
@@ -359,7 +359,7 @@
 		require.EqualValues(t, schedule.Stopped, f.states[1].Ending)
 		require.False(t, f.states[1].Unserved)
 		require.Empty(t, f.generator.started)
-		time.Sleep(2 * schedule.AheadPatience)
+		time.Sleep(2 * schedule.SpeculativeRunGracePeriod)
 		f.mutex.Lock()
 		defer f.mutex.Unlock()
 		require.Empty(t, f.jobs)
--- a/internal/keyed/executor.go
+++ b/internal/keyed/executor.go
@@ -237,7 +237,7 @@
 // freed instead.
 func (e *Executor) storeOutcome(key string, binding idempotency.Binding, run *execution, answer *dispatch.Answer, err error) {
 	switch {
-	case err != nil && result.From(err).Run() == result.NotRun:
+	case err != nil && result.From(err).Execution() == result.NotRun:
 		e.executions.discard(key, run, Outcome{Err: err})
 		e.release(key, binding)
 	case err != nil:
--- a/internal/keyed/keyed_test.go
+++ b/internal/keyed/keyed_test.go
@@ -136,7 +136,7 @@
 				// Split claims may leave no request with a majority. Such a request
 				// must be reported as not run.
 				_, err := c.executors[string(rune('a'+i%3))].Do(context.Background(), request())
-				if err != nil && result.From(err).Run() != result.NotRun {
+				if err != nil && result.From(err).Execution() != result.NotRun {
 					t.Errorf("unexpected: %v", err)
 				}
 			})
--- a/internal/lab/cluster.go
+++ b/internal/lab/cluster.go
@@ -74,7 +74,7 @@
 type Cluster struct {
 	Options  Options
 	Platform *emulator.Platform
-	Truth    *emulator.Truth
+	Checker  *emulator.Checker
 	Engines  []*Machine
 	BackEnds []*Machine
 	Nodes    []*NodeSlot
@@ -138,7 +138,7 @@
 	c := &Cluster{
 		Options:  options,
 		Platform: emulator.NewPlatform(options.ListLag, options.LoadTime, options.LoadSlots),
-		Truth:    emulator.NewTruth(),
+		Checker:  emulator.NewChecker(),
 		random:   rand.New(rand.NewPCG(options.Seed, 7)),
 	}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
@@ -265,14 +265,14 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	machine.cancel = cancel
 	random := rand.New(rand.NewPCG(c.Options.Seed, c.random.Uint64()))
-	crasher := emulator.NewCrasher(c.Truth, func() bool { return c.crashDuringRequest(machine) })
+	crasher := emulator.NewCrasher(c.Checker, func() bool { return c.crashDuringRequest(machine) })
 	if pool.Role == fleet.RoleEngine {
 		machine.Engine = emulator.NewEngine(id, pool.Model, machineNetwork, c.platformAddress, random)
 		machine.Engine.Crasher = crasher
 		machine.server = &http.Server{Handler: machine.Engine.Handler()}
 		machine.group.Go(func() { machine.Engine.Run(ctx) })
 	} else {
-		machine.BackEnd = emulator.NewBackEnd(id, pool.ServiceTime, c.Truth, random)
+		machine.BackEnd = emulator.NewBackEnd(id, pool.ServiceTime, c.Checker, random)
 		machine.BackEnd.Crasher = crasher
 		machine.server = &http.Server{Handler: machine.BackEnd}
 	}
@@ -305,7 +305,7 @@
 			return
 		}
 		if err := c.Replace(machine); err != nil {
-			c.Truth.Violate("replace machine %s: %v", machine.ID, err)
+			c.Checker.ReportViolation("replace machine %s: %v", machine.ID, err)
 		}
 	})
 	return true
@@ -319,7 +319,7 @@
 		machine.Engine.Leave()
 	}
 	machine.Leaving = true
-	c.Truth.Leaving(machine.ID, time.Now())
+	c.Checker.RecordLeaving(machine.ID, time.Now())
 	c.Platform.SetMachine(machine.Machine)
 }
 
@@ -420,7 +420,7 @@
 		}
 	}
 	for _, slot := range c.Nodes {
-		if started := slot.Node(); started != nil && !started.Settled(running) {
+		if started := slot.Node(); started != nil && !started.Converged(running) {
 			return false
 		}
 	}
--- a/internal/lab/demo.go
+++ b/internal/lab/demo.go
@@ -107,7 +107,7 @@
 		}
 		fmt.Fprintf(output, "%5.1f s  %s\n", time.Since(startedAt).Seconds(), event.description)
 		if err := event.trigger(); err != nil {
-			c.Truth.Violate("demo: %s: %v", event.description, err)
+			c.Checker.ReportViolation("demo: %s: %v", event.description, err)
 		}
 	}
 }
@@ -134,7 +134,7 @@
 	for {
 		select {
 		case <-ticker.C:
-			summary := c.Truth.Summary()
+			summary := c.Checker.Summary()
 			fmt.Fprintf(output, "%5.1f s  %5d requests answered, %5d samples delivered\n",
 				time.Since(startedAt).Seconds(), summary.Answered, summary.Samples)
 		case <-ctx.Done():
@@ -144,7 +144,7 @@
 }
 
 func (c *Cluster) newDemoReport(load *Load) *DemoReport {
-	report := &DemoReport{Summary: c.Truth.Summary(), Violations: c.Truth.Judge()}
+	report := &DemoReport{Summary: c.Checker.Summary(), Violations: c.Checker.CheckInvariants()}
 	for _, trainer := range load.Trainers {
 		tenant := TenantReport{
 			Name: trainer.Tenant, Steps: len(trainer.Steps()), IdleShare: trainer.IdleShare(), StalenessBound: trainer.MaxVersions,
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -27,8 +27,8 @@
 	defer stop()
 	load.Run(trafficCtx)
 
-	require.Empty(t, cluster.Truth.Judge())
-	summary := cluster.Truth.Summary()
+	require.Empty(t, cluster.Checker.CheckInvariants())
+	summary := cluster.Checker.Summary()
 	require.Positive(t, summary.Samples)
 	require.Positive(t, summary.Answered)
 	require.Empty(t, summary.Refusals)
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -54,12 +54,12 @@
 	return load
 }
 
-func (l *Load) addCaller(c *Cluster, tenant, zone string, rate float64, mix []emulator.RouteMix, seed uint64) {
+func (l *Load) addCaller(c *Cluster, tenant, zone string, rate float64, mix []emulator.RouteTraffic, seed uint64) {
 	if rate <= 0 {
 		return
 	}
 	l.Callers = append(l.Callers, &emulator.Caller{
-		Name: tenant + "-caller", Rate: rate, Mix: mix, Truth: c.Truth,
+		Name: tenant + "-caller", Rate: rate, Mix: mix, Checker: c.Checker,
 		Client: c.NewClient(tenant, tenant+"-callers", zone, seed),
 		Random: rand.New(rand.NewPCG(c.Options.Seed, seed)),
 	})
@@ -71,7 +71,7 @@
 	}
 	modelSpec := c.Options.Document.FindTenant(tenant).FindModel(model)
 	l.Trainers = append(l.Trainers, &emulator.Trainer{
-		Name: tenant + "-trainer", Tenant: tenant, Model: model, Truth: c.Truth,
+		Name: tenant + "-trainer", Tenant: tenant, Model: model, Checker: c.Checker,
 		Client:      c.NewClient(tenant, tenant+"-trainer", zone, seed),
 		MaxVersions: modelSpec.Freshness.MaxVersions, MaxTokens: modelSpec.MaxTokens,
 		Groups: options.Groups, SamplesPerGroup: options.SamplesPerGroup, PromptBytes: 600,
--- a/internal/lab/loopback.go
+++ b/internal/lab/loopback.go
@@ -9,7 +9,7 @@
 
 // Loopback is a Networks in which every host uses free ports of the loopback interface.
 type Loopback struct {
-	network *network.Reserved
+	network *network.ReservingNetwork
 
 	mutex sync.Mutex
 	// reserved maps a host and port to the address reserved for it.
@@ -18,7 +18,7 @@
 
 // NewLoopback returns a Loopback without any reserved address.
 func NewLoopback() *Loopback {
-	return &Loopback{network: network.NewReserved(), reserved: make(map[string]string)}
+	return &Loopback{network: network.NewReservingNetwork(), reserved: make(map[string]string)}
 }
 
 // For implements Networks.
--- a/internal/lab/overhead.go
+++ b/internal/lab/overhead.go
@@ -170,7 +170,7 @@
 	if err != nil {
 		return err
 	}
-	request.Header.Set(emulator.AnswerHeader, "load")
+	request.Header.Set(emulator.CallerRequestIDHeader, "load")
 	if key != "" {
 		request.Header.Set(dispatch.HeaderIdempotencyKey, key)
 	}
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -36,8 +36,8 @@
 }
 
 // TerangaMix returns the application traffic of Teranga, a card acquirer.
-func TerangaMix() []emulator.RouteMix {
-	return []emulator.RouteMix{
+func TerangaMix() []emulator.RouteTraffic {
+	return []emulator.RouteTraffic{
 		{Route: "authorise", Weight: 6, AtMostOnce: true, BodyBytes: 400, Timeout: 2 * time.Second},
 		{Route: "merchant-check", Weight: 3, BodyBytes: 200, Timeout: 5 * time.Second},
 		{Route: "settle", Weight: 1, BodyBytes: 4000, Timeout: 10 * time.Second},
@@ -45,8 +45,8 @@
 }
 
 // KarriMix returns the application traffic of Karri, a catalogue host.
-func KarriMix() []emulator.RouteMix {
-	return []emulator.RouteMix{
+func KarriMix() []emulator.RouteTraffic {
+	return []emulator.RouteTraffic{
 		{Route: "lookup", Weight: 8, BodyBytes: 100, Timeout: 2 * time.Second},
 		{Route: "order-line", Weight: 1, AtMostOnce: true, BodyBytes: 300, Timeout: 5 * time.Second},
 		{Route: "sync", Weight: 1, BodyBytes: 16000, Timeout: 30 * time.Second},
--- a/internal/labcommand/measure.go
+++ b/internal/labcommand/measure.go
@@ -43,12 +43,12 @@
 		if rate <= 0 || duration <= 0 || bodyBytes < 0 {
 			return errors.New("--rate and --duration must be positive, --body at least 0")
 		}
-		truth := emulator.NewTruth()
-		truth.Blind = true // back ends run in other processes, so their executions are not observed
+		truth := emulator.NewChecker()
+		truth.ExecutionsUnobserved = true // back ends run in other processes, so their executions are not observed
 		caller := &emulator.Caller{
-			Name: fmt.Sprintf("load-%d", time.Now().UnixNano()), Rate: rate, Truth: truth, Random: newRandom(),
+			Name: fmt.Sprintf("load-%d", time.Now().UnixNano()), Rate: rate, Checker: truth, Random: newRandom(),
 			Client: client.New(client.Options{Addresses: splitList(nodes), Tenant: tenant, Spread: true}),
-			Mix:    []emulator.RouteMix{{Route: route, Weight: 1, AtMostOnce: keyed, BodyBytes: bodyBytes, Timeout: timeout}},
+			Mix:    []emulator.RouteTraffic{{Route: route, Weight: 1, AtMostOnce: keyed, BodyBytes: bodyBytes, Timeout: timeout}},
 		}
 		ctx, cancel := context.WithTimeout(command.Context(), duration)
 		defer cancel()
@@ -64,7 +64,7 @@
 		if err := writeAndPrint(command, outDir, result); err != nil {
 			return err
 		}
-		if violations := truth.Judge(); len(violations) > 0 {
+		if violations := truth.CheckInvariants(); len(violations) > 0 {
 			return errors.Newf("%s: %w", strings.Join(violations, "; "), errViolations)
 		}
 		return nil
--- a/internal/labcommand/standin.go
+++ b/internal/labcommand/standin.go
@@ -224,7 +224,7 @@
 		Use: "backend", Short: "An application back end",
 		Example: "  pathbend-lab standin backend --id b1 --pool card-acquiring --zone fann", Args: cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
-			truth := emulator.NewTruth()
+			truth := emulator.NewChecker()
 			backEnd := emulator.NewBackEnd(machine.id, serviceTime, truth, newRandom())
 			return serveUntilDone(command.Context(), machine.address, backEnd, machine.register(command, fleet.RoleBackEnd),
 				func() error { return runFaults(command.Context(), machine.faultsPath, backEnd.SetFaults) })
@@ -268,14 +268,14 @@
 	flags.IntVar(&samples, "samples", 8, "samples per prompt")
 	flags.DurationVar(&trainTime, "train-time", time.Second, "duration of training on a step")
 	command.RunE = func(command *cobra.Command, _ []string) error {
-		truth := emulator.NewTruth()
+		truth := emulator.NewChecker()
 		trainer := &emulator.Trainer{
-			Name: tenant + "-trainer", Tenant: tenant, Model: model, Truth: truth, MaxVersions: 1000,
+			Name: tenant + "-trainer", Tenant: tenant, Model: model, Checker: truth, MaxVersions: 1000,
 			Client: client.New(client.Options{Addresses: splitList(nodes), Tenant: tenant}),
 			Groups: groups, SamplesPerGroup: samples, MaxTokens: 1024, PromptBytes: 600, TrainTime: trainTime, StepsPerVersion: 1,
 		}
 		if scorerAddress != "" {
-			trainer.Score = emulator.ScoreAt(scorerAddress)
+			trainer.Score = emulator.NewScoreFunc(scorerAddress)
 		}
 		ctx, cancel := context.WithCancel(command.Context())
 		defer cancel()
@@ -292,7 +292,7 @@
 			fmt.Fprintf(command.OutOrStdout(), "step %d at version %d: %d samples, %d tokens, waited %.2f s\n",
 				step.Number, step.Version, step.Samples, step.Tokens, step.Wait.Seconds())
 		}
-		if violations := truth.Judge(); len(violations) > 0 {
+		if violations := truth.CheckInvariants(); len(violations) > 0 {
 			return errors.Newf("%v: %w", violations, errViolations)
 		}
 		return nil
--- a/internal/ledger/claims.go
+++ b/internal/ledger/claims.go
@@ -11,8 +11,8 @@
 // it to the log before it makes the call.
 type Claim struct {
 	Holder string
-	// Fence is the fencing token of the claim; a later holder's token is higher.
-	Fence uint64
+	// FencingToken is the fencing token of the claim; a later holder's token is higher.
+	FencingToken uint64
 	// Serial identifies this claim.
 	Serial uint64
 	// ReadAt is when this process read the claim, which is after it was written.
@@ -29,12 +29,12 @@
 func newClaims() claims { return claims{bySubject: make(map[string]map[string]Claim)} }
 
 func (c *claims) record(claim *pathbendv1.Claim, now time.Time) {
-	recorded := Claim{Holder: claim.Holder, Fence: claim.Fence, Serial: claim.Serial, ReadAt: now}
+	recorded := Claim{Holder: claim.Holder, FencingToken: claim.Fence, Serial: claim.Serial, ReadAt: now}
 	if c.bySubject[claim.Subject] == nil {
 		c.bySubject[claim.Subject] = make(map[string]Claim)
 	}
 	c.bySubject[claim.Subject][claim.Holder] = recorded
-	if recorded.Fence >= c.newest.Fence {
+	if recorded.FencingToken >= c.newest.FencingToken {
 		c.newest = recorded
 	}
 }
@@ -52,9 +52,9 @@
 	return last, ok
 }
 
-// LastClaimByOthers returns when this process read the last claim on a subject by
+// LastClaimByOthersReadAt returns when this process read the last claim on a subject by
 // any other holder. The zero time means that none is known.
-func (l *Ledger) LastClaimByOthers(subject, holder string) time.Time {
+func (l *Ledger) LastClaimByOthersReadAt(subject, holder string) time.Time {
 	var last time.Time
 	for other, claim := range l.claims.bySubject[subject] {
 		if other != holder && claim.ReadAt.After(last) {
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -49,17 +49,17 @@
 	positions map[string]int
 }
 
-// Total returns the number of items, including those that have a result.
-func (j *Job) Total() int { return len(j.Spec.ItemIds) }
+// ItemCount returns the number of items, including those that have a result.
+func (j *Job) ItemCount() int { return len(j.Spec.ItemIds) }
 
-// Has reports whether an item belongs to the job.
-func (j *Job) Has(itemID string) bool {
+// HasItem reports whether an item belongs to the job.
+func (j *Job) HasItem(itemID string) bool {
 	_, ok := j.items[itemID]
 	return ok
 }
 
-// Listed reports whether an item has a result.
-func (j *Job) Listed(itemID string) bool {
+// HasResult reports whether an item has a result.
+func (j *Job) HasResult(itemID string) bool {
 	_, ok := j.positions[itemID]
 	return ok
 }
@@ -99,40 +99,40 @@
 	}
 }
 
-// Kind is the kind of a change.
-type Kind int
+// ChangeKind is the kind of a change.
+type ChangeKind int
 
 // Kinds of changes.
 const (
-	// Nothing means that no job changed: the record is a duplicate, part of an incomplete
+	// NoChange means that no job changed: the record is a duplicate, part of an incomplete
 	// entry, or refers to no known job.
-	Nothing Kind = iota
-	// Submitted means that a job was added.
-	Submitted
-	// Ended means that a job ended.
-	Ended
-	// Listed means that results were added to a job.
-	Listed
-	// Progressed means that progress of a job's items was read.
-	Progressed
-	// Suspected reports a request during which back ends crashed; the ledger does not store
+	NoChange ChangeKind = iota
+	// JobSubmitted means that a job was added.
+	JobSubmitted
+	// JobEnded means that a job ended.
+	JobEnded
+	// ResultsAdded means that results were added to a job.
+	ResultsAdded
+	// ProgressSaved means that progress of a job's items was read.
+	ProgressSaved
+	// RequestSuspected reports a request during which back ends crashed; the ledger does not store
 	// it.
-	Suspected
+	RequestSuspected
 )
 
 // Change describes the effect of an applied record. It may be read without the caller's
 // lock, except for the fields of Job that later records change.
 type Change struct {
-	Kind Kind
-	// Job is the job that changed, nil for Nothing and Suspected.
+	Kind ChangeKind
+	// Job is the job that changed, nil for NoChange and RequestSuspected.
 	Job *Job
-	// Listed are the new results of a Listed change.
-	Listed []Result
-	// Results is the number of all results of the job; Complete is set if every item has
+	// NewResults are the new results of a Listed change.
+	NewResults []Result
+	// ResultCount is the number of all results of the job; Complete is set if every item has
 	// one.
-	Results  int
-	Complete bool
-	// Suspect is the request that a Suspected change reports.
+	ResultCount int
+	Complete    bool
+	// Suspect is the request that a RequestSuspected change reports.
 	Suspect *pathbendv1.SuspectRequest
 }
 
@@ -155,7 +155,7 @@
 	case *pathbendv1.LedgerEntry_Claimed:
 		l.claims.record(fact.Claimed, now)
 	case *pathbendv1.LedgerEntry_Suspect:
-		return Change{Kind: Suspected, Suspect: fact.Suspect}, nil
+		return Change{Kind: RequestSuspected, Suspect: fact.Suspect}, nil
 	}
 	return Change{}, nil
 }
@@ -174,7 +174,7 @@
 	delete(l.ended, id)
 	l.jobs[id] = job
 	l.order = append(l.order, job)
-	return Change{Kind: Submitted, Job: job}
+	return Change{Kind: JobSubmitted, Job: job}
 }
 
 func (l *Ledger) end(id string) Change {
@@ -187,7 +187,7 @@
 		return Change{}
 	}
 	job.Ended = true
-	return Change{Kind: Ended, Job: job, Results: len(job.Results)}
+	return Change{Kind: JobEnded, Job: job, ResultCount: len(job.Results)}
 }
 
 func (l *Ledger) addResults(id string, results []*pathbendv1.BatchResult) Change {
@@ -203,12 +203,12 @@
 		return Change{}
 	}
 	return Change{
-		Kind: Listed, Job: job, Listed: job.Results[before:], Results: len(job.Results), Complete: job.Complete(),
+		Kind: ResultsAdded, Job: job, NewResults: job.Results[before:], ResultCount: len(job.Results), Complete: job.Complete(),
 	}
 }
 
 func (l *Ledger) addResult(job *Job, itemResult *pathbendv1.BatchResult) {
-	if !job.Has(itemResult.ItemId) || job.Listed(itemResult.ItemId) {
+	if !job.HasItem(itemResult.ItemId) || job.HasResult(itemResult.ItemId) {
 		return
 	}
 	added := Result{
@@ -230,7 +230,7 @@
 	}
 	for _, item := range items {
 		saved := l.progress[item.ItemId]
-		if !job.Has(item.ItemId) || job.Listed(item.ItemId) {
+		if !job.HasItem(item.ItemId) || job.HasResult(item.ItemId) {
 			continue
 		}
 		if item.Previous != 0 && item.Previous != saved.ID {
@@ -241,7 +241,7 @@
 		}
 		l.progress[item.ItemId] = saved.withPart(item)
 	}
-	return Change{Kind: Progressed, Job: job}
+	return Change{Kind: ProgressSaved, Job: job}
 }
 
 // withPart returns the progress with another part appended, and leaves p unchanged.
@@ -274,9 +274,9 @@
 	return saved, ok
 }
 
-// Finished returns the result of an item with a finished text, whichever job it belongs to,
+// FinishedResult returns the result of an item with a finished text, whichever job it belongs to,
 // and false if there is none.
-func (l *Ledger) Finished(itemID string) (Result, bool) {
+func (l *Ledger) FinishedResult(itemID string) (Result, bool) {
 	finished, ok := l.finished[itemID]
 	return finished, ok
 }
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -72,17 +72,17 @@
 
 func TestOnlyFirstSubmissionAndFirstResultAreApplied(t *testing.T) {
 	l := New()
-	require.Equal(t, Submitted, apply(t, l, submissionEntry("j", "a", "b")).Kind)
-	require.Equal(t, Nothing, apply(t, l, submissionEntry("j", "c")).Kind)
+	require.Equal(t, JobSubmitted, apply(t, l, submissionEntry("j", "a", "b")).Kind)
+	require.Equal(t, NoChange, apply(t, l, submissionEntry("j", "c")).Kind)
 	apply(t, l, resultsEntry("j", &pathbendv1.BatchResult{ItemId: "b", Text: blob(1)}))
 	change := apply(t, l, resultsEntry("j",
 		&pathbendv1.BatchResult{ItemId: "b", Text: blob(2)},
 		&pathbendv1.BatchResult{ItemId: "a", Text: blob(3)},
 		&pathbendv1.BatchResult{ItemId: "unknown-item"},
 	))
-	require.Equal(t, Listed, change.Kind)
+	require.Equal(t, ResultsAdded, change.Kind)
 	require.True(t, change.Complete)
-	require.Len(t, change.Listed, 1)
+	require.Len(t, change.NewResults, 1)
 	job := l.Job("j")
 	require.Equal(t, []string{"b", "a"}, []string{job.Results[0].ItemID, job.Results[1].ItemID})
 	require.EqualValues(t, 1, job.Results[0].Text.Offset)
@@ -92,8 +92,8 @@
 func TestResultsMayFollowTheEnd(t *testing.T) {
 	l := New()
 	apply(t, l, submissionEntry("j", "a"))
-	require.Equal(t, Ended, apply(t, l, endEntry("j")).Kind)
-	require.Equal(t, Nothing, apply(t, l, endEntry("j")).Kind)
+	require.Equal(t, JobEnded, apply(t, l, endEntry("j")).Kind)
+	require.Equal(t, NoChange, apply(t, l, endEntry("j")).Kind)
 	apply(t, l, resultsEntry("j", &pathbendv1.BatchResult{ItemId: "a"}))
 	require.Len(t, l.Job("j").Results, 1)
 	require.False(t, l.Job("j").Open())
@@ -226,7 +226,7 @@
 	l := New()
 	_, known := l.LastClaim("s", "a")
 	require.False(t, known)
-	require.Zero(t, l.LastClaimByOthers("s", "a"))
+	require.Zero(t, l.LastClaimByOthersReadAt("s", "a"))
 	for fence, holder := range []string{"a", "b", "a"} {
 		apply(t, l, &pathbendv1.LedgerEntry{Fact: &pathbendv1.LedgerEntry_Claimed{
 			Claimed: &pathbendv1.Claim{Subject: "s", Holder: holder, Fence: uint64(fence), Serial: uint64(10 + fence)},
@@ -234,12 +234,12 @@
 	}
 	last, known := l.LastClaim("s", "a")
 	require.True(t, known)
-	require.Equal(t, Claim{Holder: "a", Fence: 2, Serial: 12, ReadAt: start}, last)
+	require.Equal(t, Claim{Holder: "a", FencingToken: 2, Serial: 12, ReadAt: start}, last)
 	require.Equal(t, last, l.NewestClaim())
-	require.Equal(t, start, l.LastClaimByOthers("s", "a"), "read time of b's claim")
-	require.Zero(t, l.LastClaimByOthers("other", "a"))
+	require.Equal(t, start, l.LastClaimByOthersReadAt("s", "a"), "read time of b's claim")
+	require.Zero(t, l.LastClaimByOthersReadAt("other", "a"))
 	l.Expire(start.Add(time.Minute))
 	_, known = l.LastClaim("s", "a")
 	require.False(t, known)
-	require.Zero(t, l.LastClaimByOthers("s", "a"))
+	require.Zero(t, l.LastClaimByOthersReadAt("s", "a"))
 }
--- a/internal/locality/locality.go
+++ b/internal/locality/locality.go
@@ -45,17 +45,17 @@
 	return Regions{restricted: true, names: slices.Compact(slices.Sorted(slices.Values(names)))}
 }
 
-// Bound reports whether the set is restricted to the regions of Names.
-func (r Regions) Bound() bool { return r.restricted }
+// Restricted reports whether the set is restricted to the regions of Names.
+func (r Regions) Restricted() bool { return r.restricted }
 
-// Allow reports whether work may be served in a region. The empty name, which stands for
+// Allows reports whether work may be served in a region. The empty name, which stands for
 // an unknown region, is allowed only if the set is not restricted.
-func (r Regions) Allow(region string) bool {
+func (r Regions) Allows(region string) bool {
 	return !r.restricted || region != "" && slices.Contains(r.names, region)
 }
 
-// And returns the intersection of two sets. It may allow no region at all.
-func (r Regions) And(other Regions) Regions {
+// Intersect returns the intersection of two sets. It may allow no region at all.
+func (r Regions) Intersect(other Regions) Regions {
 	switch {
 	case !r.restricted:
 		return other
@@ -64,7 +64,7 @@
 	}
 	intersection := Regions{restricted: true}
 	for _, name := range r.names {
-		if other.Allow(name) {
+		if other.Allows(name) {
 			intersection.names = append(intersection.names, name)
 		}
 	}
--- a/internal/locality/locality_test.go
+++ b/internal/locality/locality_test.go
@@ -8,13 +8,13 @@
 )
 
 func TestIntersectionKeepsRestrictions(t *testing.T) {
-	require.True(t, Only().Allow("north"), "no names mean no restriction")
-	require.True(t, Regions{}.Allow(""))
-	require.False(t, Only("north").Allow(""), "the region of an unknown zone is not allowed")
-	require.Equal(t, Only("north"), Only("south", "north").And(Only("north", "west")))
-	none := Only("north").And(Only("south"))
-	require.True(t, none.Bound())
-	require.False(t, none.Allow("north") || none.Allow("south"))
+	require.True(t, Only().Allows("north"), "no names mean no restriction")
+	require.True(t, Regions{}.Allows(""))
+	require.False(t, Only("north").Allows(""), "the region of an unknown zone is not allowed")
+	require.Equal(t, Only("north"), Only("south", "north").Intersect(Only("north", "west")))
+	none := Only("north").Intersect(Only("south"))
+	require.True(t, none.Restricted())
+	require.False(t, none.Allows("north") || none.Allows("south"))
 	require.Equal(t, "[]", none.String())
 	require.Equal(t, "any region", Regions{}.String())
 }
@@ -24,9 +24,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		first, second := Only(names.Draw(t, "first")...), Only(names.Draw(t, "second")...)
 		for _, region := range []string{"", "a", "b", "c", "d"} {
-			require.Equal(t, first.Allow(region) && second.Allow(region), first.And(second).Allow(region))
+			require.Equal(t, first.Allows(region) && second.Allows(region), first.Intersect(second).Allows(region))
 		}
-		require.Equal(t, first.And(second), second.And(first))
+		require.Equal(t, first.Intersect(second), second.Intersect(first))
 	})
 }
 
--- a/internal/membership/machine.go
+++ b/internal/membership/machine.go
@@ -39,8 +39,8 @@
 	divergedSince time.Time
 }
 
-// Machine is the membership state of one node. It is not safe for concurrent use.
-type Machine struct {
+// StateMachine is the membership state of one node. It is not safe for concurrent use.
+type StateMachine struct {
 	settings Settings
 	self     Member
 	random   *rand.Rand
@@ -70,10 +70,10 @@
 }
 
 // New returns the state of a node that knows only itself.
-func New(settings Settings, self Member, random *rand.Rand, now time.Time) *Machine {
+func New(settings Settings, self Member, random *rand.Rand, now time.Time) *StateMachine {
 	self.Status = Alive
 	self.Version = 1
-	machine := &Machine{
+	machine := &StateMachine{
 		settings:          settings,
 		self:              self,
 		random:            random,
@@ -90,10 +90,10 @@
 }
 
 // Self returns the node's own entry.
-func (m *Machine) Self() Member { return m.self }
+func (m *StateMachine) Self() Member { return m.self }
 
 // Members returns every known member ordered by id, dead ones included.
-func (m *Machine) Members() []Member {
+func (m *StateMachine) Members() []Member {
 	members := make([]Member, 0, len(m.members))
 	for _, id := range slices.Sorted(maps.Keys(m.members)) {
 		members = append(members, m.members[id].member)
@@ -102,10 +102,10 @@
 }
 
 // Changes returns a counter that changes whenever the members do.
-func (m *Machine) Changes() uint64 { return m.changeCount }
+func (m *StateMachine) Changes() uint64 { return m.changeCount }
 
 // Get returns the member with the given id.
-func (m *Machine) Get(id string) (Member, bool) {
+func (m *StateMachine) Get(id string) (Member, bool) {
 	found, ok := m.members[id]
 	if !ok {
 		return Member{}, false
@@ -114,15 +114,15 @@
 }
 
 // TakeChanges returns the status changes since the last call. A change of the node itself
-// is a refutation, and its Former is the status that others had assigned to it.
-func (m *Machine) TakeChanges() []Change {
+// is a refutation, and its Previous is the status that others had assigned to it.
+func (m *StateMachine) TakeChanges() []Change {
 	changes := m.changes
 	m.changes = nil
 	return changes
 }
 
 // SetSeeds replaces the addresses at which other nodes may be found.
-func (m *Machine) SetSeeds(addresses []string) {
+func (m *StateMachine) SetSeeds(addresses []string) {
 	clear(m.seeds)
 	for _, address := range addresses {
 		if address != m.self.Address {
@@ -133,7 +133,7 @@
 }
 
 // Leave announces that this node accepts no new work.
-func (m *Machine) Leave(now time.Time) {
+func (m *StateMachine) Leave(now time.Time) {
 	m.self.Version++
 	m.self.Status = Leaving
 	m.store(m.self, now)
@@ -141,7 +141,7 @@
 
 // Depart marks this node as dead and returns the messages that announce it, to the members
 // it monitors and a few more successors.
-func (m *Machine) Depart(now time.Time) []Message {
+func (m *StateMachine) Depart(now time.Time) []Message {
 	m.self.Version++
 	m.self.Status = Dead
 	m.store(m.self, now)
@@ -153,7 +153,7 @@
 }
 
 // Tick advances timers and returns the heartbeats to send now.
-func (m *Machine) Tick(now time.Time) []Message {
+func (m *StateMachine) Tick(now time.Time) []Message {
 	if now.Sub(m.lastTick) > pauseFactor*m.settings.Interval {
 		m.resetTimers(now)
 	}
@@ -169,7 +169,7 @@
 }
 
 // resetTimers clears the misses and suspicion timers that ran while this node was paused.
-func (m *Machine) resetTimers(now time.Time) {
+func (m *StateMachine) resetTimers(now time.Time) {
 	for _, entry := range m.members {
 		entry.misses = 0
 		if entry.member.Status == Suspect {
@@ -178,7 +178,7 @@
 	}
 }
 
-func (m *Machine) expire(now time.Time) {
+func (m *StateMachine) expire(now time.Time) {
 	for _, id := range slices.Sorted(maps.Keys(m.expiring)) {
 		entry := m.members[id]
 		age := now.Sub(entry.since)
@@ -199,7 +199,7 @@
 
 // targets returns the monitored successors and, if there are unsent updates, a few random
 // members.
-func (m *Machine) targets() []string {
+func (m *StateMachine) targets() []string {
 	targets := m.successors(m.settings.Monitors)
 	if m.hasUnsent {
 		targets = m.addRandomMembers(targets)
@@ -208,7 +208,7 @@
 }
 
 // addRandomMembers appends up to GossipFanout random members that are not in targets yet.
-func (m *Machine) addRandomMembers(targets []string) []string {
+func (m *StateMachine) addRandomMembers(targets []string) []string {
 	m.refreshRing()
 	for range m.settings.GossipFanout {
 		if len(m.ring) == 0 {
@@ -222,12 +222,12 @@
 	return targets
 }
 
-// Fresh reports whether updates have arrived that were not sent on yet.
-func (m *Machine) Fresh() bool { return m.hasUnsent }
+// HasUnsent reports whether updates have arrived that were not sent on yet.
+func (m *StateMachine) HasUnsent() bool { return m.hasUnsent }
 
-// Spread returns messages that send new updates on before the next tick. They are not
+// Gossip returns messages that send new updates on before the next tick. They are not
 // probes and carry no member id, so a lost one is not a miss.
-func (m *Machine) Spread() []Message {
+func (m *StateMachine) Gossip() []Message {
 	if !m.hasUnsent {
 		return nil
 	}
@@ -240,7 +240,7 @@
 }
 
 // successors returns the next members after this node on the hash ring.
-func (m *Machine) successors(count int) []string {
+func (m *StateMachine) successors(count int) []string {
 	m.refreshRing()
 	start, _ := slices.BinarySearchFunc(m.ring, xxhash.Sum64String(m.self.ID), func(entry ringEntry, hash uint64) int {
 		return cmp.Compare(entry.hash, hash)
@@ -255,7 +255,7 @@
 	return found
 }
 
-func (m *Machine) refreshRing() {
+func (m *StateMachine) refreshRing() {
 	if !m.ringStale {
 		return
 	}
@@ -269,7 +269,7 @@
 	slices.SortFunc(m.ring, func(a, b ringEntry) int { return cmp.Compare(a.hash, b.hash) })
 }
 
-func (m *Machine) seedProbes() []Message {
+func (m *StateMachine) seedProbes() []Message {
 	m.refreshUnknownSeeds()
 	unknown := m.unknownSeeds
 	m.random.Shuffle(len(unknown), func(i, j int) { unknown[i], unknown[j] = unknown[j], unknown[i] })
@@ -280,7 +280,7 @@
 	return messages
 }
 
-func (m *Machine) refreshUnknownSeeds() {
+func (m *StateMachine) refreshUnknownSeeds() {
 	if !m.seedsStale {
 		return
 	}
@@ -299,13 +299,13 @@
 	}
 }
 
-func (m *Machine) newMessage(id string) Message {
+func (m *StateMachine) newMessage(id string) Message {
 	return Message{ToID: id, ToAddress: m.members[id].member.Address, Heartbeat: m.newHeartbeat()}
 }
 
 // newHeartbeat returns a heartbeat with this node's own entry and the updates with the most
 // transmissions left.
-func (m *Machine) newHeartbeat() Heartbeat {
+func (m *StateMachine) newHeartbeat() Heartbeat {
 	heartbeat := Heartbeat{From: m.self.ID, Digest: m.tableDigest(), Updates: []Member{m.self}}
 	for _, id := range m.nextToTransmit() {
 		if id != m.self.ID {
@@ -321,7 +321,7 @@
 
 // nextToTransmit returns the ids of the updates with the most transmissions left, at most
 // maxUpdates of them.
-func (m *Machine) nextToTransmit() []string {
+func (m *StateMachine) nextToTransmit() []string {
 	if len(m.transmissionsLeft) == 0 {
 		return nil
 	}
@@ -341,7 +341,7 @@
 
 // HandleHeartbeat applies a probe and returns the acknowledgement. The acknowledgement
 // holds the whole table if the sender sent its own in full or has diverged for too long.
-func (m *Machine) HandleHeartbeat(now time.Time, heartbeat Heartbeat) Heartbeat {
+func (m *StateMachine) HandleHeartbeat(now time.Time, heartbeat Heartbeat) Heartbeat {
 	m.applyUpdates(now, heartbeat)
 	reply := m.newHeartbeat()
 	if heartbeat.Full || m.diverged(now, heartbeat) {
@@ -352,7 +352,7 @@
 }
 
 // HandleAck applies the acknowledgement of a heartbeat and clears the misses of its sender.
-func (m *Machine) HandleAck(now time.Time, heartbeat Heartbeat) {
+func (m *StateMachine) HandleAck(now time.Time, heartbeat Heartbeat) {
 	m.applyUpdates(now, heartbeat)
 	if entry, ok := m.members[heartbeat.From]; ok {
 		entry.misses = 0
@@ -361,7 +361,7 @@
 
 // diverged reports whether the sender's table has differed from ours for divergenceTimeout,
 // and if so restarts the timeout.
-func (m *Machine) diverged(now time.Time, heartbeat Heartbeat) bool {
+func (m *StateMachine) diverged(now time.Time, heartbeat Heartbeat) bool {
 	entry, ok := m.members[heartbeat.From]
 	if !ok || heartbeat.Digest == m.tableDigest() {
 		if ok {
@@ -382,7 +382,7 @@
 
 // HandleMiss records that a heartbeat to a member went unanswered. Misses do not count
 // while this node itself is late with its ticks.
-func (m *Machine) HandleMiss(now time.Time, id string) {
+func (m *StateMachine) HandleMiss(now time.Time, id string) {
 	entry, ok := m.members[id]
 	if !ok || entry.member.Status == Dead || now.Sub(m.lastTick) > pauseFactor*m.settings.Interval {
 		return
@@ -399,7 +399,7 @@
 	m.store(suspect, now)
 }
 
-func (m *Machine) applyUpdates(now time.Time, heartbeat Heartbeat) {
+func (m *StateMachine) applyUpdates(now time.Time, heartbeat Heartbeat) {
 	for _, update := range heartbeat.Updates {
 		if update.ID == m.self.ID {
 			m.refute(now, update)
@@ -416,16 +416,16 @@
 }
 
 // refute answers a more severe update about this node with a higher version.
-func (m *Machine) refute(now time.Time, update Member) {
+func (m *StateMachine) refute(now time.Time, update Member) {
 	if !supersedes(update, m.self) {
 		return
 	}
 	m.self.Version = update.Version + 1
 	m.store(m.self, now)
-	m.changes = append(m.changes, Change{Member: m.self, Former: update.Status})
+	m.changes = append(m.changes, Change{Member: m.self, Previous: update.Status})
 }
 
-func (m *Machine) store(update Member, now time.Time) {
+func (m *StateMachine) store(update Member, now time.Time) {
 	m.changeCount++
 	entry, ok := m.members[update.ID]
 	var former Status
@@ -453,12 +453,12 @@
 		m.seedsStale = true
 	}
 	if former != update.Status && update.ID != m.self.ID {
-		m.changes = append(m.changes, Change{Member: update, Former: former})
+		m.changes = append(m.changes, Change{Member: update, Previous: former})
 	}
 }
 
 // tableDigest returns a hash of the live members that does not depend on their order.
-func (m *Machine) tableDigest() uint64 {
+func (m *StateMachine) tableDigest() uint64 {
 	if m.digestValid {
 		return m.digest
 	}
--- a/internal/membership/machine_test.go
+++ b/internal/membership/machine_test.go
@@ -16,7 +16,7 @@
 // advances them one tick at a time.
 type cluster struct {
 	now       time.Time
-	machines  map[string]*Machine
+	machines  map[string]*StateMachine
 	order     []string
 	byAddress map[string]string
 	down      map[string]bool
@@ -26,7 +26,7 @@
 
 func newCluster(size int, seed uint64) *cluster {
 	c := &cluster{
-		now: start, machines: map[string]*Machine{}, byAddress: map[string]string{},
+		now: start, machines: map[string]*StateMachine{}, byAddress: map[string]string{},
 		down: map[string]bool{}, paused: map[string]bool{},
 	}
 	var seeds []string
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -72,8 +72,8 @@
 
 // Change is a change of a member's status.
 type Change struct {
-	Member Member
-	Former Status
+	Member   Member
+	Previous Status
 }
 
 // Settings configures the failure detector.
--- a/internal/metering/clock.go
+++ b/internal/metering/clock.go
@@ -21,9 +21,9 @@
 type Clock struct {
 	// Now reads the machine's clock; its result must carry a monotonic clock reading.
 	Now func() time.Time
-	// Slept returns for how long the machine has been suspended, which the monotonic clock
+	// SuspendedTime returns for how long the machine has been suspended, which the monotonic clock
 	// does not count; nil if it never is.
-	Slept func() time.Duration
+	SuspendedTime func() time.Duration
 
 	mutex sync.Mutex
 	// base is the first reading and baseSuspended the suspended time up to it. offset is the
@@ -55,10 +55,10 @@
 // suspended returns the time for which the machine has been suspended, 0 if no function
 // reports it.
 func (c *Clock) suspended() time.Duration {
-	if c.Slept == nil {
+	if c.SuspendedTime == nil {
 		return 0
 	}
-	return c.Slept()
+	return c.SuspendedTime()
 }
 
 // adoptStep makes the difference to the wall clock the offset once it has persisted for
--- a/internal/metering/clock_test.go
+++ b/internal/metering/clock_test.go
@@ -53,7 +53,7 @@
 func TestClockCountsTheTimeOfASuspension(t *testing.T) {
 	suspended := time.Duration(0)
 	at := time.Now()
-	clock := &Clock{Now: func() time.Time { return at }, Slept: func() time.Duration { return suspended }}
+	clock := &Clock{Now: func() time.Time { return at }, SuspendedTime: func() time.Duration { return suspended }}
 	first := clock.Read()
 	// The monotonic clock stands still while the time of day advances.
 	suspended = 5 * time.Second
--- a/internal/metering/recorder.go
+++ b/internal/metering/recorder.go
@@ -27,10 +27,10 @@
 	Log       sharedlog.Log
 	Partition sharedlog.Partition
 	Clock     *Clock
-	// Pause returns the time for which counts are gathered before they are appended. Counts
+	// GatherInterval returns the time for which counts are gathered before they are appended. Counts
 	// that a process has not appended are lost when it is killed.
-	Pause  func() time.Duration
-	Logger *event.Logger
+	GatherInterval func() time.Duration
+	Logger         *event.Logger
 
 	mutex   sync.Mutex
 	counter *Counter
@@ -52,7 +52,7 @@
 
 // Run appends counts until ctx ends, and then once more.
 func (r *Recorder) Run(ctx context.Context) {
-	for wait.For(ctx, r.Pause()) {
+	for wait.For(ctx, r.GatherInterval()) {
 		r.save(ctx, saveTimeout)
 	}
 	r.save(context.WithoutCancel(ctx), finalSaveTimeout)
--- a/internal/metering/reporter.go
+++ b/internal/metering/reporter.go
@@ -38,7 +38,7 @@
 type Sender interface {
 	// ReportUsage sends a report under a permit and returns nil once the platform accepted
 	// the report. It is idempotent.
-	ReportUsage(ctx context.Context, permit duty.Right, report *pathbendv1.UsageReport) error
+	ReportUsage(ctx context.Context, permit duty.Permit, report *pathbendv1.UsageReport) error
 }
 
 // Reporter reports the usage of windows to the platform while this node holds the duty.
@@ -50,14 +50,14 @@
 	Sender    Sender
 	Clock     *Clock
 	Logger    *event.Logger
-	// Length is the length of a window; Late is how long after the end of a window its report
+	// WindowLength is the length of a window; Late is how long after the end of a window its report
 	// is due.
-	Length, Late time.Duration
-	// Gather returns the time for which recorders gather counts before they append them.
-	Gather func() time.Duration
-	// Observe is called after each attempt to send a report, with whether the platform
+	WindowLength, ReportDueAfter time.Duration
+	// GatherInterval returns the time for which recorders gather counts before they append them.
+	GatherInterval func() time.Duration
+	// OnReport is called after each attempt to send a report, with whether the platform
 	// accepted the report and the time since the end of its window; it may be nil.
-	Observe func(accepted bool, age time.Duration)
+	OnReport func(accepted bool, age time.Duration)
 
 	follower   *sharedlog.Follower
 	mutex      sync.Mutex
@@ -72,7 +72,7 @@
 		Pause: func() time.Duration { return pollInterval },
 	}
 	for wait.For(ctx, pollInterval) {
-		if r.Holder.MayAct(time.Now()) {
+		if r.Holder.IsHolder(time.Now()) {
 			r.reportWhileHolder(ctx)
 		}
 	}
@@ -80,7 +80,7 @@
 
 // reportWhileHolder reports windows for as long as this node holds the duty.
 func (r *Reporter) reportWhileHolder(ctx context.Context) {
-	for r.Holder.MayAct(time.Now()) {
+	for r.Holder.IsHolder(time.Now()) {
 		if r.follower.CatchUp(ctx) == nil {
 			r.reportDue(ctx)
 		}
@@ -105,7 +105,7 @@
 // The content of later ones is still decided, while their entries are recent.
 func (r *Reporter) reportDue(ctx context.Context) {
 	now := r.Clock.Read()
-	from := WindowAt(now, r.Length) - maxReportedWindows
+	from := WindowAt(now, r.WindowLength) - maxReportedWindows
 	sending := true
 	for _, number := range r.dueWindows(now, from) {
 		report := r.decide(ctx, number, now)
@@ -120,7 +120,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.aggregator.DropBefore(from)
-	return r.aggregator.DueWindows(now, r.Length, from)
+	return r.aggregator.DueWindows(now, r.WindowLength, from)
 }
 
 // decide returns the report to send for a window, nil if it is too early or the decision
@@ -132,9 +132,9 @@
 	if decided != nil {
 		return decided
 	}
-	age := now.Sub(number.End(r.Length))
-	gathered := age >= closeDelay+r.Gather()+readMargin
-	urgent := age >= r.Late-sendMargin
+	age := now.Sub(number.End(r.WindowLength))
+	gathered := age >= closeDelay+r.GatherInterval()+readMargin
+	urgent := age >= r.ReportDueAfter-sendMargin
 	if !urgent && !(gathered && complete) {
 		return nil
 	}
@@ -163,16 +163,16 @@
 // send claims the duty, sends the report, and records in the log that the platform accepted
 // it. It returns false if the report could not be sent.
 func (r *Reporter) send(ctx context.Context, report *pathbendv1.UsageReport) bool {
-	permit, ok := r.Holder.Claim(ctx, claimSubject)
+	permit, ok := r.Holder.AcquirePermit(ctx, claimSubject)
 	if !ok {
 		return false
 	}
 	callCtx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
 	err := r.Sender.ReportUsage(callCtx, permit, report)
-	age := r.Clock.Read().Sub(Window(report.Window).End(r.Length))
-	if r.Observe != nil {
-		r.Observe(err == nil, age)
+	age := r.Clock.Read().Sub(Window(report.Window).End(r.WindowLength))
+	if r.OnReport != nil {
+		r.OnReport(err == nil, age)
 	}
 	if err != nil {
 		r.Logger.Log(event.UsageUnsent, "window", report.Window, "fence", permit.Fence, "detail", err.Error())
--- a/internal/metering/reporter_test.go
+++ b/internal/metering/reporter_test.go
@@ -43,7 +43,7 @@
 	if l.unavailable {
 		return sharedlog.Batch{}, errUnavailable
 	}
-	return sharedlog.Batch{Records: l.records[from:], End: uint64(len(l.records))}, nil
+	return sharedlog.Batch{Records: l.records[from:], EndOffset: uint64(len(l.records))}, nil
 }
 
 func (l *memoryLog) setUnavailable(unavailable bool) {
@@ -61,17 +61,17 @@
 // fakeHolder is a duty holder whose state is set by the test.
 type fakeHolder struct {
 	mutex  sync.Mutex
-	permit duty.Right
+	permit duty.Permit
 	held   bool
 }
 
-func (h *fakeHolder) MayAct(time.Time) bool {
+func (h *fakeHolder) IsHolder(time.Time) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return h.held
 }
 
-func (h *fakeHolder) Claim(context.Context, string) (duty.Right, bool) {
+func (h *fakeHolder) AcquirePermit(context.Context, string) (duty.Permit, bool) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return h.permit, h.held
@@ -91,7 +91,7 @@
 	failing    bool
 }
 
-func (p *fakePlatform) ReportUsage(_ context.Context, _ duty.Right, report *pathbendv1.UsageReport) error {
+func (p *fakePlatform) ReportUsage(_ context.Context, _ duty.Permit, report *pathbendv1.UsageReport) error {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.failing {
@@ -129,11 +129,11 @@
 	gatherInterval := func() time.Duration { return 300 * time.Millisecond }
 	clock := &Clock{Now: time.Now}
 	recorder := NewRecorder(NewCounter(name, fencingToken, length, clock.Read()))
-	recorder.Log, recorder.Clock, recorder.Pause, recorder.Logger = c.log, clock, gatherInterval, event.Discard()
-	holder := &fakeHolder{permit: duty.Right{Holder: name, Fence: fencingToken}}
+	recorder.Log, recorder.Clock, recorder.GatherInterval, recorder.Logger = c.log, clock, gatherInterval, event.Discard()
+	holder := &fakeHolder{permit: duty.Permit{Holder: name, Fence: fencingToken}}
 	reporter := &Reporter{
 		Log: c.log, Observer: c.log, Holder: holder, Sender: c.platform, Clock: clock, Logger: event.Discard(),
-		Length: length, Late: reportDueAfter, Gather: gatherInterval,
+		WindowLength: length, ReportDueAfter: reportDueAfter, GatherInterval: gatherInterval,
 	}
 	go recorder.Run(ctx)
 	go reporter.Run(ctx)
@@ -259,7 +259,7 @@
 		clock := &Clock{Now: time.Now}
 		recorder := NewRecorder(NewCounter("n", 1, length, clock.Read()))
 		recorder.Log, recorder.Clock, recorder.Logger = unresponsiveLog{}, clock, event.Discard()
-		recorder.Pause = func() time.Duration { return time.Minute }
+		recorder.GatherInterval = func() time.Duration { return time.Minute }
 		recorder.Count("a", time.Now())
 		ctx, stop := context.WithCancel(t.Context())
 		stop()
--- a/internal/mutation/mutation.go
+++ b/internal/mutation/mutation.go
@@ -40,9 +40,9 @@
 	Arguments []string
 }
 
-// ExpectCaught runs the test of each mutant, with the edits applied by a build overlay, and
+// RequireDetected runs the test of each mutant, with the edits applied by a build overlay, and
 // requires it to fail other than by a build error.
-func (s Simulation) ExpectCaught(t *testing.T, mutants []Mutant) {
+func (s Simulation) RequireDetected(t *testing.T, mutants []Mutant) {
 	t.Helper()
 	root, err := filepath.Abs("../..")
 	require.NoError(t, err)
--- a/internal/network/reserve_test.go
+++ b/internal/network/reserve_test.go
@@ -11,7 +11,7 @@
 // it and bound it again later (TestSubmittedJobBringsBackTheVersion): on a loaded machine
 // another program could take the port in between.
 func TestReservedAddressIsNotAvailableToOthers(t *testing.T) {
-	reserved := NewReserved()
+	reserved := NewReservingNetwork()
 	address, err := reserved.Reserve()
 	require.NoError(t, err)
 	_, err = net.Listen("tcp", address)
@@ -26,7 +26,7 @@
 }
 
 func TestCloseFreesReservations(t *testing.T) {
-	reserved := NewReserved()
+	reserved := NewReservingNetwork()
 	address, err := reserved.Reserve()
 	require.NoError(t, err)
 	reserved.Close()
--- a/internal/network/transport.go
+++ b/internal/network/transport.go
@@ -20,13 +20,13 @@
 // names are assumed not to contain it.
 const incarnationSeparator = "--"
 
-// OfStart returns an address, for use in URLs of a transport, that identifies one
+// IncarnationAddress returns an address, for use in URLs of a transport, that identifies one
 // incarnation of the process that listens there. Transports keep connections by address;
 // the start time in the address prevents a connection to an earlier incarnation, which
 // may have ended behind a partition, from being used for a newer one. startedAtMs is the
 // start time in Unix milliseconds; if it is 0 (unknown), the address is returned
 // unchanged.
-func OfStart(address string, startedAtMs int64) string {
+func IncarnationAddress(address string, startedAtMs int64) string {
 	host, port, err := net.SplitHostPort(address)
 	if startedAtMs == 0 || err != nil {
 		return address
--- a/internal/network/transport_test.go
+++ b/internal/network/transport_test.go
@@ -26,7 +26,7 @@
 	}()
 	transport := NewTransport(TCP{}, 4)
 	send := func(startedAtMs int64) {
-		request, err := http.NewRequest(http.MethodGet, "http://"+OfStart(listener.Addr().String(), startedAtMs)+"/", nil)
+		request, err := http.NewRequest(http.MethodGet, "http://"+IncarnationAddress(listener.Addr().String(), startedAtMs)+"/", nil)
 		require.NoError(t, err)
 		response, err := transport.RoundTrip(request)
 		require.NoError(t, err)
@@ -48,11 +48,11 @@
 
 func TestIncarnationAddressRoundTrip(t *testing.T) {
 	for _, address := range []string{"10.0.0.1:80", "s0:90", "[::1]:80"} {
-		require.Equal(t, address, withoutIncarnation(OfStart(address, 1764700000123)))
-		require.Equal(t, address, OfStart(address, 0))
+		require.Equal(t, address, withoutIncarnation(IncarnationAddress(address, 1764700000123)))
+		require.Equal(t, address, IncarnationAddress(address, 0))
 	}
-	require.Equal(t, "no address", OfStart("no address", 3))
+	require.Equal(t, "no address", IncarnationAddress("no address", 3))
 	require.Equal(t, "no address", withoutIncarnation("no address"))
-	_, _, err := net.SplitHostPort(OfStart("10.0.0.1:80", 3))
+	_, _, err := net.SplitHostPort(IncarnationAddress("10.0.0.1:80", 3))
 	require.NoError(t, err)
 }
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -66,7 +66,7 @@
 	_, lastRead := n.follower.Lag()
 	status := Status{
 		Node: n.id, Zone: n.settings.Zone, UptimeSeconds: time.Since(n.startedAt).Seconds(),
-		Ready: n.Ready(), Draining: n.draining.Load(), ActiveRequest: n.gateway.Active(),
+		Ready: n.Ready(), Draining: n.draining.Load(), ActiveRequest: n.gateway.ActiveRequests(),
 		Revision: revision, LogLastRead: lastRead, Endpoints: n.fleet.Status(), Jobs: n.manager.Status(),
 		Admission: n.gate.Occupancy(), Keys: n.replicas.keys(),
 	}
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -89,7 +89,7 @@
 	}
 	p.running[target.ID] = true
 	p.group.Go(func() {
-		load, err := n.engines.Load(ctx, target.Address)
+		load, err := n.engines.FetchLoad(ctx, target.Address)
 		if err == nil {
 			n.fleet.RecordLoad(target.ID, load, time.Now())
 		}
--- a/internal/node/generate.go
+++ b/internal/node/generate.go
@@ -66,7 +66,7 @@
 
 // Generate implements rollout.Generator. It makes one attempt and returns the finish reason
 // of the last chunk.
-func (g *generator) Generate(ctx context.Context, tenantName, modelName string, start rollout.Start, progress rollout.Progress) (string, error) {
+func (g *generator) Generate(ctx context.Context, tenantName, modelName string, start rollout.AttemptRequest, progress rollout.Progress) (string, error) {
 	document, _ := g.node.Current()
 	if document == nil {
 		return "", errModelRemoved
@@ -89,7 +89,7 @@
 			Priority: min(minRolloutPriority+int(start.Age/rolloutPriorityInterval), maxRolloutPriority),
 		},
 		minVersion: start.MinVersion,
-		onPlaced:   progress.Placed,
+		onPlaced:   progress.EngineSelected,
 		onChunk: func(chunk engine.Chunk) error {
 			reason = chunk.FinishReason
 			if !progress.Chunk(chunk.Tokens, chunk.Version) {
@@ -125,7 +125,7 @@
 			request: engine.GenerateRequest{
 				RequestID: g.node.NewID(), Model: completion.Model.Name, Adapter: completion.Model.Adapter,
 				Prompt: completion.Prompt, MaxTokens: completion.MaxTokens, Seed: completion.Seed, ResumeTokens: delivered,
-				Priority: gateway.PriorityAtEngine(completion.Priority),
+				Priority: gateway.EnginePriority(completion.Priority),
 			},
 			onPlaced: func(id string) { engineID = id },
 			onChunk: func(chunk engine.Chunk) error {
@@ -157,7 +157,7 @@
 
 // run places an attempt on an engine, skips busy engines, and streams the generation.
 func (g *generator) run(ctx context.Context, a attempt) error {
-	release, err := g.node.suspects.guard.Enter(ctx, a.digest)
+	release, err := g.node.suspects.guard.Acquire(ctx, a.digest)
 	if err != nil {
 		return err
 	}
@@ -198,9 +198,9 @@
 func (g *generator) reportToQuarantine(ctx context.Context, endpoint *routing.Endpoint, a attempt, err error) {
 	switch {
 	case err == nil:
-		g.node.suspects.guard.Served(ctx, a.digest)
-	case ctx.Err() == nil && !isIntentionalEnd(err) && g.node.exchanger.BackEndEnded(ctx, endpoint.Address):
-		g.node.suspects.guard.Ended(ctx, a.digest(), endpoint.ID)
+		g.node.suspects.guard.ReportSuccess(ctx, a.digest)
+	case ctx.Err() == nil && !isIntentionalEnd(err) && g.node.exchanger.ProbeStopped(ctx, endpoint.Address):
+		g.node.suspects.guard.ReportCrash(ctx, a.digest(), endpoint.ID)
 	}
 }
 
@@ -216,7 +216,7 @@
 		return dispatch.Report{Ending: dispatch.Answered, Latency: latency}
 	}
 	neutral := ctx.Err() != nil || isIntentionalEnd(err)
-	return dispatch.Report{Ending: dispatch.Lost, Latency: latency, Neutral: neutral}
+	return dispatch.Report{Ending: dispatch.Lost, Latency: latency, HealthUnknown: neutral}
 }
 
 // stream runs an attempt on one engine and delivers its chunks. It records the weight version
@@ -241,7 +241,7 @@
 		}
 		if len(chunk.Tokens) > 0 && chunk.Version != lastVersion {
 			lastVersion = chunk.Version
-			g.node.fleet.NoteVersion(endpoint, a.request.Model, lastVersion)
+			g.node.fleet.RecordVersion(endpoint, a.request.Model, lastVersion)
 		}
 		if len(chunk.Tokens) > 0 && chunk.Version < a.minVersion {
 			return errStaleVersion
--- a/internal/node/jobs.go
+++ b/internal/node/jobs.go
@@ -139,8 +139,8 @@
 	return nil
 }
 
-// Announce implements gateway.Jobs. Announcing the current version again has no effect.
-func (j *jobs) Announce(_ context.Context, tenant, model string, version uint64) error {
+// AnnounceVersion implements gateway.Jobs. Announcing the current version again has no effect.
+func (j *jobs) AnnounceVersion(_ context.Context, tenant, model string, version uint64) error {
 	key := weights.ModelKey{Tenant: tenant, Model: model}
 	if !j.node.members.raiseVersion(key, version) {
 		if current := j.node.members.version(key); version < current {
@@ -249,7 +249,7 @@
 	if model == nil {
 		return rollout.Policy{}, result.New(result.UnknownModel, "tenant %q has no model %q", tenantName, modelName)
 	}
-	return rollout.PolicyOf(tenant.Spec.Capacity, model), nil
+	return rollout.NewPolicy(tenant.Spec.Capacity, model), nil
 }
 
 // handOver transfers every job of this node to the next member in rank. A job that no member
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -31,7 +31,7 @@
 	node *Node
 
 	mutex        sync.Mutex
-	stateMachine *membership.Machine
+	stateMachine *membership.StateMachine
 	versions     *weights.Versions
 	// cachedUsable is the result of usable as of the state machine's change number
 	// cachedAtChange.
@@ -112,7 +112,7 @@
 	return m.versions.Get(key)
 }
 
-func (m *members) announced() []weights.Announced {
+func (m *members) announced() []weights.AnnouncedVersion {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.versions.All()
@@ -134,7 +134,7 @@
 			return
 		}
 		m.mutex.Lock()
-		messages := m.stateMachine.Spread()
+		messages := m.stateMachine.Gossip()
 		m.mutex.Unlock()
 		m.sendAll(messages)
 	}
@@ -143,7 +143,7 @@
 // requestGossip wakes the gossip loop if there are unsent updates. The caller holds
 // m.mutex.
 func (m *members) requestGossip() {
-	if !m.stateMachine.Fresh() {
+	if !m.stateMachine.HasUnsent() {
 		return
 	}
 	select {
@@ -240,13 +240,13 @@
 			m.logRefutation(change)
 			continue
 		}
-		m.node.logger.Log(numbers[change.Member.Status], "member", change.Member.ID, "zone", change.Member.Zone, "former", change.Former.String())
+		m.node.logger.Log(numbers[change.Member.Status], "member", change.Member.ID, "zone", change.Member.Zone, "former", change.Previous.String())
 	}
 }
 
 // logRefutation logs that peers declared this node dead, which it has refuted.
 func (m *members) logRefutation(change membership.Change) {
-	if change.Former == membership.Dead {
+	if change.Previous == membership.Dead {
 		m.node.logger.Log(event.SelfDeclaredDead, "version", change.Member.Version)
 	}
 }
@@ -352,17 +352,17 @@
 // connections that this node opened.
 func (n *Node) PeerTraffic() (sent, received int64) { return n.peers.Traffic() }
 
-// Settled reports whether this node takes new work, is on the roster, knows at least the
+// Converged reports whether this node takes new work, is on the roster, knows at least the
 // given number of nodes that take new work, and is ready in all its shards.
-func (n *Node) Settled(nodes int) bool {
+func (n *Node) Converged(nodes int) bool {
 	ready, member := n.replicas.readyShards()
 	_, listed := n.roster()[n.id]
 	return n.Ready() && listed && n.members.usableCount() >= nodes && ready == member
 }
 
-// Sees returns the status of a member as known to this node, or the empty string if the
+// MemberStatusOf returns the status of a member as known to this node, or the empty string if the
 // member is unknown.
-func (n *Node) Sees(id string) string {
+func (n *Node) MemberStatusOf(id string) string {
 	member, ok := n.members.get(id)
 	if !ok {
 		return ""
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -57,7 +57,7 @@
 		_, received := n.peers.Traffic()
 		return float64(received)
 	})
-	m.register("pathbend_requests_active", "Requests in progress.", func() float64 { return float64(n.gateway.Active()) })
+	m.register("pathbend_requests_active", "Requests in progress.", func() float64 { return float64(n.gateway.ActiveRequests()) })
 	return m
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -115,13 +115,13 @@
 	n.follower = control.NewFollower(n, n.onStateChange, logger)
 	n.exchanger = dispatch.NewExchanger(transport)
 	n.suspects = newSuspects(n)
-	dispatcher := dispatch.NewDispatcher(n.exchanger, dispatch.OwnProtocol{}, n.fleet, n.suspects.guard, settings.Zone, n.NewID, logger)
+	dispatcher := dispatch.NewDispatcher(n.exchanger, dispatch.NativeProtocol{}, n.fleet, n.suspects.guard, settings.Zone, n.NewID, logger)
 	n.keyed = keyed.NewExecutor(n.id, n.replicas, dispatcher, n.NewID)
 	generator := &generator{node: n}
 	n.manager = rollout.NewManager(generator, logger)
 	n.jobs = &jobs{node: n}
 	n.gateway = gateway.New(gateway.Services{
-		Configuration: n, Admission: n.gate, Dispatcher: dispatcher, Keyed: n.keyed,
+		Configuration: n, Admission: n.gate, Dispatcher: dispatcher, IdempotentDispatcher: n.keyed,
 		Completer: generator, Jobs: n.jobs, Recorder: n.metrics, Logger: logger, NewID: n.NewID, NodeID: n.id,
 	})
 	return n, nil
@@ -227,7 +227,7 @@
 }
 
 func (n *Node) drain() {
-	n.logger.Log(event.NodeDraining, "active", n.gateway.Active())
+	n.logger.Log(event.NodeDraining, "active", n.gateway.ActiveRequests())
 	n.draining.Store(true)
 	n.members.leave()
 	n.gate.Close(result.New(result.Draining, "this node is leaving"))
@@ -238,7 +238,7 @@
 	select {
 	case <-idle:
 	case <-timer.C:
-		n.logger.Log(event.DrainTimedOut, "active", n.gateway.Active())
+		n.logger.Log(event.DrainTimedOut, "active", n.gateway.ActiveRequests())
 	}
 	n.leaveRoster()
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -36,7 +36,7 @@
 `
 
 // reserve returns an address with a free port.
-func reserve(t *testing.T, reserved *network.Reserved) string {
+func reserve(t *testing.T, reserved *network.ReservingNetwork) string {
 	t.Helper()
 	address, err := reserved.Reserve()
 	require.NoError(t, err)
@@ -50,7 +50,7 @@
 	platform := emulator.NewPlatform(0, 0, 1)
 	server := httptest.NewServer(platform.Handler())
 	address := strings.TrimPrefix(server.URL, "http://")
-	backEnd := httptest.NewServer(emulator.NewBackEnd("b-1", 0, emulator.NewTruth(), rand.New(rand.NewPCG(1, 1))))
+	backEnd := httptest.NewServer(emulator.NewBackEnd("b-1", 0, emulator.NewChecker(), rand.New(rand.NewPCG(1, 1))))
 	platform.SetMachine(fleet.Machine{ID: "b-1", Role: fleet.RoleBackEnd, Pool: "b", Address: strings.TrimPrefix(backEnd.URL, "http://")})
 	log := logstore.NewClient(network.TCP{}, address)
 	_, err := logstore.AppendRecord(context.Background(), log, &pathbendv1.Record{Id: "first", Body: &pathbendv1.Record_ConfigPublish{
@@ -59,7 +59,7 @@
 	require.NoError(t, err)
 	settings := DefaultSettings()
 	settings.Name, settings.Zone = "n", "z"
-	reserved := network.NewReserved()
+	reserved := network.NewReservingNetwork()
 	settings.HTTPAddress, settings.PeerAddress, settings.AdminAddress = reserve(t, reserved), reserve(t, reserved), reserve(t, reserved)
 	settings.LogAddress, settings.MachinesAddress = address, address
 	node, err := New(settings, reserved, event.Discard())
@@ -124,7 +124,7 @@
 	spec := rollout.Spec{JobID: "j", Model: "m", TrainerVersion: 7, Prompts: []rollout.Prompt{{Prompt: "p", Samples: 1, MaxTokens: 5}}}
 	require.NoError(t, n.jobs.Submit(context.Background(), "shop", spec))
 	require.Equal(t, uint64(7), n.members.version(weights.ModelKey{Tenant: "shop", Model: "m"}))
-	require.Error(t, n.jobs.Announce(context.Background(), "shop", "m", 6), "announced versions must not decrease")
+	require.Error(t, n.jobs.AnnounceVersion(context.Background(), "shop", "m", 6), "announced versions must not decrease")
 }
 
 func TestRankMovesJobToSecondMemberWhenFirstLeaves(t *testing.T) {
--- a/internal/node/quotas.go
+++ b/internal/node/quotas.go
@@ -28,7 +28,7 @@
 	mutex sync.Mutex
 	// ledgers, meters and shares are by the name of the tenant. ledgers divide the
 	// rates that this node owns, meters measure this node's demand.
-	ledgers map[string]*quota.Ledger
+	ledgers map[string]*quota.Allocator
 	meters  map[string]*quota.Meter
 	shares  map[string]grantedShare
 }
@@ -41,7 +41,7 @@
 
 func newQuotas(n *Node) *quotas {
 	return &quotas{
-		node: n, ledgers: make(map[string]*quota.Ledger), meters: make(map[string]*quota.Meter),
+		node: n, ledgers: make(map[string]*quota.Allocator), meters: make(map[string]*quota.Meter),
 		shares: make(map[string]grantedShare),
 	}
 }
@@ -53,7 +53,7 @@
 func (q *quotas) loop(ctx context.Context) {
 	var reports conc.WaitGroup
 	defer reports.Wait()
-	wait.Every(ctx, quota.Interval, func() {
+	wait.Every(ctx, quota.ReportInterval, func() {
 		revision := q.node.current.Load()
 		if revision == nil {
 			return
@@ -80,7 +80,7 @@
 		meter = &quota.Meter{}
 		q.meters[tenant] = meter
 	}
-	return meter.Observe(arrivals, quota.Interval)
+	return meter.Observe(arrivals, quota.ReportInterval)
 }
 
 // report reports demand to the owner of a tenant's rate and stores the share that the
@@ -98,7 +98,7 @@
 		}
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, quota.Interval)
+	ctx, cancel := context.WithTimeout(ctx, quota.ReportInterval)
 	defer cancel()
 	reply, err := q.node.peers.Call(ctx, owner.Address, &pathbendv1.Envelope{Body: &pathbendv1.Envelope_ShareRate{ShareRate: call}})
 	if err == nil {
@@ -109,7 +109,7 @@
 // setShare stores a share that was received now and applies it.
 func (q *quotas) setShare(tenant string, share float64) {
 	q.mutex.Lock()
-	q.shares[tenant] = grantedShare{requestsPerSecond: share, receivedAt: clock.Mark()}
+	q.shares[tenant] = grantedShare{requestsPerSecond: share, receivedAt: clock.CurrentMoment()}
 	q.mutex.Unlock()
 	if revision := q.node.current.Load(); revision != nil {
 		q.apply(revision.Document)
@@ -130,7 +130,7 @@
 	defer q.mutex.Unlock()
 	ledger, ok := q.ledgers[call.Tenant]
 	if !ok {
-		ledger = quota.NewLedger()
+		ledger = quota.NewAllocator()
 		q.ledgers[call.Tenant] = ledger
 	}
 	share := ledger.Report(time.Now(), call.From, call.Demand, tenant.Spec.Capacity.RequestsPerSecond)
@@ -138,7 +138,7 @@
 }
 
 // apply sets the admission limits of all tenants by this node's shares: the granted share
-// up to the age of quota.Lifetime, else an equal share of the rate.
+// up to the age of quota.ReportTTL, else an equal share of the rate.
 func (q *quotas) apply(document *config.Document) {
 	equalShare := 1 / float64(max(q.node.members.usableCount(), 1))
 	now := time.Now()
@@ -148,7 +148,7 @@
 	for _, tenant := range document.Tenants {
 		capacity := tenant.Spec.Capacity
 		share := equalShare
-		if granted, ok := q.shares[tenant.Name]; ok && granted.receivedAt.AgeAt(now) < quota.Lifetime {
+		if granted, ok := q.shares[tenant.Name]; ok && granted.receivedAt.AgeAt(now) < quota.ReportTTL {
 			share = granted.requestsPerSecond / capacity.RequestsPerSecond
 		}
 		limits[tenant.Name] = admission.Limits{
--- a/internal/node/replicas.go
+++ b/internal/node/replicas.go
@@ -294,7 +294,7 @@
 		outcome.Header.Add(header.Name, header.Value)
 	}
 	if encoded.Failure != nil {
-		outcome.Err = peer.ErrorOf(encoded.Failure)
+		outcome.Err = peer.ErrorFromFailure(encoded.Failure)
 	}
 	return outcome, true, nil
 }
@@ -315,7 +315,7 @@
 		}
 	}
 	if outcome.Err != nil {
-		encoded.Failure = peer.FailureOf(outcome.Err)
+		encoded.Failure = peer.NewFailure(outcome.Err)
 	}
 	return encoded
 }
--- a/internal/node/suspects.go
+++ b/internal/node/suspects.go
@@ -23,20 +23,20 @@
 }
 
 func newSuspects(n *Node) *suspects {
-	s := &suspects{node: n, guard: quarantine.NewGuard(quarantine.Requests(), n.logger)}
-	s.guard.SetTeller(s)
+	s := &suspects{node: n, guard: quarantine.NewGuard(quarantine.RequestPolicy(), n.logger)}
+	s.guard.SetPublisher(s)
 	return s
 }
 
-// Tell implements quarantine.Teller. It appends a record to the log.
-func (s *suspects) Tell(ctx context.Context, record quarantine.Record) {
-	quarantine.TellWithin(ctx, suspectAppendTimeout, func() {
+// Publish implements quarantine.Publisher. It appends a record to the log.
+func (s *suspects) Publish(ctx context.Context, record quarantine.Record) {
+	quarantine.RunWithin(ctx, suspectAppendTimeout, func() {
 		s.node.appendRecord(s.node.ctx, &pathbendv1.Record{Body: &pathbendv1.Record_Suspect{Suspect: quarantine.Encode(record, false)}})
 	})
 }
 
 // merge merges the records of the log into the guard. The caller holds the follower's mutex.
-func (s *suspects) merge(records *quarantine.Book) {
+func (s *suspects) merge(records *quarantine.Registry) {
 	s.guard.Expire()
 	for _, record := range records.All() {
 		s.guard.Merge(record)
--- a/internal/node/weights.go
+++ b/internal/node/weights.go
@@ -35,7 +35,7 @@
 
 	mutex sync.Mutex
 	// planners are by the name of the lease.
-	planners map[string]*weights.Plan
+	planners map[string]*weights.Planner
 	// appending is set for the leases with an append in progress.
 	appending map[string]bool
 	// holderMissingSince is the time since which a lease has had no live holder. Only
@@ -49,7 +49,7 @@
 
 func newWeightUpdater(n *Node) *weightUpdater {
 	return &weightUpdater{
-		node: n, triggers: make(chan struct{}, 1), planners: make(map[string]*weights.Plan),
+		node: n, triggers: make(chan struct{}, 1), planners: make(map[string]*weights.Planner),
 		appending: make(map[string]bool), holderMissingSince: make(map[string]time.Time), reachedVersions: make(map[string]uint64),
 	}
 }
@@ -116,7 +116,7 @@
 	defer w.mutex.Unlock()
 	planner, ok := w.planners[name]
 	if !ok {
-		planner = weights.NewPlan()
+		planner = weights.NewPlanner()
 		w.planners[name] = planner
 	}
 	for _, order := range planner.Next(time.Now(), states, target) {
@@ -189,7 +189,7 @@
 func (w *weightUpdater) target(tenant string, model *config.Model) weights.Target {
 	target := weights.Target{Adapter: model.Adapter, MinServingPercent: model.Switch.MinServingPercent}
 	if model.Version.Follow == "pinned" {
-		target.Version, target.Exact = model.Version.Pin, true
+		target.Version, target.Pinned = model.Version.Pin, true
 		return target
 	}
 	target.Version = w.node.members.version(weights.ModelKey{Tenant: tenant, Model: model.Name})
@@ -211,8 +211,8 @@
 
 // engineState returns the state of an engine by its load report. responding tells whether the
 // report is recent.
-func engineState(id string, model *config.Model, load engine.Load, responding bool) weights.EngineState {
-	state := weights.EngineState{ID: id, Asked: responding}
+func engineState(id string, model *config.Model, load engine.LoadReport, responding bool) weights.EngineState {
+	state := weights.EngineState{ID: id, Responding: responding}
 	for _, held := range load.Models {
 		if held.Model != model.Name {
 			continue
@@ -226,7 +226,7 @@
 }
 
 // execute sends an order to an engine with the lease's fencing token and records the result.
-func (w *weightUpdater) execute(ctx context.Context, planner *weights.Plan, model *config.Model, engines []fleet.Engine, order weights.Order, target weights.Target, token uint64) {
+func (w *weightUpdater) execute(ctx context.Context, planner *weights.Planner, model *config.Model, engines []fleet.Engine, order weights.Order, target weights.Target, token uint64) {
 	address := ""
 	for _, candidate := range engines {
 		if candidate.ID == order.EngineID {
@@ -234,10 +234,10 @@
 		}
 	}
 	w.node.logger.Log(event.WeightsOrdered, "engine", order.EngineID, "order", int(order.Kind), "version", target.Version, "fence", token)
-	err := w.node.engines.Order(ctx, address, engineOrder(model, order, target, token))
+	err := w.node.engines.SendOrder(ctx, address, engineOrder(model, order, target, token))
 	// The next order depends on the versions that the engine holds now, whether or not
 	// the order succeeded.
-	if load, loadErr := w.node.engines.Load(ctx, address); loadErr == nil {
+	if load, loadErr := w.node.engines.FetchLoad(ctx, address); loadErr == nil {
 		w.node.fleet.RecordLoad(order.EngineID, load, time.Now())
 	}
 	if err != nil && ctx.Err() == nil {
@@ -255,7 +255,7 @@
 
 // engineOrder returns the order in the form that the engine client sends.
 func engineOrder(model *config.Model, order weights.Order, target weights.Target, token uint64) engine.Order {
-	actions := map[weights.Kind]engine.Action{
+	actions := map[weights.OrderKind]engine.Action{
 		weights.Load: engine.ActionLoad, weights.Switch: engine.ActionSwitch, weights.LoadAdapter: engine.ActionLoadAdapter,
 	}
 	return engine.Order{
--- a/internal/ownership/doc.go
+++ b/internal/ownership/doc.go
@@ -7,5 +7,5 @@
 // other goroutines read the state under a mutex. Inputs are the group, the capacities that
 // nodes announced, and whether this node is prepared to execute jobs. The package calls the
 // group and the callback that hands over running work. Code that executes jobs or sends
-// orders to samplers calls Executes or MayOrder before each step.
+// orders to samplers calls ShouldExecute or OrderFencingToken before each step.
 package ownership
--- a/internal/ownership/holder.go
+++ b/internal/ownership/holder.go
@@ -24,7 +24,7 @@
 	// partition.
 	assignmentPollInterval = 100 * time.Millisecond
 	// renewTimeout is the timeout of one renewal, including all of its calls, and of any
-	// other call to the group. It is extended by Group.Beyond.
+	// other call to the group. It is extended by Group.ExtraLatency.
 	renewTimeout = 600 * time.Millisecond
 	// renewHedgeDelay is the time without a response after which another call is sent for the
 	// same renewal, up to maxConcurrentRenewals calls. The log service responds in about 5 ms,
@@ -63,27 +63,27 @@
 // Capacities provides the capacities that nodes announced.
 type Capacities interface {
 	// Announced returns the announced capacities. ok is false until the log was read once.
-	Announced() (announced Announcements, ok bool)
+	Announced() (announced NodeCapacities, ok bool)
 }
 
-// Announcements are the capacities of nodes in thousandths of a core, as an election needs
+// NodeCapacities are the capacities of nodes in thousandths of a core, as an election needs
 // them.
-type Announcements struct {
+type NodeCapacities struct {
 	// Largest is the largest known capacity.
 	Largest uint64
-	// Nodes is the number of nodes.
-	Nodes int
-	// Of returns the capacity of a node, 0 if it is unknown.
-	Of func(node string) uint64
+	// NodeCount is the number of nodes.
+	NodeCount int
+	// CapacityOf returns the capacity of a node, 0 if it is unknown.
+	CapacityOf func(node string) uint64
 }
 
-// Candidacy tells an election whether this node is prepared to execute jobs.
-type Candidacy interface {
-	// Candidate reports whether this node is one of the nodes that prepare to execute jobs,
+// Preparation tells an election whether this node is prepared to execute jobs.
+type Preparation interface {
+	// IsCandidate reports whether this node is one of the nodes that prepare to execute jobs,
 	// and the number of such nodes.
-	Candidate() (isCandidate bool, candidates int)
-	// Able reports whether the node holds all data that it needs to execute.
-	Able() bool
+	IsCandidate() (isCandidate bool, candidates int)
+	// Ready reports whether the node holds all data that it needs to execute.
+	Ready() bool
 	// Prepare makes the node load that data and keep it up to date.
 	Prepare()
 	// Release allows the node to drop that data.
@@ -93,20 +93,20 @@
 // Group assigns the partitions to its members.
 type Group interface {
 	sharedlog.Group
-	// Beyond returns how much longer the group's responses take than those of a service in
+	// ExtraLatency returns how much longer the group's responses take than those of a service in
 	// the same data center.
-	Beyond() time.Duration
-	// Away returns the round-trip time to the group.
-	Away() time.Duration
+	ExtraLatency() time.Duration
+	// RoundTripTime returns the round-trip time to the group.
+	RoundTripTime() time.Duration
 }
 
 // Callbacks notify the node of changes to its assignment.
 type Callbacks struct {
-	// HandOver saves the state of running work before the node leaves the group.
-	HandOver func(ctx context.Context)
-	// Changed is called when the set of held partitions changes. It is called with the
+	// BeforeRelease saves the state of running work before the node leaves the group.
+	BeforeRelease func(ctx context.Context)
+	// OnChange is called when the set of held partitions changes. It is called with the
 	// Holder's mutex held and must not call the Holder's methods.
-	Changed func()
+	OnChange func()
 }
 
 // Holder maintains this node's assignment of the job partitions. It is safe for concurrent
@@ -116,11 +116,11 @@
 	group      Group
 	capacities Capacities
 	// candidacy tells whether this node is prepared to execute. It is nil if all nodes are.
-	candidacy Candidacy
+	candidacy Preparation
 	callbacks Callbacks
 	logger    *event.Logger
 
-	candidate election.Standing
+	candidate election.Candidate
 	// nextObserveAt is the time of the next observation of the owners.
 	nextObserveAt time.Time
 
@@ -137,7 +137,7 @@
 
 // New returns a holder without partitions. candidacy is nil if all nodes are prepared to
 // execute.
-func New(settings Settings, group Group, announced Capacities, candidacy Candidacy, callbacks Callbacks, logger *event.Logger) *Holder {
+func New(settings Settings, group Group, announced Capacities, candidacy Preparation, callbacks Callbacks, logger *event.Logger) *Holder {
 	return &Holder{
 		settings: settings, group: group, capacities: announced, candidacy: candidacy, callbacks: callbacks, logger: logger,
 		held: make(map[int]struct{}),
@@ -173,29 +173,29 @@
 		return false
 	}
 	view := election.View{Largest: announced.Largest}
-	candidates := announced.Nodes
+	candidates := announced.NodeCount
 	if o.candidacy != nil {
-		isCandidate, count := o.candidacy.Candidate()
-		if view.Reserve = !isCandidate; isCandidate {
+		isCandidate, count := o.candidacy.IsCandidate()
+		if view.Standby = !isCandidate; isCandidate {
 			candidates = count
 		}
-		view.Unready = !o.candidacy.Able()
+		view.NotReady = !o.candidacy.Ready()
 	}
-	large := view.Regular(o.settings.Millicores) && !view.Reserve
+	large := view.IsLarge(o.settings.Millicores) && !view.Standby
 	stale := o.candidate.Joined() && !o.renewedWithin(o.settings.TTL, now)
 	if !stale && (now.Before(o.nextObserveAt) || large && o.hasValidAssignment(o.settings.Partition, now)) {
 		return o.candidate.Joined()
 	}
 	o.nextObserveAt = now.Add(withJitter(observeInterval(candidates, large)))
-	callCtx, cancel := context.WithTimeout(ctx, renewTimeout+o.group.Beyond())
+	callCtx, cancel := context.WithTimeout(ctx, renewTimeout+o.group.ExtraLatency())
 	defer cancel()
 	owners, err := o.group.Owners(callCtx, o.settings.Group)
 	if err != nil {
 		return o.candidate.Joined() && !stale
 	}
 	before := o.candidate.Joined()
-	view.Owners, view.Far = o.electionOwners(owners, announced), o.group.Away() > farRoundTrip
-	o.candidate.Look(view, o.settings.Millicores)
+	view.Owners, view.FarFromLog = o.electionOwners(owners, announced), o.group.RoundTripTime() > farRoundTrip
+	o.candidate.Observe(view, o.settings.Millicores)
 	o.prepare(view)
 	if joined := o.candidate.Joined(); joined != before {
 		o.logger.Log(event.StandingChanged, "joins", joined, "millicores", o.settings.Millicores, "largest", view.Largest,
@@ -212,7 +212,7 @@
 func (o *Holder) prepare(view election.View) {
 	switch {
 	case o.candidacy == nil:
-	case o.candidate.Joined() || o.candidate.Wanted(view, o.settings.Millicores):
+	case o.candidate.Joined() || o.candidate.ShouldJoin(view, o.settings.Millicores):
 		o.candidacy.Prepare()
 	default:
 		o.candidacy.Release()
@@ -241,9 +241,9 @@
 	// capacityPollInterval is the interval at which a node that has not read the announced
 	// capacities yet checks for them.
 	capacityPollInterval = 20 * time.Millisecond
-	// ShortestLook is the minimum interval between observations of the owners by a large
+	// MinObserveInterval is the minimum interval between observations of the owners by a large
 	// node, and minSmallNodeObserveInterval that by a small one.
-	ShortestLook                = 300 * time.Millisecond
+	MinObserveInterval          = 300 * time.Millisecond
 	minSmallNodeObserveInterval = time.Second
 	// observeIntervalPerNode and smallNodeObserveIntervalPerNode lengthen the interval in
 	// proportion to the number of nodes, so that all nodes together send no more than a few
@@ -256,7 +256,7 @@
 // of a number of nodes.
 func observeInterval(nodes int, large bool) time.Duration {
 	if large {
-		return max(ShortestLook, time.Duration(nodes)*observeIntervalPerNode)
+		return max(MinObserveInterval, time.Duration(nodes)*observeIntervalPerNode)
 	}
 	return max(minSmallNodeObserveInterval, time.Duration(nodes)*smallNodeObserveIntervalPerNode)
 }
@@ -269,15 +269,15 @@
 }
 
 // electionOwners converts the owners of the topic's partitions to those of an election.
-func (o *Holder) electionOwners(owners []sharedlog.Owner, announced Announcements) []election.Owner {
+func (o *Holder) electionOwners(owners []sharedlog.Owner, announced NodeCapacities) []election.Owner {
 	var converted []election.Owner
 	for _, owner := range owners {
 		if owner.Partition.Topic != o.settings.Topic {
 			continue
 		}
 		converted = append(converted, election.Owner{
-			Millicores: announced.Of(owner.Member), Self: owner.Member == o.settings.Member,
-			Jobs: owner.Partition.Number == o.settings.Partition,
+			Millicores: announced.CapacityOf(owner.Member), Self: owner.Member == o.settings.Member,
+			OwnsJobs: owner.Partition.Number == o.settings.Partition,
 		})
 	}
 	return converted
@@ -301,7 +301,7 @@
 // renew renews the assignment once. It reports whether the generation changed and needs to
 // be confirmed.
 func (o *Holder) renew(ctx context.Context) (changed bool) {
-	callCtx, cancel := context.WithTimeout(ctx, renewTimeout+o.group.Beyond())
+	callCtx, cancel := context.WithTimeout(ctx, renewTimeout+o.group.ExtraLatency())
 	defer cancel()
 	o.mutex.Lock()
 	generation := o.generation
@@ -323,30 +323,30 @@
 		o.logger.Log(event.GroupContactRegained, "generation", response.assignment.Generation, "after_ms", (o.renewedAt.Age() - response.sentAt.Age()).Milliseconds())
 	}
 	o.contactLost = false
-	o.Take(response.assignment, response.sentAt)
+	o.ApplyAssignment(response.assignment, response.sentAt)
 	return response.assignment.Generation != generation
 }
 
 // joinResponse is the response to one call of a renewal.
 type joinResponse struct {
-	assignment sharedlog.Share
+	assignment sharedlog.Assignment
 	// sentAt is when the call was sent. The TTL of the assignment starts at that time.
 	sentAt clock.Moment
 }
 
 // join makes the calls of one renewal, and hedges calls without a response.
 func (o *Holder) join(ctx context.Context, generation uint64) (joinResponse, error) {
-	hedging := hedge.Call{Most: maxConcurrentRenewals, After: func() time.Duration { return renewHedgeDelay + o.group.Beyond() }}
+	hedging := hedge.Policy{MaxCalls: maxConcurrentRenewals, Delay: func() time.Duration { return renewHedgeDelay + o.group.ExtraLatency() }}
 	return hedge.First(ctx, hedging, func(int) (joinResponse, error) {
-		sentAt := clock.Mark()
+		sentAt := clock.CurrentMoment()
 		assignment, err := o.group.Join(ctx, o.settings.Group, o.settings.Member, o.settings.Topic, o.settings.TTL, generation)
 		return joinResponse{assignment: assignment, sentAt: sentAt}, err
 	})
 }
 
-// Take applies an assignment whose request was sent at a given time. It does not lock: Run
+// ApplyAssignment applies an assignment whose request was sent at a given time. It does not lock: Run
 // calls it with o.mutex held.
-func (o *Holder) Take(assignment sharedlog.Share, sentAt clock.Moment) {
+func (o *Holder) ApplyAssignment(assignment sharedlog.Assignment, sentAt clock.Moment) {
 	held := make(map[int]struct{}, len(assignment.Partitions))
 	for _, partition := range assignment.Partitions {
 		held[partition.Number] = struct{}{}
@@ -357,40 +357,40 @@
 	changed := !maps.Equal(held, o.held)
 	o.generation, o.held, o.renewedAt = assignment.Generation, held, sentAt
 	if changed {
-		o.callbacks.Changed()
+		o.callbacks.OnChange()
 	}
 }
 
-// Executes reports whether this node is to execute the jobs of a partition. It remains true
+// ShouldExecute reports whether this node is to execute the jobs of a partition. It remains true
 // for isolationTimeout after the last renewal.
-func (o *Holder) Executes(partition int, now time.Time) bool {
+func (o *Holder) ShouldExecute(partition int, now time.Time) bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	_, held := o.held[partition]
 	return held && !o.left && o.renewedAt.AgeAt(now) < isolationTimeout
 }
 
-// OutOfTouch reports whether this node still holds its partition although the assignment
+// AssignmentExpired reports whether this node still holds its partition although the assignment
 // expired, so that another node may hold it already.
-func (o *Holder) OutOfTouch(now time.Time) bool {
+func (o *Holder) AssignmentExpired(now time.Time) bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	_, held := o.held[o.settings.Partition]
 	return held && o.renewedAt.AgeAt(now) > o.settings.TTL+OrderMargin
 }
 
-// Yield drops the assignment without contacting the group. It is called when the node has
+// Relinquish drops the assignment without contacting the group. It is called when the node has
 // learned from another source that another node executes.
-func (o *Holder) Yield() {
+func (o *Holder) Relinquish() {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.held = make(map[int]struct{})
 }
 
-// MayOrder returns the fencing token for orders, and whether the assignment permits this
+// OrderFencingToken returns the fencing token for orders, and whether the assignment permits this
 // node to send orders at a given time. A holder that does not know yet that its partition
 // was reassigned finds out when it announces an order in the log.
-func (o *Holder) MayOrder(partition int, now time.Time) (fencingToken uint64, ok bool) {
+func (o *Holder) OrderFencingToken(partition int, now time.Time) (fencingToken uint64, ok bool) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	_, held := o.held[partition]
@@ -412,16 +412,16 @@
 // releaseAssignment hands over running work and leaves the group. Callers clear the held
 // partitions first, so that no new work starts meanwhile.
 func (o *Holder) releaseAssignment(ctx context.Context) {
-	o.callbacks.HandOver(ctx)
-	callCtx, cancel := context.WithTimeout(ctx, renewTimeout+o.group.Beyond())
+	o.callbacks.BeforeRelease(ctx)
+	callCtx, cancel := context.WithTimeout(ctx, renewTimeout+o.group.ExtraLatency())
 	defer cancel()
 	if err := o.group.Leave(callCtx, o.settings.Group, o.settings.Member); err != nil {
-		o.logger.Log(event.GroupContactLost, "generation", o.Current(), "detail", err.Error())
+		o.logger.Log(event.GroupContactLost, "generation", o.Generation(), "detail", err.Error())
 	}
 }
 
-// Current returns the generation of the last assignment.
-func (o *Holder) Current() uint64 {
+// Generation returns the generation of the last assignment.
+func (o *Holder) Generation() uint64 {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	return o.generation
--- a/internal/ownership/holder_test.go
+++ b/internal/ownership/holder_test.go
@@ -13,7 +13,7 @@
 	"github.com/pathbend/pathbend/internal/sharedlog"
 )
 
-var noCallbacks = Callbacks{HandOver: func(context.Context) {}, Changed: func() {}}
+var noCallbacks = Callbacks{BeforeRelease: func(context.Context) {}, OnChange: func() {}}
 
 func settingsOf(member string, millicores uint64) Settings {
 	const ttl = 1500 * time.Millisecond
@@ -23,8 +23,8 @@
 // announcedCapacities maps the names of nodes to their capacities in millicores.
 type announcedCapacities map[string]uint64
 
-func (a announcedCapacities) Announced() (Announcements, bool) {
-	known := Announcements{Nodes: len(a), Of: func(node string) uint64 { return a[node] }}
+func (a announcedCapacities) Announced() (NodeCapacities, bool) {
+	known := NodeCapacities{NodeCount: len(a), CapacityOf: func(node string) uint64 { return a[node] }}
 	for _, millicores := range a {
 		known.Largest = max(known.Largest, millicores)
 	}
@@ -50,7 +50,7 @@
 // holder may observe the owners before the first statement of the test function.
 func runHolderWithOwners(t *testing.T, settings Settings, known announcedCapacities, owners []sharedlog.Owner, test func(o *Holder, group *ownershiptest.Group)) {
 	t.Helper()
-	group := &ownershiptest.Group{Share: ownershiptest.Holding(4, 0), Owned: owners}
+	group := &ownershiptest.Group{Assignment: ownershiptest.NewAssignment(4, 0), Owned: owners}
 	o := New(settings, group, known, nil, noCallbacks, event.Discard())
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -63,12 +63,12 @@
 func TestHolderExecutesAndOrdersUnderItsGeneration(t *testing.T) {
 	runHolder(t, func(o *Holder, _ *ownershiptest.Group) {
 		time.Sleep(10 * time.Millisecond)
-		require.True(t, o.Executes(0, time.Now()))
-		require.False(t, o.Executes(1, time.Now()))
-		fence, ok := o.MayOrder(0, time.Now())
+		require.True(t, o.ShouldExecute(0, time.Now()))
+		require.False(t, o.ShouldExecute(1, time.Now()))
+		fence, ok := o.OrderFencingToken(0, time.Now())
 		require.True(t, ok)
 		require.EqualValues(t, 4, fence)
-		_, ok = o.MayOrder(1, time.Now())
+		_, ok = o.OrderFencingToken(1, time.Now())
 		require.False(t, ok)
 	})
 }
@@ -78,14 +78,14 @@
 		time.Sleep(4 * time.Second)
 		group.Set(func() { group.Down = true })
 		time.Sleep(1400 * time.Millisecond)
-		_, ok := o.MayOrder(0, time.Now())
+		_, ok := o.OrderFencingToken(0, time.Now())
 		require.False(t, ok, "another node may hold the partition 1.5 s after the last renewal")
-		require.True(t, o.Executes(0, time.Now()), "the log may be unavailable to all nodes")
+		require.True(t, o.ShouldExecute(0, time.Now()), "the log may be unavailable to all nodes")
 		time.Sleep(isolationTimeout)
-		require.False(t, o.Executes(0, time.Now()))
+		require.False(t, o.ShouldExecute(0, time.Now()))
 		group.Set(func() { group.Down = false })
 		time.Sleep(time.Second)
-		require.True(t, o.Executes(0, time.Now()))
+		require.True(t, o.ShouldExecute(0, time.Now()))
 	})
 }
 
@@ -93,7 +93,7 @@
 	runHolder(t, func(o *Holder, group *ownershiptest.Group) {
 		time.Sleep(4 * time.Second)
 		resumed := time.Now().Add(5 * time.Second) // the loop did not run meanwhile
-		_, ok := o.MayOrder(0, resumed)
+		_, ok := o.OrderFencingToken(0, resumed)
 		require.False(t, ok)
 	})
 }
@@ -113,10 +113,10 @@
 func TestReassignedPartitionIsReleasedAtOnce(t *testing.T) {
 	runHolder(t, func(o *Holder, group *ownershiptest.Group) {
 		time.Sleep(4 * time.Second)
-		group.Set(func() { group.Share = ownershiptest.Holding(5, 3) })
+		group.Set(func() { group.Assignment = ownershiptest.NewAssignment(5, 3) })
 		time.Sleep(time.Second)
-		require.False(t, o.Executes(0, time.Now()))
-		_, ok := o.MayOrder(0, time.Now())
+		require.False(t, o.ShouldExecute(0, time.Now()))
+		_, ok := o.OrderFencingToken(0, time.Now())
 		require.False(t, ok)
 	})
 }
@@ -126,11 +126,11 @@
 		time.Sleep(4 * time.Second)
 		o.Leave(context.Background())
 		require.True(t, group.HasLeft())
-		require.False(t, o.Executes(0, time.Now()))
+		require.False(t, o.ShouldExecute(0, time.Now()))
 		joined := group.Joins()
 		time.Sleep(3 * time.Second)
 		require.LessOrEqual(t, group.Joins(), joined+1, "the holder must not join again")
-		require.False(t, o.Executes(0, time.Now()))
+		require.False(t, o.ShouldExecute(0, time.Now()))
 	})
 }
 
@@ -141,7 +141,7 @@
 	runHolder(t, func(o *Holder, group *ownershiptest.Group) {
 		time.Sleep(4 * time.Second)
 		before := group.Joins()
-		group.Set(func() { group.Share = ownershiptest.Holding(5) })
+		group.Set(func() { group.Assignment = ownershiptest.NewAssignment(5) })
 		for group.Joins() == before {
 			time.Sleep(time.Millisecond)
 		}
@@ -166,12 +166,12 @@
 			group.Set(func() { group.Owned = nil })
 			time.Sleep(3 * time.Second)
 			require.Positive(t, group.Joins(), "no other node executes")
-			require.True(t, o.Executes(0, time.Now()))
+			require.True(t, o.ShouldExecute(0, time.Now()))
 
 			group.Set(func() { group.Owned = []sharedlog.Owner{{Partition: jobPartition(3), Member: "large"}} })
 			time.Sleep(2 * time.Second)
 			require.True(t, group.HasLeft())
-			require.False(t, o.Executes(0, time.Now()))
+			require.False(t, o.ShouldExecute(0, time.Now()))
 		})
 	})
 }
@@ -207,7 +207,7 @@
 			group.Set(func() { group.Owned = nil })
 			time.Sleep(time.Second)
 			require.Positive(t, group.Joins())
-			require.True(t, o.Executes(0, time.Now()))
+			require.True(t, o.ShouldExecute(0, time.Now()))
 		})
 	})
 }
@@ -219,13 +219,13 @@
 	timeToExecute := func(roundTrip time.Duration) time.Duration {
 		var elapsed time.Duration
 		synctest.Test(t, func(t *testing.T) {
-			group := &ownershiptest.Group{Share: ownershiptest.Holding(1, 0), RoundTrip: roundTrip}
+			group := &ownershiptest.Group{Assignment: ownershiptest.NewAssignment(1, 0), RoundTrip: roundTrip}
 			o := New(settingsOf("n", 0), group, announcedCapacities{}, nil, noCallbacks, event.Discard())
 			ctx, cancel := context.WithCancel(t.Context())
 			done := make(chan struct{})
 			began := time.Now()
 			go func() { defer close(done); o.Run(ctx) }()
-			for !o.Executes(0, time.Now()) {
+			for !o.ShouldExecute(0, time.Now()) {
 				time.Sleep(time.Millisecond)
 			}
 			elapsed = time.Since(began)
@@ -234,6 +234,6 @@
 		})
 		return elapsed
 	}
-	require.Less(t, timeToExecute(16*time.Millisecond), ShortestLook/2)
-	require.Greater(t, timeToExecute(94*time.Millisecond), ShortestLook/2)
+	require.Less(t, timeToExecute(16*time.Millisecond), MinObserveInterval/2)
+	require.Greater(t, timeToExecute(94*time.Millisecond), MinObserveInterval/2)
 }
--- a/internal/ownership/ownershiptest/group.go
+++ b/internal/ownership/ownershiptest/group.go
@@ -13,9 +13,9 @@
 // Topic is the topic whose partitions the fake group assigns.
 const Topic = "pathbend-jobs"
 
-// Holding returns an assignment of partitions of Topic.
-func Holding(generation uint64, partitions ...int) sharedlog.Share {
-	assignment := sharedlog.Share{Generation: generation}
+// NewAssignment returns an assignment of partitions of Topic.
+func NewAssignment(generation uint64, partitions ...int) sharedlog.Assignment {
+	assignment := sharedlog.Assignment{Generation: generation}
 	for _, number := range partitions {
 		assignment.Partitions = append(assignment.Partitions, sharedlog.Partition{Topic: Topic, Number: number})
 	}
@@ -26,15 +26,15 @@
 // changes or reads the exported fields only within Set while a node uses the group.
 type Group struct {
 	mutex sync.Mutex
-	// Share is the assignment that Join returns.
-	Share sharedlog.Share
+	// Assignment is the assignment that Join returns.
+	Assignment sharedlog.Assignment
 	// Owned are the owners that Owners returns.
 	Owned []sharedlog.Owner
 	// Down makes Join and Owners fail with LogUnavailable.
 	Down bool
 	// Delay is the duration of a Join call.
 	Delay time.Duration
-	// RoundTrip is the round-trip time that Away returns.
+	// RoundTrip is the round-trip time that RoundTripTime returns.
 	RoundTrip time.Duration
 	// JoinCalls is the number of Join calls.
 	JoinCalls int
@@ -51,15 +51,15 @@
 }
 
 // Join implements sharedlog.Group.
-func (g *Group) Join(ctx context.Context, _, _, _ string, _ time.Duration, generation uint64) (sharedlog.Share, error) {
+func (g *Group) Join(ctx context.Context, _, _, _ string, _ time.Duration, generation uint64) (sharedlog.Assignment, error) {
 	g.mutex.Lock()
-	delay, down, assignment := g.Delay, g.Down, g.Share
+	delay, down, assignment := g.Delay, g.Down, g.Assignment
 	g.JoinCalls++
 	g.lastGeneration = generation
 	g.mutex.Unlock()
 	time.Sleep(delay)
 	if down {
-		return sharedlog.Share{}, result.New(result.LogUnavailable, "down")
+		return sharedlog.Assignment{}, result.New(result.LogUnavailable, "down")
 	}
 	return assignment, ctx.Err()
 }
@@ -101,8 +101,8 @@
 	return g.lastGeneration
 }
 
-// Beyond implements ownership.Group. It returns 0, as for a service in the same data center.
-func (g *Group) Beyond() time.Duration { return 0 }
+// ExtraLatency implements ownership.Group. It returns 0, as for a service in the same data center.
+func (g *Group) ExtraLatency() time.Duration { return 0 }
 
-// Away implements ownership.Group.
-func (g *Group) Away() time.Duration { return g.RoundTrip }
+// RoundTripTime implements ownership.Group.
+func (g *Group) RoundTripTime() time.Duration { return g.RoundTrip }
