--- a/internal/ownership/renewal_test.go
+++ b/internal/ownership/renewal_test.go
@@ -24,16 +24,16 @@
 	responseInterval int
 }
 
-func (g *lossyGroup) Join(ctx context.Context, _, _, _ string, _ time.Duration, _ uint64) (sharedlog.Share, error) {
+func (g *lossyGroup) Join(ctx context.Context, _, _, _ string, _ time.Duration, _ uint64) (sharedlog.Assignment, error) {
 	g.mutex.Lock()
 	g.calls++
 	responds := g.calls%g.responseInterval == 0
 	g.mutex.Unlock()
 	if responds {
-		return ownershiptest.Holding(4, 0), nil
+		return ownershiptest.NewAssignment(4, 0), nil
 	}
 	<-ctx.Done()
-	return sharedlog.Share{}, result.New(result.LogUnknown, "no response")
+	return sharedlog.Assignment{}, result.New(result.LogUnknown, "no response")
 }
 
 // Guards against assignments that expire because responses are lost. When half of the log
@@ -50,7 +50,7 @@
 		time.Sleep(time.Second)
 		for range 100 {
 			time.Sleep(100 * time.Millisecond)
-			_, may := o.MayOrder(0, time.Now())
+			_, may := o.OrderFencingToken(0, time.Now())
 			require.True(t, may)
 		}
 		cancel()
@@ -76,21 +76,21 @@
 	t.Cleanup(clock.Simulate(func() time.Duration { return suspended }))
 	runHolder(t, func(o *Holder, group *ownershiptest.Group) {
 		time.Sleep(4 * time.Second)
-		_, ok := o.MayOrder(0, time.Now())
+		_, ok := o.OrderFencingToken(0, time.Now())
 		require.True(t, ok)
-		require.True(t, o.Executes(0, time.Now()))
+		require.True(t, o.ShouldExecute(0, time.Now()))
 		group.Set(func() { group.Down = true })
 		suspended += 2 * time.Second
-		_, ok = o.MayOrder(0, time.Now())
+		_, ok = o.OrderFencingToken(0, time.Now())
 		require.False(t, ok)
 		require.False(t, o.hasValidAssignment(0, time.Now()))
-		require.True(t, o.OutOfTouch(time.Now()))
-		require.True(t, o.Executes(0, time.Now()), "until the isolation timeout")
+		require.True(t, o.AssignmentExpired(time.Now()))
+		require.True(t, o.ShouldExecute(0, time.Now()), "until the isolation timeout")
 		suspended += isolationTimeout
-		require.False(t, o.Executes(0, time.Now()))
+		require.False(t, o.ShouldExecute(0, time.Now()))
 		group.Set(func() { group.Down = false })
 		time.Sleep(time.Second)
-		_, ok = o.MayOrder(0, time.Now())
+		_, ok = o.OrderFencingToken(0, time.Now())
 		require.True(t, ok, "the assignment was renewed")
 	})
 }
@@ -103,7 +103,7 @@
 		time.Sleep(4 * time.Second)
 		group.Set(func() { group.Down = true })
 		time.Sleep(4 * time.Second)
-		require.True(t, o.OutOfTouch(time.Now()))
+		require.True(t, o.AssignmentExpired(time.Now()))
 		before := 0
 		group.Set(func() {
 			group.Down = false
@@ -112,6 +112,6 @@
 		})
 		time.Sleep(time.Second)
 		require.Equal(t, before, group.Joins())
-		require.False(t, o.Executes(0, time.Now()))
+		require.False(t, o.ShouldExecute(0, time.Now()))
 	})
 }
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -54,8 +54,8 @@
 	return err
 }
 
-// FailureOf converts an error to the Failure that is sent to a peer.
-func FailureOf(err error) *pathbendv1.Failure {
+// NewFailure converts an error to the Failure that is sent to a peer.
+func NewFailure(err error) *pathbendv1.Failure {
 	typed := result.From(err)
 	return &pathbendv1.Failure{
 		Code:         int32(typed.Code),
@@ -65,8 +65,8 @@
 	}
 }
 
-// ErrorOf converts a Failure received from a peer to an error.
-func ErrorOf(failure *pathbendv1.Failure) *result.Error {
+// ErrorFromFailure converts a Failure received from a peer to an error.
+func ErrorFromFailure(failure *pathbendv1.Failure) *result.Error {
 	return &result.Error{
 		Code:       result.Code(failure.Code),
 		Detail:     failure.Detail,
--- a/internal/peer/pool.go
+++ b/internal/peer/pool.go
@@ -60,7 +60,7 @@
 		return nil, err
 	}
 	if failure := reply.Failure; failure != nil {
-		return nil, ErrorOf(failure)
+		return nil, ErrorFromFailure(failure)
 	}
 	return reply, nil
 }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -153,7 +153,7 @@
 func (s *Server) answer(ctx context.Context, writer *frameWriter, call *pathbendv1.Envelope) {
 	reply, err := s.handler.HandlePeer(ctx, call)
 	if err != nil {
-		reply = &pathbendv1.Envelope{Failure: FailureOf(err)}
+		reply = &pathbendv1.Envelope{Failure: NewFailure(err)}
 	}
 	reply.CallId = call.CallId
 	reply.Reply = true
--- a/internal/platformsim/cloud.go
+++ b/internal/platformsim/cloud.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// reportWindow is the length of a usage window; its report is due usageLate after the
+	// reportWindow is the length of a usage window; its report is due usageReportTimeout after the
 	// window ends.
-	reportWindow = 5 * time.Second
-	usageLate    = 10 * time.Second
-	cloudLatency = 4 * time.Millisecond
-	cloudMachine = "cloud"
-	cloudPort    = ":83"
-	// mostSamplers is the maximum number of samplers that may be ordered in a zone.
-	mostSamplers = 12
+	reportWindow       = 5 * time.Second
+	usageReportTimeout = 10 * time.Second
+	cloudLatency       = 4 * time.Millisecond
+	cloudMachine       = "cloud"
+	cloudPort          = ":83"
+	// maxSamplersPerZone is the maximum number of samplers that may be ordered in a zone.
+	maxSamplersPerZone = 12
 )
 
 // CloudFaults are the faults of the platform's API. The zero value injects none.
@@ -40,8 +40,8 @@
 	at           time.Time
 }
 
-// cloudTruth records the calls that the platform's API received.
-type cloudTruth struct {
+// cloudHistory records the calls that the platform's API received.
+type cloudHistory struct {
 	lastCalls map[string]cloudCall
 	// reportedCounts holds the first report of each window, reportedAt when it arrived.
 	reportedCounts map[int64]map[string]uint64
@@ -52,16 +52,16 @@
 	counted       map[string]bool
 }
 
-func newCloudTruth() cloudTruth {
-	return cloudTruth{
+func newCloudHistory() cloudHistory {
+	return cloudHistory{
 		lastCalls: make(map[string]cloudCall), reportedCounts: make(map[int64]map[string]uint64), reportedAt: make(map[int64]time.Time),
 		startedCounts: make(map[int64]map[string]uint64), counted: make(map[string]bool),
 	}
 }
 
-// Began records that a back end started a request, and counts it in the current usage window
+// RequestStarted records that a back end started a request, and counts it in the current usage window
 // of its tenant. Further attempts of the request do not count.
-func (t *Truth) Began(id string) {
+func (t *Checker) RequestStarted(id string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	tenant := t.tenants[id]
@@ -78,32 +78,32 @@
 
 // checkExclusiveCall checks the fencing token of a call that only one node at a time may make,
 // and that the call comes from the holder that it names. The caller holds t.mutex.
-func (t *Truth) checkExclusiveCall(subject, node string, call cloudCall) {
+func (t *Checker) checkExclusiveCall(subject, node string, call cloudCall) {
 	last, known := t.cloud.lastCalls[subject]
 	t.cloud.lastCalls[subject] = call
-	if !known || call.at.Before(t.ordersExcused) || !t.inTouch("", call.at) {
+	if !known || call.at.Before(t.ordersIgnoredUntil) || !t.inTouch("", call.at) {
 		return
 	}
 	switch {
 	case call.fencingToken < last.fencingToken:
-		t.broken("ONE", "%s calls %s with fencing token %d after %s with %d", call.holder, subject, call.fencingToken, last.holder, last.fencingToken)
+		t.recordViolation("ONE", "%s calls %s with fencing token %d after %s with %d", call.holder, subject, call.fencingToken, last.holder, last.fencingToken)
 	case call.holder != last.holder && call.fencingToken == last.fencingToken:
-		t.broken("ONE", "%s and %s share fencing token %d for %s", last.holder, call.holder, call.fencingToken, subject)
+		t.recordViolation("ONE", "%s and %s share fencing token %d for %s", last.holder, call.holder, call.fencingToken, subject)
 	}
-	if call.holder != node && !t.nameless {
-		t.broken("ONE", "call of holder %s for %s comes from node %s", call.holder, subject, node)
+	if call.holder != node && !t.nodesUnidentified {
+		t.recordViolation("ONE", "call of holder %s for %s comes from node %s", call.holder, subject, node)
 	}
 }
 
 // UsageReported checks a usage report: repeated reports of a window must be equal.
-func (t *Truth) UsageReported(node string, call cloudCall, report platform.UsageDocument) {
+func (t *Checker) UsageReported(node string, call cloudCall, report platform.UsageDocument) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.checkExclusiveCall("usage", node, call)
 	first, known := t.cloud.reportedCounts[report.Window]
 	if known {
 		if !maps.Equal(first, report.Counts) {
-			t.broken("ONE", "usage window %d is reported as %v and as %v", report.Window, first, report.Counts)
+			t.recordViolation("ONE", "usage window %d is reported as %v and as %v", report.Window, first, report.Counts)
 		}
 		return
 	}
@@ -111,13 +111,13 @@
 	t.counts["windows reported"]++
 }
 
-// MissedUsage lists the usage windows between two times whose report is missing, late or wrong.
-func (t *Truth) MissedUsage(from, until time.Time) []string {
+// InvalidUsageReports lists the usage windows between two times whose report is missing, late or wrong.
+func (t *Checker) InvalidUsageReports(from, until time.Time) []string {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	var invalid []string
 	for window := from.UnixNano()/int64(reportWindow) + 1; window < until.UnixNano()/int64(reportWindow); window++ {
-		due := time.Unix(0, (window+1)*int64(reportWindow)).Add(usageLate)
+		due := time.Unix(0, (window+1)*int64(reportWindow)).Add(usageReportTimeout)
 		name := strconv.FormatInt(window, 10)
 		switch at, known := t.cloud.reportedAt[window]; {
 		case !known:
@@ -139,21 +139,21 @@
 		if json.Unmarshal(body, &report) != nil {
 			return false
 		}
-		w.Truth.UsageReported(node, call, report)
+		w.Checker.UsageReported(node, call, report)
 		return true
 	case platform.PathScale:
 		var order platform.ScaleDocument
-		if json.Unmarshal(body, &order) != nil || order.Desired > mostSamplers || order.Service != modelService {
+		if json.Unmarshal(body, &order) != nil || order.Desired > maxSamplersPerZone || order.Service != modelService {
 			return false
 		}
-		w.Truth.ScaleOrdered(node, call, order)
+		w.Checker.ScaleOrdered(node, call, order)
 		return true
 	}
 	return false
 }
 
 // ScaleOrdered checks an order of samplers. The order has no effect on the number of samplers.
-func (t *Truth) ScaleOrdered(node string, call cloudCall, order platform.ScaleDocument) {
+func (t *Checker) ScaleOrdered(node string, call cloudCall, order platform.ScaleDocument) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.checkExclusiveCall("scale/"+order.Service+"/"+order.Zone, node, call)
@@ -172,13 +172,13 @@
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	fencingToken, err := strconv.ParseUint(request.Header.Get(platform.HeaderFence), 10, 64)
-	call := cloudCall{holder: request.Header.Get(platform.HeaderHolder), fencingToken: fencingToken, at: time.Now()}
+	fencingToken, err := strconv.ParseUint(request.Header.Get(platform.HeaderFenceToken), 10, 64)
+	call := cloudCall{holder: request.Header.Get(platform.HeaderDutyHolder), fencingToken: fencingToken, at: time.Now()}
 	if err != nil || call.holder == "" || !w.handleExclusiveCall(request.URL.Path, hostOf(request.RemoteAddr), call, body) {
 		writer.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	if w.Store.draw(faults.LossRatio) {
+	if w.Store.randomChance(faults.LossRatio) {
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/internal/platformsim/cold.go
+++ b/internal/platformsim/cold.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// coldTime is how long a sampler stays cold after a restart.
-	coldTime = 3 * time.Second
+	// coldDuration is how long a sampler stays cold after a restart.
+	coldDuration = 3 * time.Second
 	// coldRequestsPerSecond is the rate that a cold sampler supports. Times a factor and plus an
 	// allowance it gives maxColdRequests, the limit of the rule on cold samplers: 12 requests in
 	// any second.
 	coldRequestsPerSecond = 6.0
-	coldOver              = 1.5
-	coldSlack             = 3.0
-	maxColdRequests       = coldRequestsPerSecond*coldOver + coldSlack
+	coldFactor            = 1.5
+	coldAllowance         = 3.0
+	maxColdRequests       = coldRequestsPerSecond*coldFactor + coldAllowance
 	// A cold sampler that receives more than overloadThreshold requests in a second drops
 	// all requests for overloadDuration.
 	overloadThreshold = 2 * coldRequestsPerSecond
@@ -32,13 +32,13 @@
 	overloadedUntil time.Time
 }
 
-// left returns the remaining duration of the cold phase, 0 if the sampler is warm.
-func (c *coldState) left(now time.Time) time.Duration { return max(c.until.Sub(now), 0) }
+// remaining returns the remaining duration of the cold phase, 0 if the sampler is warm.
+func (c *coldState) remaining(now time.Time) time.Duration { return max(c.until.Sub(now), 0) }
 
 // recordArrival counts a request and returns how many arrived in the last second and in the
 // last window, both 0 if the sampler is warm.
 func (c *coldState) recordArrival(now time.Time, window time.Duration) (second, within int) {
-	if c.left(now) == 0 {
+	if c.remaining(now) == 0 {
 		c.arrivals = nil
 		return 0, 0
 	}
@@ -64,88 +64,88 @@
 func (s *Sampler) MakeCold() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.cold.until = time.Now().Add(coldTime)
+	s.cold.until = time.Now().Add(coldDuration)
 }
 
-// takeCold records a request that arrived from a node. It reports whether the sampler drops
+// recordColdRequest records a request that arrived from a node. It reports whether the sampler drops
 // the request because it is overloaded.
-func (s *Sampler) takeCold(node string) (overloaded bool) {
-	window := s.truth.sendWindow()
+func (s *Sampler) recordColdRequest(node string) (overloaded bool) {
+	window := s.checker.sendWindow()
 	s.mutex.Lock()
 	now := time.Now()
 	second, count := s.cold.recordArrival(now, window)
 	overloaded = now.Before(s.cold.overloadedUntil)
 	s.mutex.Unlock()
 	if second > 0 {
-		s.truth.ColdRequestArrived(s.ID, node, count)
+		s.checker.ColdRequestArrived(s.ID, node, count)
 	}
 	return overloaded
 }
 
 // sendWindow returns arrivalWindow less the recent wake-up delay: requests that arrive within
 // it were sent within a second, even if they were delayed on this machine.
-func (t *Truth) sendWindow() time.Duration {
+func (t *Checker) sendWindow() time.Duration {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return arrivalWindow - t.lateness(time.Now())
+	return arrivalWindow - t.recentWakeDelay(time.Now())
 }
 
 // ColdRequestArrived checks the number of requests that a cold sampler received in a second,
 // the last of them from node. It is not checked shortly after a link of the node held traffic,
 // since requests that were sent at different times then arrive together.
-func (t *Truth) ColdRequestArrived(sampler, node string, count int) {
+func (t *Checker) ColdRequestArrived(sampler, node string, count int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.counts["requests to cold samplers"]++
-	if float64(count) > maxColdRequests && time.Since(t.lastHeld(node)) > touchTime {
-		t.broken("FAILBACK", "%d requests within a second reached cold sampler %s, the last from %s", count, sampler, node)
+	if float64(count) > maxColdRequests && time.Since(t.lastHeld(node)) > minUndisturbedTime {
+		t.recordViolation("FAILBACK", "%d requests within a second reached cold sampler %s, the last from %s", count, sampler, node)
 	}
 }
 
 // lastHeld returns when links last held traffic of a node. The caller holds t.mutex.
-func (t *Truth) lastHeld(node string) time.Time {
-	if t.nameless {
-		return t.held[""]
+func (t *Checker) lastHeld(node string) time.Time {
+	if t.nodesUnidentified {
+		return t.heldTrafficAt[""]
 	}
-	return t.held[node]
+	return t.heldTrafficAt[node]
 }
 
-// Held records that links held the traffic of a machine until now.
-func (t *Truth) Held(machine string) {
+// RecordHeldTraffic records that links held the traffic of a machine until now.
+func (t *Checker) RecordHeldTraffic(machine string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if t.nameless {
+	if t.nodesUnidentified {
 		machine = ""
 	}
-	t.held[machine] = time.Now()
+	t.heldTrafficAt[machine] = time.Now()
 }
 
-// returnCold stops all samplers of a zone and starts them again, cold, once the fault is over.
+// restartZoneCold stops all samplers of a zone and starts them again, cold, once the fault is over.
 // Their entries expire in the meantime if the fault lasts long enough.
-func (w *World) returnCold(fault Fault, zone string) {
+func (w *World) restartZoneCold(fault Fault, zone string) {
 	var stopped []*samplerMachine
 	for _, machine := range w.samplers {
-		if machine.spec.Zone == zone && w.claim(machine) {
-			w.takeDown(machine)
+		if machine.spec.Zone == zone && w.reserve(machine) {
+			w.markDown(machine)
 			_ = machine.server.Close()
-			w.network.Crash(machine.host)
+			w.environment.Crash(machine.host)
 			stopped = append(stopped, machine)
 		}
 	}
-	entryLifetime := silentBeats * heartbeat
+	entryLifetime := entryExpiryHeartbeats * heartbeatInterval
 	time.Sleep(min(fault.For, entryLifetime))
 	if fault.For > entryLifetime {
 		for _, machine := range stopped {
-			machine.sampler.Remove()
+			machine.sampler.Deregister()
 		}
 		time.Sleep(fault.For - entryLifetime)
 	}
 	for _, machine := range stopped {
 		previous := machine.sampler
-		w.network.Restore(machine.host)
+		w.environment.Restore(machine.host)
 		w.startSampler(machine)
-		previous.Remove()
-		w.unclaim(machine)
+		previous.Deregister()
+		w.release(machine)
 	}
 }
 
@@ -160,6 +160,6 @@
 
 // withColdStart adds the duration of the cold phase and the supported rate to a service.
 func withColdStart(document platform.ServiceDocument) platform.ServiceDocument {
-	document.ColdStartS, document.ColdPerS = coldTime.Seconds(), coldRequestsPerSecond
+	document.ColdDurationS, document.ColdRequestsPerS = coldDuration.Seconds(), coldRequestsPerSecond
 	return document
 }
--- a/internal/platformsim/crashing.go
+++ b/internal/platformsim/crashing.go
@@ -29,8 +29,8 @@
 	crashAttempts = 2
 )
 
-// crashTruth records the crashes that one request caused.
-type crashTruth struct {
+// crashHistory records the crashes that one request caused.
+type crashHistory struct {
 	count int
 	// thresholdReachedAt is when the number of crashes reached crashThreshold.
 	thresholdReachedAt time.Time
@@ -38,35 +38,35 @@
 	sendsAfterThreshold int
 }
 
-// crashes reports whether a request body crashes every back end that runs it.
-func crashes(body []byte) bool { return bytes.Contains(body, []byte(crashMarker)) }
+// isCrashingBody reports whether a request body crashes every back end that runs it.
+func isCrashingBody(body []byte) bool { return bytes.Contains(body, []byte(crashMarker)) }
 
-// crashRun checks the arrival of a crashing request at a sampler, and crashes the sampler after
+// crashUnderRequest checks the arrival of a crashing request at a sampler, and crashes the sampler after
 // its work time.
-func (w *World) crashRun(sampler *Sampler, key, node string) {
-	w.Truth.checkCrashingRequest(key, node)
-	time.Sleep(sampler.Work)
+func (w *World) crashUnderRequest(sampler *Sampler, key, node string) {
+	w.Checker.checkCrashingRequest(key, node)
+	time.Sleep(sampler.ServiceTime)
 	w.crashProcess(sampler, key)
 }
 
 // checkCrashingRequest reports a violation if undisturbed nodes send a request that reached
 // crashThreshold to samplers more than maxSendsAfterThreshold times.
-func (t *Truth) checkCrashingRequest(key, node string) {
+func (t *Checker) checkCrashingRequest(key, node string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	history := t.crashing[key]
 	if history == nil {
-		history = &crashTruth{}
+		history = &crashHistory{}
 		t.crashing[key] = history
 	}
 	now := time.Now()
 	t.counts[countCrashingRequests]++
-	if history.count < crashThreshold || now.Sub(history.thresholdReachedAt) <= touchTime+t.allowance(now) || !t.inTouch(node, now) {
+	if history.count < crashThreshold || now.Sub(history.thresholdReachedAt) <= minUndisturbedTime+t.tolerance(now) || !t.inTouch(node, now) {
 		return
 	}
 	history.sendsAfterThreshold++
 	if history.sendsAfterThreshold == maxSendsAfterThreshold+1 {
-		t.broken("BUDGET", "%s reached samplers %d times, sent by undisturbed nodes, %v after it had crashed %d samplers",
+		t.recordViolation("BUDGET", "%s reached samplers %d times, sent by undisturbed nodes, %v after it had crashed %d samplers",
 			key, history.sendsAfterThreshold, now.Sub(history.thresholdReachedAt), crashThreshold)
 	}
 }
@@ -78,7 +78,7 @@
 )
 
 // recordCrash counts a crash that a request caused.
-func (t *Truth) recordCrash(key string) {
+func (t *Checker) recordCrash(key string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	history := t.crashing[key]
@@ -95,26 +95,26 @@
 	w.mutex.Lock()
 	var machine *samplerMachine
 	for _, candidate := range w.samplers {
-		if candidate.sampler == sampler && !candidate.down && !candidate.claimed {
+		if candidate.sampler == sampler && !candidate.down && !candidate.reserved {
 			machine = candidate
-			machine.claimed, machine.down = true, true
+			machine.reserved, machine.down = true, true
 		}
 	}
 	w.mutex.Unlock()
 	if machine == nil {
 		return
 	}
-	w.Truth.recordCrash(key)
-	endDisruption := w.Truth.Trouble(AtSamplers, "crashing request", time.Now().Add(crashRestartDelay), false)
+	w.Checker.recordCrash(key)
+	endDisruption := w.Checker.RecordDisruption(PlaceSamplers, "crashing request", time.Now().Add(crashRestartDelay), false)
 	// Close also cuts the open connections.
 	_ = machine.server.Close()
-	w.work.Go(func() {
+	w.background.Go(func() {
 		defer endDisruption()
 		time.Sleep(crashRestartDelay)
-		w.unclaim(machine)
+		w.release(machine)
 		w.startSampler(machine)
-		time.Sleep(silentBeats*heartbeat - crashRestartDelay)
-		sampler.Remove()
+		time.Sleep(entryExpiryHeartbeats*heartbeatInterval - crashRestartDelay)
+		sampler.Deregister()
 	})
 }
 
@@ -126,15 +126,15 @@
 	for ctx.Err() == nil {
 		for range crashAttempts {
 			id := fmt.Sprintf("k%x", c.random.Uint64())
-			c.world.Truth.Claims(id, c.tenant)
-			c.world.Truth.BindRegion(id, c.boundRegion(""))
+			c.world.Checker.RecordTenant(id, c.tenant)
+			c.world.Checker.BindRegion(id, c.boundRegion(""))
 			header := http.Header{
-				platform.HeaderRequestID: {id},
-				platform.HeaderDeadline:  {strconv.FormatInt(requestDeadline.Milliseconds(), 10)},
+				platform.HeaderRequestID:  {id},
+				platform.HeaderDeadlineMs: {strconv.FormatInt(requestDeadline.Milliseconds(), 10)},
 			}
 			result, err := c.call(ctx, http.MethodPost, path, header, body)
 			if err == nil && guaranteesNotRun(result.status) {
-				c.world.Truth.Count("crashing requests refused")
+				c.world.Checker.Count("crashing requests refused")
 			}
 		}
 		wait.For(ctx, crashInterval)
--- a/internal/platformsim/crashing_test.go
+++ b/internal/platformsim/crashing_test.go
@@ -25,11 +25,11 @@
 func TestRequestThatCrashesItsSamplersIsHeldBack(t *testing.T) {
 	for _, kind := range crashingKinds {
 		faults := []Fault{{Kind: kind, At: 2 * time.Second, For: 40 * time.Second, Target: 1}}
-		world := play(t, example(500+uint64(kind), nil), faults)
-		counts := fmt.Sprint(kind, world.Truth.counts)
-		require.Empty(t, world.Truth.Violations(), counts)
-		require.GreaterOrEqual(t, world.Truth.counts[countCrashes], crashThreshold, counts)
-		require.Positive(t, world.Truth.counts["steps whole"], counts)
+		world := runSimulation(t, exampleOptions(500+uint64(kind), nil), faults)
+		counts := fmt.Sprint(kind, world.Checker.counts)
+		require.Empty(t, world.Checker.Violations(), counts)
+		require.GreaterOrEqual(t, world.Checker.counts[countCrashes], crashThreshold, counts)
+		require.Positive(t, world.Checker.counts["steps whole"], counts)
 	}
 }
 
@@ -39,10 +39,10 @@
 	for seed := *firstSeed; seed < *firstSeed+*crashingSeeds; seed++ {
 		t.Run(fmt.Sprint("seed=", seed), func(t *testing.T) {
 			t.Parallel()
-			faults := addCrashingFaults(seed, Draw(seed, faultTime, *faultsRun))
-			world := play(t, example(seed, nil), faults)
-			require.Empty(t, world.Truth.Violations(), "%v", faults)
-			require.Positive(t, world.Truth.counts["steps whole"], "%v", faults)
+			faults := addCrashingFaults(seed, RandomFaults(seed, faultTime, *faultCount))
+			world := runSimulation(t, exampleOptions(seed, nil), faults)
+			require.Empty(t, world.Checker.Violations(), "%v", faults)
+			require.Positive(t, world.Checker.counts["steps whole"], "%v", faults)
 		})
 	}
 }
@@ -74,9 +74,9 @@
 	for i, kind := range crashingKinds {
 		faults = append(faults, Fault{Kind: kind, At: time.Duration(2+3*i) * time.Second, For: 35 * time.Second, Target: seed})
 	}
-	logs := &lines{}
-	world := play(t, example(seed, logs), faults)
-	require.Empty(t, world.Truth.Violations())
+	logs := &logBuffer{}
+	world := runSimulation(t, exampleOptions(seed, logs), faults)
+	require.Empty(t, world.Checker.Violations())
 	quarantined, crashCounts := make(map[string]bool), make(map[string]int)
 	for decoder := json.NewDecoder(strings.NewReader(logs.String())); ; {
 		var line quarantineLogLine
--- a/internal/platformsim/entries.go
+++ b/internal/platformsim/entries.go
@@ -14,18 +14,18 @@
 // restartWithSameID stops a sampler and restarts it with the same id and address. After the
 // restart, the previous incarnation writes its outdated entry once more.
 func (w *World) restartWithSameID(fault Fault, machine *samplerMachine) {
-	if !w.claim(machine) {
+	if !w.reserve(machine) {
 		return
 	}
-	defer w.unclaim(machine)
+	defer w.release(machine)
 	previous := machine.sampler
-	w.takeDown(machine)
+	w.markDown(machine)
 	_ = machine.server.Close()
-	w.network.Crash(machine.host)
+	w.environment.Crash(machine.host)
 	time.Sleep(restartDelay)
-	w.network.Restore(machine.host)
+	w.environment.Restore(machine.host)
 	w.startSamplerAs(machine, previous.ID)
-	w.Truth.Count("samplers reborn")
+	w.Checker.Count("samplers reborn")
 	time.Sleep(restartDelay)
 	previous.register()
 	time.Sleep(fault.For)
@@ -62,21 +62,21 @@
 // keys, records that are truncated within their key, and an invalid entry under a sampler's key.
 // That sampler keeps running but is no longer listed, and must get no new requests.
 func (w *World) writeForeignEntries(fault Fault, machine *samplerMachine) {
-	if !w.claim(machine) {
+	if !w.reserve(machine) {
 		return
 	}
-	defer w.unclaim(machine)
-	w.takeDown(machine)
+	defer w.release(machine)
+	w.markDown(machine)
 	sampler := machine.sampler
-	values := invalidEntries(sampler.snapshotDocument())
+	values := invalidEntries(sampler.registryEntry())
 	for i, value := range values {
 		w.Store.Put(platform.TopicSamplers, fmt.Sprintf("foreign-%d-%d", fault.Target, i), value)
 	}
 	w.Store.PutRaw(platform.TopicSamplers, []byte{200, 'x'})
 	w.Store.PutRaw(platform.TopicSamplers, nil)
 	w.Store.Put(platform.TopicSamplers, sampler.ID, values[int(fault.Target)%len(values)])
-	w.Truth.Gone(sampler.ID)
-	w.Truth.Count("foreign entries")
+	w.Checker.RecordSamplerGone(sampler.ID)
+	w.Checker.Count("foreign entries")
 	time.Sleep(fault.For)
 	_ = machine.server.Close()
 	w.startSampler(machine)
--- a/internal/platformsim/entries_test.go
+++ b/internal/platformsim/entries_test.go
@@ -12,12 +12,12 @@
 func TestSamplersRestartUnderTheirIDs(t *testing.T) {
 	var faults []Fault
 	for sampler := range uint64(9) {
-		faults = append(faults, Fault{Kind: SamplerReborn, At: time.Duration(4+4*sampler) * time.Second, For: 2 * time.Second, Target: sampler})
+		faults = append(faults, Fault{Kind: SamplerRestarted, At: time.Duration(4+4*sampler) * time.Second, For: 2 * time.Second, Target: sampler})
 	}
-	logs := &lines{}
-	world := play(t, example(310, logs), faults)
-	require.Empty(t, world.Truth.Violations())
-	counts := world.Truth.counts
+	logs := &logBuffer{}
+	world := runSimulation(t, exampleOptions(310, logs), faults)
+	require.Empty(t, world.Checker.Violations())
+	counts := world.Checker.counts
 	require.Equal(t, 9, counts["samplers reborn"], counts)
 	require.GreaterOrEqual(t, counts["steps whole"], counts["steps"]-2, counts)
 	require.Contains(t, logs.String(), `"msg":"endpoint_restarted"`)
@@ -29,14 +29,14 @@
 	faults := []Fault{
 		{Kind: ForeignEntries, At: 4 * time.Second, For: 6 * time.Second, Target: 1},
 		{Kind: ForeignEntries, At: 12 * time.Second, For: 6 * time.Second, Target: 7},
-		{Kind: KillAll, At: 15 * time.Second, For: 2 * time.Second},
-		{Kind: StoreForgets, At: 20 * time.Second},
+		{Kind: KillAllNodes, At: 15 * time.Second, For: 2 * time.Second},
+		{Kind: StoreDropsHistory, At: 20 * time.Second},
 		{Kind: ForeignEntries, At: 26 * time.Second, For: 6 * time.Second, Target: 12},
 	}
-	logs := &lines{}
-	world := play(t, example(311, logs), faults)
-	require.Empty(t, world.Truth.Violations())
-	counts := world.Truth.counts
+	logs := &logBuffer{}
+	world := runSimulation(t, exampleOptions(311, logs), faults)
+	require.Empty(t, world.Checker.Violations())
+	counts := world.Checker.counts
 	require.Equal(t, 3, counts["foreign entries"], counts)
 	require.GreaterOrEqual(t, counts["steps whole"], counts["steps"]-4, counts)
 	require.Contains(t, logs.String(), `"msg":"record_skipped"`)
--- a/internal/platformsim/evacuation.go
+++ b/internal/platformsim/evacuation.go
@@ -6,9 +6,9 @@
 	"github.com/pathbend/pathbend/platform"
 )
 
-// evacuateBound is the time after which an evacuated zone must receive nothing. The rule allows
+// evacuationDeadline is the time after which an evacuated zone must receive nothing. The rule allows
 // 5 s; the shorter bound also finds violations that would only just pass it.
-const evacuateBound = 2 * time.Second
+const evacuationDeadline = 2 * time.Second
 
 // evacuateZones evacuates one or two zones, depending on the fault's target, for the duration of
 // the fault.
@@ -32,21 +32,21 @@
 func (w *World) adjustEvacuations(zone string, change int) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	previous := w.evacuated[zone]
-	w.evacuated[zone] = previous + change
+	previous := w.evacuationCounts[zone]
+	w.evacuationCounts[zone] = previous + change
 	switch {
 	case previous == 0:
 		w.Store.Put(platform.TopicOperator, platform.KeyEvacuatePrefix+zone, []byte("{}"))
-		w.Truth.RecordEvacuation(zone, time.Now())
+		w.Checker.RecordEvacuation(zone, time.Now())
 	case previous+change == 0:
-		w.Truth.RecordEvacuation(zone, time.Time{})
+		w.Checker.RecordEvacuation(zone, time.Time{})
 		w.Store.Put(platform.TopicOperator, platform.KeyEvacuatePrefix+zone, nil)
 	}
 }
 
 // RecordEvacuation records when the store acknowledged the evacuation of a zone. A zero time
 // means that the evacuation is about to be reverted.
-func (t *Truth) RecordEvacuation(zone string, at time.Time) {
+func (t *Checker) RecordEvacuation(zone string, at time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.evacuatedAt[zone] = at
@@ -55,11 +55,11 @@
 	}
 }
 
-// judgeEvacuation reports a violation if an undisturbed node sends a request or a weight order to a
+// checkEvacuation reports a violation if an undisturbed node sends a request or a weight order to a
 // sampler of a zone that has been evacuated for too long. The caller holds t.mutex.
-func (t *Truth) judgeEvacuation(sampler, zone, node, what string, now time.Time) {
+func (t *Checker) checkEvacuation(sampler, zone, node, what string, now time.Time) {
 	at := t.evacuatedAt[zone]
-	if !at.IsZero() && now.Sub(at) > evacuateBound+t.allowance(now) && t.inTouch(node, now) {
-		t.broken("EVAC", "%s reached %s from %s %v after zone %s was evacuated", what, sampler, node, now.Sub(at), zone)
+	if !at.IsZero() && now.Sub(at) > evacuationDeadline+t.tolerance(now) && t.inTouch(node, now) {
+		t.recordViolation("EVAC", "%s reached %s from %s %v after zone %s was evacuated", what, sampler, node, now.Sub(at), zone)
 	}
 }
--- a/internal/platformsim/faults.go
+++ b/internal/platformsim/faults.go
@@ -19,14 +19,14 @@
 	NodeFreeze
 	NodeCutFromStore
 	NodeCutFromAll
-	NodeTerm
-	HerdKill
-	KillAll
+	NodeTerminate
+	KillMostNodes
+	KillAllNodes
 	StoreDown
 	StoreSilent
 	StoreSlow
-	StoreLost
-	StoreLate
+	StoreLosesWrites
+	StoreDelaysWrites
 	StoreRebalance
 	SamplerCrash
 	SamplerSlow
@@ -36,20 +36,20 @@
 	SamplerReplaced
 	SamplerLateOrders
 	ConfigChange
-	StoreForgets
+	StoreDropsHistory
 	NodeReplaced
-	KeysTaken
+	KeysRevoked
 	CloudDown
 	CloudSlow
 	CloudLosesAnswers
-	ColdReturn
+	ZoneRestartsCold
 	SamplersTurnCold
 	Evacuate
 	ZoneCut
 	ZoneLost
-	faultKinds
+	randomKindCount
 	// RegionCut needs two regions and is not chosen at random.
-	RegionCut = faultKinds
+	RegionCut = randomKindCount
 )
 
 // Kinds that are not chosen at random, so that existing seeds keep their faults. CrashingRequest,
@@ -59,9 +59,9 @@
 	CrashingRequest = RegionCut + 1 + iota
 	CrashingItem
 	CrashingReward
-	// SamplerReborn restarts a sampler under its id. ForeignEntries writes invalid entries to the
+	// SamplerRestarted restarts a sampler under its id. ForeignEntries writes invalid entries to the
 	// samplers' topic.
-	SamplerReborn
+	SamplerRestarted
 	ForeignEntries
 	// Suspension makes all nodes observe that their machines were suspended for the fault's
 	// duration.
@@ -94,13 +94,13 @@
 // String implements fmt.Stringer.
 func (f Fault) String() string { return fmt.Sprintf("%v at %v for %v", f.Kind, f.At, f.For) }
 
-// Draw returns count random faults that begin within a time, ordered by their begin.
-func Draw(seed uint64, within time.Duration, count int) []Fault {
+// RandomFaults returns count random faults that begin within a time, ordered by their begin.
+func RandomFaults(seed uint64, within time.Duration, count int) []Fault {
 	random := rand.New(rand.NewPCG(seed, 3))
 	faults := make([]Fault, 0, count)
 	for range count {
 		faults = append(faults, Fault{
-			Kind: FaultKind(random.IntN(int(faultKinds))), At: time.Duration(random.Int64N(int64(within))),
+			Kind: FaultKind(random.IntN(int(randomKindCount))), At: time.Duration(random.Int64N(int64(within))),
 			For: time.Second + time.Duration(random.Int64N(int64(7*time.Second))), Target: random.Uint64(),
 		})
 	}
@@ -110,47 +110,47 @@
 
 // Inject applies a fault, and reverts it after its duration.
 func (w *World) Inject(fault Fault) {
-	nodes := w.present()
+	nodes := w.presentNodes()
 	node := nodes[fault.Target%uint64(len(nodes))]
 	machine := w.samplers[fault.Target%uint64(len(w.samplers))]
-	defer w.noteTrouble(fault, node)()
+	defer w.recordFault(fault, node)()
 	switch fault.Kind {
 	case NodeKill:
 		w.killFor(fault, node)
-	case HerdKill:
+	case KillMostNodes:
 		w.killFor(fault, nodes[:len(nodes)*2/3]...)
-	case KillAll:
+	case KillAllNodes:
 		w.killFor(fault, nodes...)
-	case NodeTerm:
+	case NodeTerminate:
 		w.terminateNode(node)
 	case NodeFreeze:
 		w.disturb(fault, node.name)
-		w.network.Pause(node.name)
+		w.environment.Pause(node.name)
 		time.Sleep(fault.For)
-		w.healed(node.name)
-		w.network.Resume(node.name)
-		w.Truth.Held(node.name)
+		w.recordRecovery(node.name)
+		w.environment.Resume(node.name)
+		w.Checker.RecordHeldTraffic(node.name)
 	case NodeCutFromStore:
 		w.isolateNode(fault, node.name, []string{storeMachine})
 	case NodeCutFromAll:
 		w.isolateNode(fault, node.name, w.otherMachines(node.name))
 	case ConfigChange:
 		w.PutConfig(int(fault.Target % 50))
-	case KeysTaken:
-		w.tenants.rotate(fault.Target)
+	case KeysRevoked:
+		w.tenants.rotateKeys(fault.Target)
 		w.PutConfig(int(fault.Target % 50))
 	case StoreRebalance:
 		w.Store.Rebalance()
 	case RegionCut:
-		w.cutRegion(fault)
+		w.isolateRegion(fault)
 	case NodeReplaced:
-		w.replaceNode(fault, w.lastToOrder(node))
+		w.replaceNode(fault, w.lastOrderSender(node))
 	case Evacuate:
 		w.evacuateZones(fault)
 	case ZoneCut:
-		w.cutZone(fault, zones[fault.Target%uint64(len(zones))])
+		w.isolateZone(fault, zones[fault.Target%uint64(len(zones))])
 	case ZoneLost:
-		w.loseZone(fault, zones[fault.Target%uint64(len(zones))])
+		w.failZone(fault, zones[fault.Target%uint64(len(zones))])
 	case CrashingRequest:
 		ctx, cancel := context.WithTimeout(context.Background(), fault.For)
 		defer cancel()
@@ -161,9 +161,9 @@
 		w.runCrashingStep(fault)
 	case Suspension:
 		w.simulateSuspension(fault)
-	case StoreForgets:
-		w.Store.Forget(platform.TopicOperator)
-		w.Store.Forget(platform.TopicSamplers)
+	case StoreDropsHistory:
+		w.Store.DropHistory(platform.TopicOperator)
+		w.Store.DropHistory(platform.TopicSamplers)
 	default:
 		w.injectDependencyFault(fault, machine)
 	}
@@ -175,41 +175,41 @@
 	case StoreDown:
 		w.applyStoreFaults(fault, StoreFaults{Down: true})
 	case StoreSilent:
-		w.applyStoreFaults(fault, StoreFaults{Silent: true})
+		w.applyStoreFaults(fault, StoreFaults{Unresponsive: true})
 	case StoreSlow:
-		w.applyStoreFaults(fault, StoreFaults{Slow: 60})
-	case StoreLost:
-		w.applyStoreFaults(fault, StoreFaults{Lose: 0.35})
-	case StoreLate:
-		w.applyStoreFaults(fault, StoreFaults{Lose: 0.35, Late: true})
+		w.applyStoreFaults(fault, StoreFaults{SlowdownFactor: 60})
+	case StoreLosesWrites:
+		w.applyStoreFaults(fault, StoreFaults{LostWriteRate: 0.35})
+	case StoreDelaysWrites:
+		w.applyStoreFaults(fault, StoreFaults{LostWriteRate: 0.35, DelayWrites: true})
 	case CloudDown:
 		w.applyCloudFaults(fault, CloudFaults{Down: true})
 	case CloudSlow:
 		w.applyCloudFaults(fault, CloudFaults{SlowFactor: 60})
 	case CloudLosesAnswers:
 		w.applyCloudFaults(fault, CloudFaults{LossRatio: 0.5})
-	case ColdReturn:
-		w.returnCold(fault, machine.spec.Zone)
+	case ZoneRestartsCold:
+		w.restartZoneCold(fault, machine.spec.Zone)
 	case SamplersTurnCold:
 		w.makeSamplersCold()
 	case SamplerCrash:
 		w.crashSampler(fault, machine)
 	case SamplerReplaced:
 		w.replaceSampler(fault, machine)
-	case SamplerReborn:
+	case SamplerRestarted:
 		w.restartWithSameID(fault, machine)
 	case ForeignEntries:
 		w.writeForeignEntries(fault, machine)
 	case SamplerSlow:
-		w.applySamplerFaults(fault, machine, SamplerFaults{Slow: 4})
+		w.applySamplerFaults(fault, machine, SamplerFaults{SlowdownFactor: 4})
 	case SamplerCutsStreams:
-		w.applySamplerFaults(fault, machine, SamplerFaults{Cut: 0.3})
+		w.applySamplerFaults(fault, machine, SamplerFaults{TruncationRate: 0.3})
 	case SamplerFail:
-		w.applySamplerFaults(fault, machine, SamplerFaults{Fail: 0.3})
+		w.applySamplerFaults(fault, machine, SamplerFaults{ErrorRate: 0.3})
 	case SamplerMisroutesAnswers:
-		w.applySamplerFaults(fault, machine, SamplerFaults{Surplus: 0.3})
+		w.applySamplerFaults(fault, machine, SamplerFaults{MisroutedAnswerRate: 0.3})
 	case SamplerLateOrders:
-		w.applySamplerFaults(fault, machine, SamplerFaults{LateOrders: true})
+		w.applySamplerFaults(fault, machine, SamplerFaults{DelayOrders: true})
 	}
 }
 
@@ -221,17 +221,17 @@
 // disturbUntil records that a machine is disturbed until a time. Where requests cannot be
 // attributed to nodes, the disturbance counts for all machines.
 func (w *World) disturbUntil(machine string, until time.Time) {
-	w.Truth.Disturb(machine, until)
-	if w.options.Nameless {
-		w.Truth.Disturb("", until)
+	w.Checker.RecordDisturbance(machine, until)
+	if w.options.NodesUnidentified {
+		w.Checker.RecordDisturbance("", until)
 	}
 }
 
-// healed records that a machine or its links work again.
-func (w *World) healed(machine string) {
+// recordRecovery records that a machine or its links work again.
+func (w *World) recordRecovery(machine string) {
 	w.disturbUntil(machine, time.Now())
-	if w.options.Nameless {
-		w.Truth.ExcuseOrders(time.Now().Add(thawBound))
+	if w.options.NodesUnidentified {
+		w.Checker.IgnoreOrdersUntil(time.Now().Add(resumedOrderGracePeriod))
 	}
 }
 
@@ -251,7 +251,7 @@
 	time.Sleep(fault.For)
 	for _, machine := range killed {
 		w.restart(machine)
-		w.healed(machine.name)
+		w.recordRecovery(machine.name)
 	}
 }
 
@@ -259,17 +259,17 @@
 // clock, so the store and the samplers do not advance in the meantime: leases and entries are
 // younger than the nodes assume.
 func (w *World) simulateSuspension(fault Fault) {
-	for _, machine := range w.present() {
+	for _, machine := range w.presentNodes() {
 		w.disturbUntil(machine.name, time.Now())
 	}
-	w.slept.Add(int64(fault.For))
+	w.suspendedNS.Add(int64(fault.For))
 }
 
-// lastToOrder returns the node that sent the last weight order, or other if none did or that node
+// lastOrderSender returns the node that sent the last weight order, or other if none did or that node
 // was removed.
-func (w *World) lastToOrder(other *nodeMachine) *nodeMachine {
-	holder := w.Truth.lastHolder()
-	for _, machine := range w.present() {
+func (w *World) lastOrderSender(other *nodeMachine) *nodeMachine {
+	holder := w.Checker.lastOrderHolder()
+	for _, machine := range w.presentNodes() {
 		if machine.name == holder {
 			return machine
 		}
@@ -297,7 +297,7 @@
 	w.nodes = append(w.nodes, replacement)
 	w.mutex.Unlock()
 	w.startNode(replacement)
-	w.healed(replacement.name)
+	w.recordRecovery(replacement.name)
 }
 
 // terminateNode stops a node gracefully, as in planned maintenance, and restarts it.
@@ -311,7 +311,7 @@
 	if down {
 		return
 	}
-	w.disturbUntil(machine.name, time.Now().Add(graceS*time.Second))
+	w.disturbUntil(machine.name, time.Now().Add(gracePeriodS*time.Second))
 	machine.process.Terminate()
 	<-machine.process.Done()
 	w.startNode(machine)
@@ -320,7 +320,7 @@
 // otherMachines lists all machines but the named node.
 func (w *World) otherMachines(name string) []string {
 	others := []string{storeMachine, cloudMachine}
-	for _, machine := range w.present() {
+	for _, machine := range w.presentNodes() {
 		if machine.name != name {
 			others = append(others, machine.name)
 		}
@@ -334,11 +334,11 @@
 // isolateNode holds all traffic between a node and other machines for the fault's duration.
 func (w *World) isolateNode(fault Fault, name string, others []string) {
 	w.disturb(fault, name)
-	w.network.Isolate([]string{name}, others)
+	w.environment.Isolate([]string{name}, others)
 	time.Sleep(fault.For)
-	w.network.Rejoin([]string{name}, others)
-	w.Truth.Held(name)
-	w.healed(name)
+	w.environment.Rejoin([]string{name}, others)
+	w.Checker.RecordHeldTraffic(name)
+	w.recordRecovery(name)
 }
 
 // applyStoreFaults applies faults of the store for the fault's duration.
@@ -347,7 +347,7 @@
 	w.Store.SetFaults(faults)
 	time.Sleep(fault.For)
 	w.Store.SetFaults(StoreFaults{})
-	w.Truth.Disturb("", time.Now())
+	w.Checker.RecordDisturbance("", time.Now())
 }
 
 // applyCloudFaults applies faults of the platform's API for the fault's duration.
@@ -364,41 +364,41 @@
 	machine.sampler.SetFaults(SamplerFaults{})
 }
 
-// silentBeats is the number of heartbeat intervals for which the entry of a crashed sampler
+// entryExpiryHeartbeats is the number of heartbeat intervals for which the entry of a crashed sampler
 // remains.
-const silentBeats = 3
+const entryExpiryHeartbeats = 3
 
 // crashSampler crashes a sampler, removes its entry once that has expired, and restarts the sampler
 // after the fault's duration.
 func (w *World) crashSampler(fault Fault, machine *samplerMachine) {
-	if !w.claim(machine) {
+	if !w.reserve(machine) {
 		return
 	}
-	defer w.unclaim(machine)
-	w.takeDown(machine)
+	defer w.release(machine)
+	w.markDown(machine)
 	_ = machine.server.Close()
-	w.network.Crash(machine.host)
-	time.Sleep(silentBeats * heartbeat)
-	machine.sampler.Remove()
+	w.environment.Crash(machine.host)
+	time.Sleep(entryExpiryHeartbeats * heartbeatInterval)
+	machine.sampler.Deregister()
 	time.Sleep(fault.For)
-	w.network.Restore(machine.host)
+	w.environment.Restore(machine.host)
 	w.startSampler(machine)
 }
 
 // replaceSampler drains a sampler, stops it and starts another one at its address.
 func (w *World) replaceSampler(_ Fault, machine *samplerMachine) {
-	if !w.claim(machine) {
+	if !w.reserve(machine) {
 		return
 	}
-	defer w.unclaim(machine)
-	machine.sampler.Leave()
-	time.Sleep(drainBound + slack + time.Second)
-	w.takeDown(machine)
+	defer w.release(machine)
+	machine.sampler.Drain()
+	time.Sleep(drainDeadline + linkTolerance + time.Second)
+	w.markDown(machine)
 	_ = machine.server.Close()
-	machine.sampler.Remove()
-	time.Sleep(drainBound)
+	machine.sampler.Deregister()
+	time.Sleep(drainDeadline)
 	w.startSampler(machine)
 }
 
-// AnyKind returns a random kind of fault.
-func AnyKind(random *rand.Rand) FaultKind { return FaultKind(random.IntN(int(faultKinds))) }
+// RandomKind returns a random kind of fault.
+func RandomKind(random *rand.Rand) FaultKind { return FaultKind(random.IntN(int(randomKindCount))) }
--- a/internal/platformsim/group.go
+++ b/internal/platformsim/group.go
@@ -10,12 +10,12 @@
 	"github.com/pathbend/pathbend/platform"
 )
 
-// group is a consumer group: it assigns the partitions of one topic to its members.
-type group struct {
+// consumerGroup is a consumer group: it assigns the partitions of one topic to its members.
+type consumerGroup struct {
 	topic      string
 	generation uint64
 	members    map[string]*groupMember
-	partitions [storeParts]partitionAssignment
+	partitions [storePartitions]partitionAssignment
 }
 
 // groupMember is a member of a group. It is removed if it does not join again within its TTL.
@@ -45,7 +45,7 @@
 	defer s.mutex.Unlock()
 	consumers, known := s.groups[document.Group]
 	if !known {
-		consumers = &group{members: make(map[string]*groupMember)}
+		consumers = &consumerGroup{members: make(map[string]*groupMember)}
 		s.groups[document.Group] = consumers
 	}
 	if request.URL.Path == platform.PathLeave {
@@ -55,11 +55,11 @@
 	}
 	consumers.topic = document.Topics[0]
 	consumers.join(document, time.Now())
-	writeDocument(writer, consumers.assignmentOf(document.Member))
+	writeJSON(writer, consumers.assignmentOf(document.Member))
 }
 
 // join adds a member or renews its TTL, and completes the moves that it has seen.
-func (g *group) join(document platform.JoinDocument, now time.Time) {
+func (g *consumerGroup) join(document platform.JoinDocument, now time.Time) {
 	g.expire(now)
 	member, known := g.members[document.Member]
 	if !known {
@@ -74,7 +74,7 @@
 }
 
 // expire removes the members whose TTL has passed.
-func (g *group) expire(now time.Time) {
+func (g *consumerGroup) expire(now time.Time) {
 	for _, name := range slices.Sorted(maps.Keys(g.members)) {
 		if now.After(g.members[name].expiresAt) {
 			g.remove(name)
@@ -83,7 +83,7 @@
 }
 
 // remove removes a member and unassigns its partitions.
-func (g *group) remove(name string) {
+func (g *consumerGroup) remove(name string) {
 	if _, known := g.members[name]; !known {
 		return
 	}
@@ -101,7 +101,7 @@
 
 // assignedCount returns the number of partitions that a member has, with those that move to it and
 // without those that move away.
-func (g *group) assignedCount(name string) int {
+func (g *consumerGroup) assignedCount(name string) int {
 	count := 0
 	for i := range g.partitions {
 		if g.partitions[i].targetMember() == name {
@@ -121,7 +121,7 @@
 
 // balance assigns partitions without a member to the members that have the fewest, then starts
 // moves until the numbers of partitions differ by at most one.
-func (g *group) balance() {
+func (g *consumerGroup) balance() {
 	names := slices.Sorted(maps.Keys(g.members))
 	if len(names) == 0 {
 		return
@@ -151,13 +151,13 @@
 }
 
 // startMove starts the move of a partition in a new generation.
-func (g *group) startMove(partition int, to string) {
+func (g *consumerGroup) startMove(partition int, to string) {
 	g.generation++
 	g.partitions[partition].nextMember, g.partitions[partition].moveGeneration = to, g.generation
 }
 
 // completeMoves moves the partitions whose member has seen the move or has left.
-func (g *group) completeMoves() {
+func (g *consumerGroup) completeMoves() {
 	for i := range g.partitions {
 		partition := &g.partitions[i]
 		holder, present := g.members[partition.member]
@@ -169,7 +169,7 @@
 
 // reassignAll reassigns all partitions at once, without waiting for their members, which learn of
 // it at their next join.
-func (g *group) reassignAll() {
+func (g *consumerGroup) reassignAll() {
 	names := slices.Sorted(maps.Keys(g.members))
 	if len(names) == 0 {
 		return
@@ -184,16 +184,16 @@
 func (s *Store) serveOwners(writer http.ResponseWriter, request *http.Request) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	document := platform.OwnersDocument{Parts: [][]json.RawMessage{}}
+	document := platform.OwnersDocument{Partitions: [][]json.RawMessage{}}
 	if consumers := s.groups[request.URL.Query().Get(platform.QueryGroup)]; consumers != nil {
 		consumers.expire(time.Now())
-		document.Parts = consumers.ownerRows()
+		document.Partitions = consumers.ownerRows()
 	}
-	writeDocument(writer, document)
+	writeJSON(writer, document)
 }
 
 // ownerRows returns a row for each partition that has a member.
-func (g *group) ownerRows() [][]json.RawMessage {
+func (g *consumerGroup) ownerRows() [][]json.RawMessage {
 	rows := [][]json.RawMessage{}
 	for i := range g.partitions {
 		if g.partitions[i].member != "" {
@@ -223,11 +223,11 @@
 }
 
 // assignmentOf returns the partitions of a member, without those that move away.
-func (g *group) assignmentOf(member string) platform.ShareDocument {
-	document := platform.ShareDocument{Generation: g.generation, Parts: [][]json.RawMessage{}}
+func (g *consumerGroup) assignmentOf(member string) platform.AssignmentDocument {
+	document := platform.AssignmentDocument{Generation: g.generation, Partitions: [][]json.RawMessage{}}
 	for i := range g.partitions {
 		if g.partitions[i].member == member && g.partitions[i].nextMember == "" {
-			document.Parts = append(document.Parts, encodeRow(g.topic, i, 0))
+			document.Partitions = append(document.Partitions, encodeRow(g.topic, i, 0))
 		}
 	}
 	return document
--- a/internal/platformsim/homes.go
+++ b/internal/platformsim/homes.go
@@ -13,7 +13,7 @@
 		return ""
 	case c.tenant == c.world.tenants.names[0]:
 		return tenantRegion
-	case prefix == boundPrefix:
+	case prefix == regionBoundPrefix:
 		return routeRegion
 	}
 	return ""
@@ -21,23 +21,23 @@
 
 // BindRegion records the region to which a request or an item is bound. An empty region does not
 // bind it.
-func (t *Truth) BindRegion(id, region string) {
+func (t *Checker) BindRegion(id, region string) {
 	if region == "" {
 		return
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.homes[id] = region
+	t.boundRegions[id] = region
 }
 
-// judgeHome checks that a bound request reached a sampler of its region.
-func (t *Truth) judgeHome(id, sampler, zone string) {
+// checkRegion checks that a bound request reached a sampler of its region.
+func (t *Checker) checkRegion(id, sampler, zone string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if region := t.homes[id]; region != "" {
+	if region := t.boundRegions[id]; region != "" {
 		t.counts["bound arrivals"]++
 		if t.regions[zone] != region {
-			t.broken("HOME", "request %s, bound to %s, reached sampler %s in zone %s", id, region, sampler, zone)
+			t.recordViolation("HOME", "request %s, bound to %s, reached sampler %s in zone %s", id, region, sampler, zone)
 		}
 	}
 }
@@ -55,20 +55,20 @@
 	MachineAt(address string) string
 }
 
-// handed checks records that the store returns to the machine at an address.
-func (w *World) handed(address string, records []byte) {
-	if resolver, ok := w.network.(machineResolver); ok {
+// checkReturnedRecords checks records that the store returns to the machine at an address.
+func (w *World) checkReturnedRecords(address string, records []byte) {
+	if resolver, ok := w.environment.(machineResolver); ok {
 		address = resolver.MachineAt(address)
 	}
 	if address != "" {
-		w.Truth.checkDeliveredRecords(address, records)
+		w.Checker.checkDeliveredRecords(address, records)
 	}
 }
 
 // checkDeliveredRecords checks that records returned to a node contain no body of an item that is
 // bound to another region. No client of this world reads bodies from the store, so every body is
 // read by a node for itself.
-func (t *Truth) checkDeliveredRecords(node string, records []byte) {
+func (t *Checker) checkDeliveredRecords(node string, records []byte) {
 	if t.regions == nil {
 		return
 	}
@@ -76,10 +76,10 @@
 	for _, match := range itemBodyPattern.FindAllSubmatch(records, -1) {
 		id := string(match[1])
 		t.mutex.Lock()
-		if region := t.homes[id]; region != "" {
+		if region := t.boundRegions[id]; region != "" {
 			t.counts["bound bodies"]++
 			if t.regions[zone] != region {
-				t.broken("HOME", "the body of item %s, bound to %s, went to %s", id, region, node)
+				t.recordViolation("HOME", "the body of item %s, bound to %s, went to %s", id, region, node)
 			}
 		}
 		t.mutex.Unlock()
--- a/internal/platformsim/lateness.go
+++ b/internal/platformsim/lateness.go
@@ -13,16 +13,16 @@
 	wakeDelayRetention = 5 * time.Second
 )
 
-// lateWake is a timer that fired late.
-type lateWake struct {
+// wakeDelaySample is a timer that fired late.
+type wakeDelaySample struct {
 	at    time.Time
 	delay time.Duration
 }
 
-// WatchLateness measures by how much timers fire late on this machine, until ctx ends. Time
+// MeasureWakeDelays measures by how much timers fire late on this machine, until ctx ends. Time
 // bounds are widened by this delay, since a program cannot react faster than the machine schedules
 // it. Timers of a virtual clock are never late.
-func (t *Truth) WatchLateness(ctx context.Context) {
+func (t *Checker) MeasureWakeDelays(ctx context.Context) {
 	for ctx.Err() == nil {
 		began := time.Now()
 		time.Sleep(wakeInterval)
@@ -31,24 +31,24 @@
 }
 
 // RecordWakeDelay records by how much a timer fired late.
-func (t *Truth) RecordWakeDelay(delay time.Duration) {
+func (t *Checker) RecordWakeDelay(delay time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	now := time.Now()
-	for len(t.late) > 0 && now.Sub(t.late[0].at) > wakeDelayRetention {
-		t.late = t.late[1:]
+	for len(t.wakeDelays) > 0 && now.Sub(t.wakeDelays[0].at) > wakeDelayRetention {
+		t.wakeDelays = t.wakeDelays[1:]
 	}
 	// Drop earlier delays that are not longer: the new one outlives them.
-	for len(t.late) > 0 && t.late[len(t.late)-1].delay <= delay {
-		t.late = t.late[:len(t.late)-1]
+	for len(t.wakeDelays) > 0 && t.wakeDelays[len(t.wakeDelays)-1].delay <= delay {
+		t.wakeDelays = t.wakeDelays[:len(t.wakeDelays)-1]
 	}
-	t.late = append(t.late, lateWake{at: now, delay: delay})
-	t.latest = max(t.latest, delay)
+	t.wakeDelays = append(t.wakeDelays, wakeDelaySample{at: now, delay: delay})
+	t.maxWakeDelay = max(t.maxWakeDelay, delay)
 }
 
-// lateness returns the longest wake-up delay within wakeDelayRetention. The caller holds t.mutex.
-func (t *Truth) lateness(now time.Time) time.Duration {
-	for _, wake := range t.late {
+// recentWakeDelay returns the longest wake-up delay within wakeDelayRetention. The caller holds t.mutex.
+func (t *Checker) recentWakeDelay(now time.Time) time.Duration {
+	for _, wake := range t.wakeDelays {
 		if now.Sub(wake.at) <= wakeDelayRetention {
 			return max(wake.delay, 0)
 		}
@@ -56,13 +56,15 @@
 	return 0
 }
 
-// Latest returns the longest wake-up delay of the whole run.
-func (t *Truth) Latest() time.Duration {
+// MaxWakeDelay returns the longest wake-up delay of the whole run.
+func (t *Checker) MaxWakeDelay() time.Duration {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.latest
+	return t.maxWakeDelay
 }
 
-// allowance returns the tolerance for times that are measured at the far end of a link. The caller
+// tolerance returns the tolerance for times that are measured at the far end of a link. The caller
 // holds t.mutex.
-func (t *Truth) allowance(now time.Time) time.Duration { return slack + t.lateness(now) }
+func (t *Checker) tolerance(now time.Time) time.Duration {
+	return linkTolerance + t.recentWakeDelay(now)
+}
--- a/internal/platformsim/lost.go
+++ b/internal/platformsim/lost.go
@@ -14,44 +14,44 @@
 
 // Places of disruptions, besides the names of nodes' machines.
 const (
-	atStore = ""
-	// AtSamplers stands for all samplers.
-	AtSamplers = "samplers"
-	// atOperator stands for changes that the operator makes.
-	atOperator = "operator"
+	placeStore = ""
+	// PlaceSamplers stands for all samplers.
+	PlaceSamplers = "samplers"
+	// placeOperator stands for changes that the operator makes.
+	placeOperator = "operator"
 )
 
-// trouble is a disruption: a fault that a run applies to a place until a time.
-type trouble struct {
+// disruption is a disruption: a fault that a run applies to a place until a time.
+type disruption struct {
 	place, name string
 	until       time.Time
 	// planned is set for maintenance that must not cut requests in progress.
 	planned bool
 }
 
-// Trouble records a disruption of a place. It lasts until a time, or until the returned function
+// RecordDisruption records a disruption of a place. It lasts until a time, or until the returned function
 // is called if that is later.
-func (t *Truth) Trouble(place, name string, until time.Time, planned bool) (end func()) {
+func (t *Checker) RecordDisruption(place, name string, until time.Time, planned bool) (end func()) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	recorded := &trouble{place: place, name: name, until: until, planned: planned}
-	t.troubles = append(t.troubles, recorded)
+	recorded := &disruption{place: place, name: name, until: until, planned: planned}
+	t.disruptions = append(t.disruptions, recorded)
 	return func() {
 		t.mutex.Lock()
 		defer t.mutex.Unlock()
-		recorded.until = maxTime(recorded.until, time.Now())
+		recorded.until = laterTime(recorded.until, time.Now())
 	}
 }
 
 // recentDisruption returns the newest disruption that may have caused the failure of a call that
 // began at a time, nil if there is none. Earlier places take precedence. A disruption counts until
-// touchTime after its end; a planned one only for calls that were not accepted or were refused.
+// minUndisturbedTime after its end; a planned one only for calls that were not accepted or were refused.
 // The caller holds t.mutex.
-func (t *Truth) recentDisruption(began time.Time, class failureClass, places ...string) *trouble {
+func (t *Checker) recentDisruption(began time.Time, class failureClass, places ...string) *disruption {
 	for _, place := range places {
-		for _, known := range slices.Backward(t.troubles) {
+		for _, known := range slices.Backward(t.disruptions) {
 			applies := known.place == place && (!known.planned || class == failureNotAccepted || class == failureRefused)
-			if applies && began.Sub(known.until) < touchTime+t.lateness(time.Now()) {
+			if applies && began.Sub(known.until) < minUndisturbedTime+t.recentWakeDelay(time.Now()) {
 				return known
 			}
 		}
@@ -79,7 +79,7 @@
 
 // failureClassOf classifies the error of a call over a connection from the caller's address.
 func (w *World) failureClassOf(err error, localAddress string) failureClass {
-	if reporter, ok := w.network.(refusalReporter); ok && reporter.Refused(localAddress) {
+	if reporter, ok := w.environment.(refusalReporter); ok && reporter.Refused(localAddress) {
 		return failureNotAccepted
 	}
 	var networkError net.Error
@@ -97,16 +97,16 @@
 // violation if there is none. A disruption of the called machine or the store excuses the loss, but
 // planned maintenance excuses only a connection that was not accepted. A disruption of samplers
 // excuses only a response that was cut.
-func (t *Truth) checkLostRequest(result answered, id string, class failureClass) {
+func (t *Checker) checkLostRequest(result callResult, id string, class failureClass) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.counts["requests lost"]++
-	wakeDelay := t.lateness(time.Now())
-	places := []string{result.node, atStore}
+	wakeDelay := t.recentWakeDelay(time.Now())
+	places := []string{result.node, placeStore}
 	if class == failureConnectionCut {
-		places = append(places, AtSamplers)
+		places = append(places, PlaceSamplers)
 	}
-	cause := t.recentDisruption(result.began, class, places...)
+	cause := t.recentDisruption(result.startedAt, class, places...)
 	switch {
 	case cause != nil:
 		t.causes[fmt.Sprintf("%s during %s", class, cause.name)]++
@@ -114,7 +114,7 @@
 		t.causes[fmt.Sprintf("%s on a machine that was late", class)]++
 	default:
 		t.causes[fmt.Sprintf("%s without trouble", class)]++
-		t.broken("LOST", "request %s at %s was %s after %v, without a disruption there or at the store", id, result.node, class, time.Since(result.began))
+		t.recordViolation("LOST", "request %s at %s was %s after %v, without a disruption there or at the store", id, result.node, class, time.Since(result.startedAt))
 	}
 }
 
@@ -124,27 +124,27 @@
 
 // checkRefusedRequest records the cause of a refused request, and reports a violation if there is
 // no recent disruption.
-func (t *Truth) checkRefusedRequest(result answered, id string) {
+func (t *Checker) checkRefusedRequest(result callResult, id string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.counts["requests refused"]++
 	refusal := describeRefusal(result)
-	cause := t.recentDisruption(result.began, failureRefused, result.node, atStore, AtSamplers, atOperator)
+	cause := t.recentDisruption(result.startedAt, failureRefused, result.node, placeStore, PlaceSamplers, placeOperator)
 	switch {
 	case cause != nil:
 		t.causes[refusal+" during "+cause.name]++
-	case t.lateness(time.Now()) > answerMargin:
+	case t.recentWakeDelay(time.Now()) > answerMargin:
 		t.causes[refusal+" on a machine that was late"]++
 	default:
 		t.causes[refusal+" without trouble"]++
-		t.broken("LOST", "request %s at %s got %s after %v, without a disruption", id, result.node, refusal, time.Since(result.began))
+		t.recordViolation("LOST", "request %s at %s got %s after %v, without a disruption", id, result.node, refusal, time.Since(result.startedAt))
 	}
 }
 
 // describeRefusal describes a response with an error status: the status of a back end, or the
 // code and name of a node's error.
-func describeRefusal(result answered) string {
-	if result.header.Get(platform.HeaderStamp) != "" {
+func describeRefusal(result callResult) string {
+	if result.header.Get(platform.HeaderServerStamp) != "" {
 		return fmt.Sprintf("a sampler's %d", result.status)
 	}
 	var body struct {
@@ -158,7 +158,7 @@
 }
 
 // Causes returns how many requests were lost or refused for each cause.
-func (t *Truth) Causes() map[string]int {
+func (t *Checker) Causes() map[string]int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	counts := make(map[string]int, len(t.causes))
--- a/internal/platformsim/lost_test.go
+++ b/internal/platformsim/lost_test.go
@@ -27,27 +27,27 @@
 		broken    bool
 	}{
 		{name: "killed", place: node, trouble: "node_kill", class: failureConnectionCut, cause: "cut during node_kill"},
-		{name: "killed lately", place: node, trouble: "node_kill", ago: touchTime - time.Second, class: failureTimedOut, cause: "timed out during node_kill"},
-		{name: "killed long ago", place: node, trouble: "node_kill", ago: touchTime + time.Second, class: failureConnectionCut, cause: "cut without trouble", broken: true},
+		{name: "killed lately", place: node, trouble: "node_kill", ago: minUndisturbedTime - time.Second, class: failureTimedOut, cause: "timed out during node_kill"},
+		{name: "killed long ago", place: node, trouble: "node_kill", ago: minUndisturbedTime + time.Second, class: failureConnectionCut, cause: "cut without trouble", broken: true},
 		{name: "another killed", place: "n2", trouble: "node_kill", class: failureConnectionCut, cause: "cut without trouble", broken: true},
-		{name: "store down", place: atStore, trouble: "store_down", class: failureTimedOut, cause: "timed out during store_down"},
+		{name: "store down", place: placeStore, trouble: "store_down", class: failureTimedOut, cause: "timed out during store_down"},
 		{name: "stopped, not accepted", place: node, trouble: "node_term", planned: true, class: failureNotAccepted, cause: "not accepted during node_term"},
 		{name: "stopped, cut", place: node, trouble: "node_term", planned: true, class: failureConnectionCut, cause: "cut without trouble", broken: true},
-		{name: "sampler broke off", place: AtSamplers, trouble: "sampler_cut", class: failureConnectionCut, cause: "cut during sampler_cut"},
-		{name: "sampler in trouble, no answer", place: AtSamplers, trouble: "sampler_cut", class: failureTimedOut, cause: "timed out without trouble", broken: true},
-		{name: "operator", place: atOperator, trouble: "evacuate", class: failureConnectionCut, cause: "cut without trouble", broken: true},
+		{name: "sampler broke off", place: PlaceSamplers, trouble: "sampler_cut", class: failureConnectionCut, cause: "cut during sampler_cut"},
+		{name: "sampler in trouble, no answer", place: PlaceSamplers, trouble: "sampler_cut", class: failureTimedOut, cause: "timed out without trouble", broken: true},
+		{name: "operator", place: placeOperator, trouble: "evacuate", class: failureConnectionCut, cause: "cut without trouble", broken: true},
 		{name: "late machine", class: failureTimedOut, wakeDelay: time.Second, cause: "timed out on a machine that was late"},
 		{name: "late machine, cut", class: failureConnectionCut, wakeDelay: time.Second, cause: "cut without trouble", broken: true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				truth := NewTruth()
+				truth := NewChecker()
 				if test.trouble != "" {
-					truth.Trouble(test.place, test.trouble, time.Now(), test.planned)
+					truth.RecordDisruption(test.place, test.trouble, time.Now(), test.planned)
 				}
 				time.Sleep(test.ago)
 				truth.RecordWakeDelay(test.wakeDelay)
-				truth.checkLostRequest(answered{node: node, began: time.Now()}, "c1", test.class)
+				truth.checkLostRequest(callResult{node: node, startedAt: time.Now()}, "c1", test.class)
 				require.Equal(t, map[string]int{test.cause: 1}, truth.Causes())
 				require.Equal(t, test.broken, len(truth.Violations()) > 0, truth.Violations())
 			})
@@ -57,23 +57,23 @@
 
 // A refused request is excused by a recent disruption of its node, the samplers or the operator.
 func TestRefusedRequestsAreClassifiedAndChecked(t *testing.T) {
-	coded := answered{node: "n1", status: http.StatusServiceUnavailable, body: []byte(`{"code":2006,"name":"no_back_end"}`)}
-	stamped := answered{node: "n1", status: http.StatusInternalServerError, header: http.Header{platform.HeaderStamp: {"s"}}}
+	coded := callResult{node: "n1", status: http.StatusServiceUnavailable, body: []byte(`{"code":2006,"name":"no_back_end"}`)}
+	stamped := callResult{node: "n1", status: http.StatusInternalServerError, header: http.Header{platform.HeaderServerStamp: {"s"}}}
 	for _, test := range []struct {
-		got    answered
+		got    callResult
 		place  string
 		cause  string
 		broken bool
 	}{
-		{got: coded, place: atOperator, cause: "2006 no_back_end during trouble"},
-		{got: coded, place: AtSamplers, cause: "2006 no_back_end during trouble"},
+		{got: coded, place: placeOperator, cause: "2006 no_back_end during trouble"},
+		{got: coded, place: PlaceSamplers, cause: "2006 no_back_end during trouble"},
 		{got: coded, place: "n2", cause: "2006 no_back_end without trouble", broken: true},
-		{got: stamped, place: AtSamplers, cause: "a sampler's 500 during trouble"},
+		{got: stamped, place: PlaceSamplers, cause: "a sampler's 500 during trouble"},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			truth := NewTruth()
-			truth.Trouble(test.place, "trouble", time.Now(), false)
-			test.got.began = time.Now()
+			truth := NewChecker()
+			truth.RecordDisruption(test.place, "trouble", time.Now(), false)
+			test.got.startedAt = time.Now()
 			truth.checkRefusedRequest(test.got, "c1")
 			require.Equal(t, map[string]int{test.cause: 1}, truth.Causes())
 			require.Equal(t, test.broken, len(truth.Violations()) > 0, truth.Violations())
@@ -84,17 +84,17 @@
 // The longest wake-up delay of the retention period counts, not the newest.
 func TestTolerancesGrowByTheLargestRecentWakeDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		truth := NewTruth()
+		truth := NewChecker()
 		for _, delay := range []time.Duration{300, 700, 200} {
 			truth.RecordWakeDelay(delay * time.Millisecond)
 			time.Sleep(time.Second)
 		}
-		require.Equal(t, 700*time.Millisecond, truth.lateness(time.Now()))
+		require.Equal(t, 700*time.Millisecond, truth.recentWakeDelay(time.Now()))
 		time.Sleep(wakeDelayRetention - time.Second)
-		require.Equal(t, 200*time.Millisecond, truth.lateness(time.Now()))
+		require.Equal(t, 200*time.Millisecond, truth.recentWakeDelay(time.Now()))
 		time.Sleep(2 * time.Second)
-		require.Zero(t, truth.lateness(time.Now()))
-		require.Equal(t, 700*time.Millisecond, truth.Latest())
+		require.Zero(t, truth.recentWakeDelay(time.Now()))
+		require.Equal(t, 700*time.Millisecond, truth.MaxWakeDelay())
 	})
 }
 
@@ -113,11 +113,11 @@
 // and requests until then counted as lost without a cause (soak test, seed 33170911).
 func TestDisruptionLastsUntilItIsEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		truth := NewTruth()
-		end := truth.Trouble("n1", "kill_all", time.Now(), false)
-		time.Sleep(2 * touchTime)
+		truth := NewChecker()
+		end := truth.RecordDisruption("n1", "kill_all", time.Now(), false)
+		time.Sleep(2 * minUndisturbedTime)
 		end()
-		truth.checkLostRequest(answered{node: "n1", began: time.Now()}, "c1", failureNotAccepted)
+		truth.checkLostRequest(callResult{node: "n1", startedAt: time.Now()}, "c1", failureNotAccepted)
 		require.Empty(t, truth.Violations())
 	})
 }
--- a/internal/platformsim/mutants_test.go
+++ b/internal/platformsim/mutants_test.go
@@ -24,7 +24,7 @@
 		mutation.Replace("internal/ledger/ledger.go", "if item.Previous != 0 && item.Previous != saved.ID {", "if false {"),
 	}},
 	{Promise: "TWICE: the first result counts", Edits: []mutation.Edit{
-		mutation.Replace("internal/ledger/ledger.go", "if !job.Has(itemResult.ItemId) || job.Listed(itemResult.ItemId) {\n\t\treturn\n\t}\n\tadded", "if !job.Has(itemResult.ItemId) {\n\t\treturn\n\t}\n\tadded"),
+		mutation.Replace("internal/ledger/ledger.go", "if !job.HasItem(itemResult.ItemId) || job.HasResult(itemResult.ItemId) {\n\t\treturn\n\t}\n\tadded", "if !job.HasItem(itemResult.ItemId) {\n\t\treturn\n\t}\n\tadded"),
 	}},
 	{Promise: "UNASKED: an ended job stops", Test: "TestEndedJobIsStopped", Package: "./internal/hosted", Edits: []mutation.Edit{
 		mutation.Replace("internal/hosted/executor.go", "stopped := e.scheduler.DropJob(change.Job.ID, time.Now())", "var stopped []schedule.Key"),
@@ -33,7 +33,7 @@
 		mutation.Replace("internal/hosted/claims.go", "recent = !last.IsZero() &&", "recent = false &&"),
 	}},
 	{Promise: "ONE: a former holder finds the new one in the log", Test: "TestFormerHolderFindsTheNewOneInTheLog", Package: "./internal/hosted", Edits: []mutation.Edit{
-		mutation.Replace("internal/hosted/claims.go", "superseded = newest.Fence > fence &&", "superseded = false &&"),
+		mutation.Replace("internal/hosted/claims.go", "superseded = newest.FencingToken > fence &&", "superseded = false &&"),
 	}},
 	{Promise: "REFUSED: items without their job never run", Test: "TestRefusalBeforeTheJobIsStoredGuaranteesThatItNeverRuns", Package: "./internal/hosted", Edits: []mutation.Edit{
 		mutation.Replace("internal/hosted/batch.go", "if result.Is(err, result.LogUnknown) || result.Is(err, result.LogUnavailable) {", "if false {"),
@@ -52,10 +52,10 @@
 		mutation.Replace("internal/schedule/sampler.go", "if s.Leaving || s.evacuated || now.Before(s.notBefore) {", "if s.evacuated || now.Before(s.notBefore) {"),
 	}},
 	{Promise: "DRAIN: a former incarnation's entry replaces none", Test: "TestEntryOfAFormerIncarnationNeverReplacesANewer", Package: "./internal/registry", Edits: []mutation.Edit{
-		mutation.Replace("internal/registry/registry.go", "if sampler.Born < r.newestStart(sampler.ID) {", "if false {"),
+		mutation.Replace("internal/registry/registry.go", "if sampler.StartedAtMs < r.newestStart(sampler.ID) {", "if false {"),
 	}},
 	{Promise: "LOST: runs end with the incarnation", Test: "TestRunsOfAPreviousIncarnationMoveAtOnce", Package: "./internal/schedule", Edits: []mutation.Edit{
-		mutation.Replace("internal/schedule/samplers.go", "case known && sampler.Born > state.Born:", "case false:"),
+		mutation.Replace("internal/schedule/samplers.go", "case known && sampler.StartedAtMs > state.StartedAtMs:", "case false:"),
 	}},
 	{Promise: "DRAIN: an entry that turns bad names no sampler", Test: "TestEntriesOfAnotherWriterNameNoSampler", Edits: []mutation.Edit{
 		mutation.Replace("platform/follow.go", "u.registry.Reject(record.Key, now)", "false"),
@@ -73,25 +73,25 @@
 		mutation.Replace("internal/hosted/weights.go", "if !load.Evacuated {", "if true {"),
 	}},
 	{Promise: "EVAC: evacuations are known before routes", Test: "TestEvacuationsAreAppliedBeforeTheRoutes", Package: "./platform", Edits: []mutation.Edit{
-		mutation.Replace("platform/follow.go", "\t\tnode.TakeEvacuations(evacuated.sorted())\n\t\tfor _, record := range documents {\n\t\t\tapplyDocument(node, record)\n\t\t}\n", "\t\tfor _, record := range documents {\n\t\t\tapplyDocument(node, record)\n\t\t}\n\t\tnode.TakeEvacuations(evacuated.sorted())\n"),
+		mutation.Replace("platform/follow.go", "\t\tnode.ApplyEvacuations(evacuated.sorted())\n\t\tfor _, record := range documents {\n\t\t\tapplyDocument(node, record)\n\t\t}\n", "\t\tfor _, record := range documents {\n\t\t\tapplyDocument(node, record)\n\t\t}\n\t\tnode.ApplyEvacuations(evacuated.sorted())\n"),
 	}},
 	{Promise: "ROUTE: only keys of tenants are admitted", Test: "TestOnlyKeysOfTenantsAreAdmitted", Package: "./internal/catalog", Edits: []mutation.Edit{
 		mutation.Replace("internal/catalog/admission.go", "if err != nil && route.Public {", "if err != nil {"),
 	}},
 	{Promise: "CONFIG: a key is asked about before every attempt", Test: "TestRevokedKeyIsDeniedBeforeTheNextAttempt", Package: "./internal/hosted", Edits: []mutation.Edit{
-		mutation.Replace("internal/hosted/admission.go", "tenant, err := current.Admit(admitted.Route, key)\n\t\tif err != nil {\n\t\t\treturn n.deny(err)", "tenant, err := current.Admit(admitted.Route, key)\n\t\tif err != nil {\n\t\t\treturn nil"),
+		mutation.Replace("internal/hosted/admission.go", "tenant, err := current.Authenticate(admitted.Route, key)\n\t\tif err != nil {\n\t\t\treturn n.deny(err)", "tenant, err := current.Authenticate(admitted.Route, key)\n\t\tif err != nil {\n\t\t\treturn nil"),
 	}},
 	{Promise: "HOME: the tenant's regions bind beside the route's", Test: "TestCalmDayOfTwoRegions", Package: "./internal/platformsim", Edits: []mutation.Edit{
-		mutation.Replace("internal/hosted/regions.go", "return route.Regions.And(tenant.Regions)", "_ = tenant\n\treturn route.Regions"),
+		mutation.Replace("internal/hosted/regions.go", "return route.Regions.Intersect(tenant.Regions)", "_ = tenant\n\treturn route.Regions"),
 	}},
 	{Promise: "HOME: regions bind every attempt", Test: "TestRegionsBindEveryAttempt", Package: "./internal/dispatch", Edits: []mutation.Edit{
 		mutation.Replace("internal/dispatch/dispatcher.go", "route.Excluded = append(route.Excluded, failed.endpoint.ID)", "route.Excluded, route.Regions = append(route.Excluded, failed.endpoint.ID), locality.Regions{}"),
 	}},
 	{Promise: "HOME: a node elsewhere reads no body", Test: "TestCalmDayOfTwoRegions", Package: "./internal/platformsim", Edits: []mutation.Edit{
-		mutation.Replace("internal/hosted/regions.go", "return regions.Bound() && !regions.Allow(n.settings.Topology.Region(n.settings.Zone))", "return false && regions.Bound()"),
+		mutation.Replace("internal/hosted/regions.go", "return regions.Restricted() && !regions.Allows(n.settings.Topology.Region(n.settings.Zone))", "return false && regions.Restricted()"),
 	}},
 	{Promise: "HOME: items go to samplers of their regions", Test: "TestItemsStayInTheirRegions", Package: "./internal/schedule", Edits: []mutation.Edit{
-		mutation.Replace("internal/schedule/item.go", "if p.Regions.Bound() && !p.Regions.Allow(p.Topology.Region(sampler.Zone)) {", "if false {"),
+		mutation.Replace("internal/schedule/item.go", "if p.Regions.Restricted() && !p.Regions.Allows(p.Topology.Region(sampler.Zone)) {", "if false {"),
 	}},
 	{Promise: "UNASKED: a run ahead is its tenant's", Test: "TestSpeculativeRunContinuesInTheJobThatResubmitsTheItem", Package: "./internal/schedule", Edits: []mutation.Edit{
 		mutation.Replace("internal/schedule/speculative.go", "\t\tTenant: i.job.spec.Tenant,\n", ""),
@@ -124,10 +124,10 @@
 		mutation.Replace("internal/quarantine/guard.go", "won := g.registry.OwnsTrial(digest, claimant)", "won := true"),
 	}},
 	{Promise: "BUDGET: what stood beside is not held", Test: "TestRequestRunningBesideTheCauseIsNotQuarantined", Package: "./internal/quarantine", Edits: []mutation.Edit{
-		mutation.Replace("internal/quarantine/registry.go", "if len(other.Ended) > crashes && other.reachedLimit(policy)", "if false && other.reachedLimit(policy)"),
+		mutation.Replace("internal/quarantine/registry.go", "if len(other.CrashedBackEnds) > crashes && other.reachedLimit(policy)", "if false && other.reachedLimit(policy)"),
 	}},
 	{Promise: "In touch: suspension counts", Test: "TestSuspendedNodeHasNoCurrentLog", Package: "./internal/hosted", Edits: []mutation.Edit{
-		mutation.Replace("internal/clock/clock.go", "return now.Sub(m.at) + m.Slept()", "return now.Sub(m.at)"),
+		mutation.Replace("internal/clock/clock.go", "return now.Sub(m.at) + m.SuspendedTime()", "return now.Sub(m.at)"),
 	}},
 	{Promise: "MIXED: a cut event is no event", Edits: []mutation.Edit{
 		mutation.Replace("platform/events.go", "return 0, nil, io.ErrUnexpectedEOF", "return len(data), data, nil"),
--- a/internal/platformsim/mutation_test.go
+++ b/internal/platformsim/mutation_test.go
@@ -12,5 +12,5 @@
 // when any one mechanism is disabled.
 func TestEachMechanismIsNeeded(t *testing.T) {
 	simulated := mutation.Simulation{Package: "./internal/platformsim", Arguments: []string{"-seeds", "60", "-faults", "8"}}
-	simulated.ExpectCaught(t, mutants)
+	simulated.RequireDetected(t, mutants)
 }
--- a/internal/platformsim/regions_test.go
+++ b/internal/platformsim/regions_test.go
@@ -14,7 +14,7 @@
 // other zones and the store. One route is restricted to the one region and one tenant to the
 // other.
 func twoRegionOptions(seed uint64, logs io.Writer) Options {
-	options := example(seed, logs)
+	options := exampleOptions(seed, logs)
 	options.Regions = map[string]string{"a": "north", "b": "north", remoteZone: "south"}
 	options.RemoteZoneLatency = 8 * time.Millisecond
 	options.Applications = 6
@@ -22,9 +22,9 @@
 }
 
 func TestCalmDayOfTwoRegions(t *testing.T) {
-	world := play(t, twoRegionOptions(1, nil), nil)
-	require.Empty(t, world.Truth.Violations())
-	counts := world.Truth.counts
+	world := runSimulation(t, twoRegionOptions(1, nil), nil)
+	require.Empty(t, world.Checker.Violations())
+	counts := world.Checker.counts
 	require.Zero(t, counts["requests refused"]+counts["requests lost"], counts)
 	require.Positive(t, counts["bound arrivals"], counts)
 	require.Positive(t, counts["bound bodies"], counts)
@@ -35,8 +35,8 @@
 // Injects each kind of fault that changes which nodes decide or forward, on its own, twice.
 func TestEachFaultOfTwoRegions(t *testing.T) {
 	kinds := []FaultKind{
-		NodeKill, NodeFreeze, NodeCutFromStore, NodeCutFromAll, NodeTerm, HerdKill, KillAll, NodeReplaced, ConfigChange,
-		StoreSilent, StoreLost, StoreRebalance, SamplerCrash, RegionCut,
+		NodeKill, NodeFreeze, NodeCutFromStore, NodeCutFromAll, NodeTerminate, KillMostNodes, KillAllNodes, NodeReplaced, ConfigChange,
+		StoreSilent, StoreLosesWrites, StoreRebalance, SamplerCrash, RegionCut,
 	}
 	for _, kind := range kinds {
 		for target := range uint64(3) {
@@ -46,10 +46,10 @@
 					{Kind: kind, At: 6 * time.Second, For: 4 * time.Second, Target: 2 * target},
 					{Kind: kind, At: 25 * time.Second, For: 6 * time.Second, Target: 2*target + 1},
 				}
-				world := play(t, twoRegionOptions(uint64(kind)+200, nil), faults)
-				require.Empty(t, world.Truth.Violations())
-				require.Positive(t, world.Truth.counts["steps whole of m1"], "steps of the tenant restricted to a region")
-				require.Positive(t, world.Truth.counts["steps whole of m2"], "steps of the route restricted to a region")
+				world := runSimulation(t, twoRegionOptions(uint64(kind)+200, nil), faults)
+				require.Empty(t, world.Checker.Violations())
+				require.Positive(t, world.Checker.counts["steps whole of m1"], "steps of the tenant restricted to a region")
+				require.Positive(t, world.Checker.counts["steps whole of m2"], "steps of the route restricted to a region")
 			})
 		}
 	}
@@ -63,13 +63,13 @@
 			if *traceLogs {
 				logs = os.Stdout
 			}
-			faults := Draw(seed, faultTime, *faultsRun)
-			world := play(t, twoRegionOptions(seed, logs), faults)
-			for _, violation := range world.Truth.Violations() {
+			faults := RandomFaults(seed, faultTime, *faultCount)
+			world := runSimulation(t, twoRegionOptions(seed, logs), faults)
+			for _, violation := range world.Checker.Violations() {
 				t.Error(violation)
 			}
-			t.Logf("faults %v, counts %v", faults, world.Truth.counts)
-			require.Positive(t, world.Truth.counts["steps whole"])
+			t.Logf("faults %v, counts %v", faults, world.Checker.counts)
+			require.Positive(t, world.Checker.counts["steps whole"])
 		})
 	}
 }
@@ -78,18 +78,18 @@
 // This violates the rule on refused jobs only if the unanswered submission is refused too.
 func TestItemsMayRunBeforeTheirSubmissionIsAnswered(t *testing.T) {
 	for _, refused := range []bool{false, true} {
-		truth := NewTruth()
-		job := &jobTruth{id: "j", items: []string{"i"}}
-		truth.Submitted(job, map[string]*itemTruth{"i": {}})
-		truth.answered(job, false, true)
-		job.asking = true
+		truth := NewChecker()
+		job := &jobHistory{id: "j", items: []string{"i"}}
+		truth.RecordJob(job, map[string]*itemHistory{"i": {}})
+		truth.recordSubmissionAnswer(job, false, true)
+		job.submitting = true
 		truth.RunStarted("i", "s", "n")
-		truth.answered(job, !refused, refused)
+		truth.recordSubmissionAnswer(job, !refused, refused)
 		require.Equal(t, refused, len(truth.Violations()) > 0)
 	}
-	truth := NewTruth()
-	job := &jobTruth{id: "j", items: []string{"i"}, refused: true}
-	truth.Submitted(job, map[string]*itemTruth{"i": {}})
+	truth := NewChecker()
+	job := &jobHistory{id: "j", items: []string{"i"}, refused: true}
+	truth.RecordJob(job, map[string]*itemHistory{"i": {}})
 	truth.RunStarted("i", "s", "n")
 	require.NotEmpty(t, truth.Violations(), "no submission is unanswered")
 }
--- a/internal/platformsim/sampler.go
+++ b/internal/platformsim/sampler.go
@@ -19,30 +19,30 @@
 const (
 	maxQueuedRequests  = 16
 	weightLoadDuration = 900 * time.Millisecond
-	heartbeat          = 1200 * time.Millisecond
+	heartbeatInterval  = 1200 * time.Millisecond
 )
 
 // SamplerFaults are the faults injected into a sampler. The zero value injects none.
 type SamplerFaults struct {
-	// Slow multiplies the service time; values below 1 have no effect.
-	Slow float64
-	// Cut is the fraction of streams and answers that are cut off midway.
-	Cut float64
-	// Fail is the fraction of runs that the sampler answers with status 500.
-	Fail float64
-	// Surplus is the fraction of answers that belong to another request.
-	Surplus float64
-	// LateOrders makes the sampler leave half of the weight orders unanswered and execute them
+	// SlowdownFactor multiplies the service time; values below 1 have no effect.
+	SlowdownFactor float64
+	// TruncationRate is the fraction of streams and answers that are cut off midway.
+	TruncationRate float64
+	// ErrorRate is the fraction of runs that the sampler answers with status 500.
+	ErrorRate float64
+	// MisroutedAnswerRate is the fraction of answers that belong to another request.
+	MisroutedAnswerRate float64
+	// DelayOrders makes the sampler leave half of the weight orders unanswered and execute them
 	// 2 to 8 s later.
-	LateOrders bool
+	DelayOrders bool
 }
 
 // SamplerSpec describes a sampler. It stays the same over the sampler's restarts.
 type SamplerSpec struct {
 	Address, Zone, Service string
 	Slots                  int
-	// Work is the time to generate one event, or one answer of an application.
-	Work time.Duration
+	// ServiceTime is the time to generate one event, or one answer of an application.
+	ServiceTime time.Duration
 }
 
 // Sampler simulates a model sampler or an application server.
@@ -52,11 +52,11 @@
 	// startedMS is the time of its start in Unix milliseconds.
 	startedMS int64
 
-	truth  *Truth
-	store  *Store
-	mutex  sync.Mutex
-	random *rand.Rand
-	faults SamplerFaults
+	checker *Checker
+	store   *Store
+	mutex   sync.Mutex
+	random  *rand.Rand
+	faults  SamplerFaults
 
 	models          map[string]uint64
 	loadingModel    string
@@ -72,9 +72,9 @@
 	crash func(key, node string)
 }
 
-func newSampler(id string, spec SamplerSpec, models map[string]uint64, truth *Truth, store *Store, seed uint64, coldUntil time.Time) *Sampler {
+func newSampler(id string, spec SamplerSpec, models map[string]uint64, truth *Checker, store *Store, seed uint64, coldUntil time.Time) *Sampler {
 	sampler := &Sampler{
-		SamplerSpec: spec, ID: id, startedMS: time.Now().UnixMilli(), truth: truth, store: store, models: models,
+		SamplerSpec: spec, ID: id, startedMS: time.Now().UnixMilli(), checker: truth, store: store, models: models,
 		random: rand.New(rand.NewPCG(seed, 7)), slotFreed: make(chan struct{}), cold: coldState{until: coldUntil},
 	}
 	sampler.register()
@@ -88,23 +88,23 @@
 	s.faults = faults
 }
 
-func (s *Sampler) snapshotDocument() platform.SamplerDocument {
+func (s *Sampler) registryEntry() platform.SamplerDocument {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.document()
+	return s.registryEntryLocked()
 }
 
-// document returns the sampler's registry entry; the caller holds s.mutex.
-func (s *Sampler) document() platform.SamplerDocument {
+// registryEntryLocked returns the sampler's registry entry; the caller holds s.mutex.
+func (s *Sampler) registryEntryLocked() platform.SamplerDocument {
 	state := platform.StateReady
 	if s.draining {
 		state = platform.StateDraining
 	}
 	document := platform.SamplerDocument{
-		Service: s.Service, Address: s.Address, Zone: s.Zone, Software: "v1", Slots: s.Slots, State: state,
-		Orders: s.acceptedOrders, Born: s.startedMS,
+		Service: s.Service, Address: s.Address, Zone: s.Zone, SoftwareVersion: "v1", Slots: s.Slots, State: state,
+		OrderCount: s.acceptedOrders, StartedAtMs: s.startedMS,
 	}
-	document.ColdLeftMS = float64(s.cold.left(time.Now()).Milliseconds())
+	document.ColdRemainingMS = float64(s.cold.remaining(time.Now()).Milliseconds())
 	for model, version := range s.models {
 		document.Models = append(document.Models, platform.ModelDocument{Name: model, Version: version})
 	}
@@ -114,7 +114,7 @@
 // register writes the sampler's registry entry to the store, unless it was removed.
 func (s *Sampler) register() {
 	s.mutex.Lock()
-	document, removed := s.document(), s.removed
+	document, removed := s.registryEntryLocked(), s.removed
 	s.mutex.Unlock()
 	if removed {
 		return
@@ -126,23 +126,23 @@
 	s.store.Put(platform.TopicSamplers, s.ID, content)
 }
 
-// Leave announces that the sampler is draining.
-func (s *Sampler) Leave() {
+// Drain announces that the sampler is draining.
+func (s *Sampler) Drain() {
 	s.mutex.Lock()
 	s.draining = true
 	s.mutex.Unlock()
 	s.register()
-	s.truth.Gone(s.ID)
+	s.checker.RecordSamplerGone(s.ID)
 }
 
-// Remove deletes the sampler's registry entry. It is called some heartbeats after the
+// Deregister deletes the sampler's registry entry. It is called some heartbeats after the
 // sampler's end.
-func (s *Sampler) Remove() {
+func (s *Sampler) Deregister() {
 	s.mutex.Lock()
 	s.removed = true
 	s.mutex.Unlock()
 	s.store.Put(platform.TopicSamplers, s.ID, nil)
-	s.truth.Gone(s.ID)
+	s.checker.RecordSamplerGone(s.ID)
 }
 
 func (s *Sampler) currentFaults() SamplerFaults {
@@ -164,8 +164,8 @@
 		return
 	}
 	node := hostOf(request.RemoteAddr)
-	if expected := request.Header.Get(platform.HeaderExpectInstance); expected != "" && expected != s.ID {
-		writer.Header().Set(platform.HeaderInstance, s.ID)
+	if expected := request.Header.Get(platform.HeaderExpectedInstanceID); expected != "" && expected != s.ID {
+		writer.Header().Set(platform.HeaderInstanceID, s.ID)
 		writer.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
@@ -178,27 +178,27 @@
 		return
 	}
 	id := request.Header.Get(platform.HeaderRequestID)
-	s.truth.RequestArrived(s.ID, s.Zone, node, id)
-	s.truth.checkTenant(id, node, request.Header)
-	s.truth.judgeHome(id, s.ID, s.Zone)
+	s.checker.RequestArrived(s.ID, s.Zone, node, id)
+	s.checker.checkTenant(id, node, request.Header)
+	s.checker.checkRegion(id, s.ID, s.Zone)
 	writer.Header().Set(platform.HeaderRequestID, id)
 	model := request.Header.Get(platform.HeaderModel)
-	if s.takeCold(node) {
+	if s.recordColdRequest(node) {
 		panic(http.ErrAbortHandler)
 	}
 	if !s.acquireSlot(request, model) {
-		writer.Header().Set(platform.HeaderNotRun, "1")
+		writer.Header().Set(platform.HeaderNotExecuted, "1")
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	defer s.releaseSlot()
-	if crashes(body) {
+	if isCrashingBody(body) {
 		s.crash(s.crashKey(request, id), node)
 		panic(http.ErrAbortHandler)
 	}
-	if s.randomChance(s.currentFaults().Fail) {
-		s.truth.RunFailed(id)
-		writer.Header().Set(platform.HeaderStamp, "failed")
+	if s.randomChance(s.currentFaults().ErrorRate) {
+		s.checker.RunFailed(id)
+		writer.Header().Set(platform.HeaderServerStamp, "failed")
 		writer.WriteHeader(http.StatusInternalServerError)
 		return
 	}
@@ -265,7 +265,7 @@
 
 func (s *Sampler) simulateWork(request *http.Request) bool {
 	s.mutex.Lock()
-	delay := time.Duration(float64(s.Work) * max(s.faults.Slow, 1))
+	delay := time.Duration(float64(s.ServiceTime) * max(s.faults.SlowdownFactor, 1))
 	s.mutex.Unlock()
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
@@ -291,17 +291,17 @@
 }
 
 func (s *Sampler) serveStream(writer http.ResponseWriter, request *http.Request, id, model, node string) {
-	from, _ := strconv.Atoi(request.Header.Get(platform.HeaderLastEvent))
-	_, outputTokens, _ := strings.Cut(request.Header.Get(platform.HeaderTokens), ",")
+	from, _ := strconv.Atoi(request.Header.Get(platform.HeaderLastEventID))
+	_, outputTokens, _ := strings.Cut(request.Header.Get(platform.HeaderTokenCounts), ",")
 	total, _ := strconv.Atoi(outputTokens)
-	run := s.truth.RunStarted(id, s.ID, node)
+	run := s.checker.RunStarted(id, s.ID, node)
 	version := s.weightVersion(model)
 	writer.Header().Set("Content-Type", "text/event-stream")
-	writer.Header().Set(platform.HeaderStamp, "stream")
-	writer.Header().Set(platform.HeaderVersions, strconv.FormatUint(version, 10))
+	writer.Header().Set(platform.HeaderServerStamp, "stream")
+	writer.Header().Set(platform.HeaderWeightVersions, strconv.FormatUint(version, 10))
 	controller := http.NewResponseController(writer)
 	cutAt := -1
-	if s.randomChance(s.currentFaults().Cut) {
+	if s.randomChance(s.currentFaults().TruncationRate) {
 		cutAt = from + 1 + run%max(total-from, 1)
 	}
 	for event := from + 1; event <= total; event++ {
@@ -311,7 +311,7 @@
 		current := s.weightVersion(model)
 		text := fmt.Sprintf("id: %d\ndata: %s\n\n", event, eventData(id, event, run, from, current))
 		if current != version {
-			text = fmt.Sprintf("%s: %d\n", platform.EventVersionField, current) + text
+			text = fmt.Sprintf("%s: %d\n", platform.EventWeightVersionsField, current) + text
 			version = current
 		}
 		if event == cutAt {
@@ -319,7 +319,7 @@
 			_ = controller.Flush()
 			panic(http.ErrAbortHandler)
 		}
-		s.truth.EventGenerated(id)
+		s.checker.EventGenerated(id)
 		if _, err := io.WriteString(writer, text); err != nil {
 			return
 		}
@@ -331,7 +331,7 @@
 
 // serveAnswer serves a request to an application or a reward call.
 func (s *Sampler) serveAnswer(writer http.ResponseWriter, request *http.Request, id string, body []byte) {
-	s.truth.Began(id)
+	s.checker.RequestStarted(id)
 	if !s.simulateWork(request) {
 		return
 	}
@@ -339,46 +339,46 @@
 	s.mutex.Lock()
 	stamp := fmt.Sprintf("%s.%x", s.ID, s.random.Uint64())
 	s.mutex.Unlock()
-	s.truth.AnswerSent(id, stamp)
-	content := answerTo(id, request.Host, request.RequestURI, body)
-	if s.randomChance(faults.Surplus) {
+	s.checker.AnswerSent(id, stamp)
+	content := expectedAnswer(id, request.Host, request.RequestURI, body)
+	if s.randomChance(faults.MisroutedAnswerRate) {
 		writer.Header().Set(platform.HeaderRequestID, "another")
 		content = "the answer to another request"
 	}
-	writer.Header().Set(platform.HeaderStamp, stamp)
+	writer.Header().Set(platform.HeaderServerStamp, stamp)
 	writer.Header().Set("Content-Length", strconv.Itoa(len(content)))
-	if s.randomChance(faults.Cut) {
+	if s.randomChance(faults.TruncationRate) {
 		_, _ = io.WriteString(writer, content[:len(content)/2])
 		panic(http.ErrAbortHandler)
 	}
 	_, _ = io.WriteString(writer, content)
 }
 
-// answerTo returns the correct answer to a request.
-func answerTo(id, host, path string, body []byte) string {
+// expectedAnswer returns the correct answer to a request.
+func expectedAnswer(id, host, path string, body []byte) string {
 	return fmt.Sprintf("answer to %s at %s%s with %q", id, host, path, body)
 }
 
 func (s *Sampler) serveReport(writer http.ResponseWriter) {
 	s.mutex.Lock()
-	document := platform.ReportDocument{Busy: s.loadingModel != "", Orders: s.acceptedOrders, Born: s.startedMS}
+	document := platform.ReportDocument{OrderInProgress: s.loadingModel != "", OrderCount: s.acceptedOrders, StartedAtMs: s.startedMS}
 	for model, version := range s.models {
 		document.Models = append(document.Models, platform.ModelDocument{Name: model, Version: version})
 	}
 	s.mutex.Unlock()
-	writeDocument(writer, document)
+	writeJSON(writer, document)
 }
 
 func (s *Sampler) serveOrder(writer http.ResponseWriter, request *http.Request, body []byte) {
 	var document platform.OrderDocument
-	if json.Unmarshal(body, &document) != nil || document.Holder == "" || document.Fence == 0 {
+	if json.Unmarshal(body, &document) != nil || document.Holder == "" || document.FenceToken == 0 {
 		writer.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	s.truth.OrderReceived(s.ID, s.Zone, document.Holder, document.Fence)
+	s.checker.OrderReceived(s.ID, s.Zone, document.Holder, document.FenceToken)
 	faults := s.currentFaults()
-	if faults.LateOrders && s.randomChance(0.5) {
-		time.AfterFunc(2*time.Second+time.Duration(document.Fence%7)*time.Second, func() { s.executeOrder(document) })
+	if faults.DelayOrders && s.randomChance(0.5) {
+		time.AfterFunc(2*time.Second+time.Duration(document.FenceToken%7)*time.Second, func() { s.executeOrder(document) })
 		<-request.Context().Done()
 		panic(http.ErrAbortHandler)
 	}
@@ -394,7 +394,7 @@
 	if s.models[document.Model] == document.Version {
 		return http.StatusOK
 	}
-	if s.loadingModel != "" || document.Expected != s.acceptedOrders {
+	if s.loadingModel != "" || document.ExpectedOrderCount != s.acceptedOrders {
 		return http.StatusConflict
 	}
 	s.acceptedOrders++
--- a/internal/platformsim/sharing_test.go
+++ b/internal/platformsim/sharing_test.go
@@ -13,13 +13,13 @@
 
 // sharingOptions describes a world of twelve nodes, of which one in each zone reads the shared
 // topics for the others.
-func sharingOptions(seed uint64, logs *lines) Options {
-	options := example(seed, nil)
+func sharingOptions(seed uint64, logs *logBuffer) Options {
+	options := exampleOptions(seed, nil)
 	if logs != nil {
 		options.Logs = logs
 	}
 	options.NodesPerZone = 4
-	options.Sharing = fanout.Sizes{Direct: 4, PerReader: 4}
+	options.Sharing = fanout.Sizes{MaxDirectNodes: 4, NodesPerReader: 4}
 	return options
 }
 
@@ -38,27 +38,27 @@
 			{Kind: SamplerReplaced, At: 29 * time.Second, Target: 7},
 		},
 		"all start at once": {
-			{Kind: KillAll, At: 5 * time.Second, For: 2 * time.Second},
+			{Kind: KillAllNodes, At: 5 * time.Second, For: 2 * time.Second},
 			{Kind: ConfigChange, At: 8 * time.Second, Target: 3},
 			{Kind: StoreDown, At: 14 * time.Second, For: 4 * time.Second},
-			{Kind: HerdKill, At: 24 * time.Second, For: 2 * time.Second},
-			{Kind: StoreForgets, At: 30 * time.Second},
+			{Kind: KillMostNodes, At: 24 * time.Second, For: 2 * time.Second},
+			{Kind: StoreDropsHistory, At: 30 * time.Second},
 			{Kind: SamplerReplaced, At: 31 * time.Second, Target: 5},
 		},
 		"samplers restart": {
-			{Kind: SamplerReborn, At: 4 * time.Second, For: time.Second, Target: 1},
+			{Kind: SamplerRestarted, At: 4 * time.Second, For: time.Second, Target: 1},
 			{Kind: ForeignEntries, At: 8 * time.Second, For: 6 * time.Second, Target: 8},
 			{Kind: NodeReplaced, At: 16 * time.Second, For: 3 * time.Second},
-			{Kind: SamplerReborn, At: 18 * time.Second, For: time.Second, Target: 4},
+			{Kind: SamplerRestarted, At: 18 * time.Second, For: time.Second, Target: 4},
 			{Kind: NodeReplaced, At: 28 * time.Second, For: 3 * time.Second},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			logs := &lines{}
-			world := play(t, sharingOptions(320, logs), faults)
-			require.Empty(t, world.Truth.Violations())
-			counts := world.Truth.counts
+			logs := &logBuffer{}
+			world := runSimulation(t, sharingOptions(320, logs), faults)
+			require.Empty(t, world.Checker.Violations())
+			counts := world.Checker.counts
 			require.GreaterOrEqual(t, counts["steps whole"], counts["steps"]*3/4, counts)
 			require.Positive(t, counts["requests served"])
 		})
@@ -67,9 +67,9 @@
 
 // Without faults, only the readers, one of the four nodes of each zone, follow the shared topics.
 func TestOnlyReadersFollowSharedTopics(t *testing.T) {
-	world := play(t, sharingOptions(321, nil), nil)
-	require.Empty(t, world.Truth.Violations())
-	counts := world.Truth.counts
+	world := runSimulation(t, sharingOptions(321, nil), nil)
+	require.Empty(t, world.Checker.Violations())
+	counts := world.Checker.counts
 	require.Zero(t, counts["requests refused"]+counts["requests lost"], counts)
 	require.Equal(t, counts["steps"], counts["steps whole"], counts)
 	for _, topic := range []string{platform.TopicSamplers, platform.TopicOperator} {
@@ -88,9 +88,9 @@
 func TestLogReadsGrowWithReadersNotNodes(t *testing.T) {
 	total := func(nodesPerZone int) map[string]int {
 		options := sharingOptions(322, nil)
-		options.NodesPerZone, options.Sharing.PerReader = nodesPerZone, nodesPerZone
-		world := play(t, options, nil)
-		require.Empty(t, world.Truth.Violations())
+		options.NodesPerZone, options.Sharing.NodesPerReader = nodesPerZone, nodesPerZone
+		world := runSimulation(t, options, nil)
+		require.Empty(t, world.Checker.Violations())
 		sums := make(map[string]int)
 		for _, topic := range []string{platform.TopicSamplers, platform.TopicOperator} {
 			for _, count := range world.Store.ReadCounts(topic) {
@@ -110,10 +110,10 @@
 	for seed := *firstSeed; seed < *firstSeed+min(*seeds, 3); seed++ {
 		t.Run(fmt.Sprint("seed=", seed), func(t *testing.T) {
 			t.Parallel()
-			faults := Draw(seed+5000, faultTime, *faultsRun)
-			world := play(t, sharingOptions(seed+5000, nil), faults)
-			require.Empty(t, world.Truth.Violations(), "%v", faults)
-			require.Positive(t, world.Truth.counts["steps whole"], "%v", faults)
+			faults := RandomFaults(seed+5000, faultTime, *faultCount)
+			world := runSimulation(t, sharingOptions(seed+5000, nil), faults)
+			require.Empty(t, world.Checker.Violations(), "%v", faults)
+			require.Positive(t, world.Checker.counts["steps whole"], "%v", faults)
 		})
 	}
 }
--- a/internal/platformsim/simulation_test.go
+++ b/internal/platformsim/simulation_test.go
@@ -19,10 +19,10 @@
 )
 
 var (
-	firstSeed = flag.Uint64("first-seed", 1, "first seed of TestSeeds")
-	seeds     = flag.Uint64("seeds", 6, "number of seeds of TestSeeds")
-	faultsRun = flag.Int("faults", 6, "number of faults in a run")
-	traceLogs = flag.Bool("trace", false, "print the nodes' logs")
+	firstSeed  = flag.Uint64("first-seed", 1, "first seed of TestSeeds")
+	seeds      = flag.Uint64("seeds", 6, "number of seeds of TestSeeds")
+	faultCount = flag.Int("faults", 6, "number of faults in a run")
+	traceLogs  = flag.Bool("trace", false, "print the nodes' logs")
 )
 
 const (
@@ -32,9 +32,9 @@
 	closeTime  = 30 * time.Second
 )
 
-// play runs a world under traffic, injects the faults, checks the accepted jobs at the end and
+// runSimulation runs a world under traffic, injects the faults, checks the accepted jobs at the end and
 // returns the closed world.
-func play(t *testing.T, options Options, faults []Fault) *World {
+func runSimulation(t *testing.T, options Options, faults []Fault) *World {
 	t.Helper()
 	var world *World
 	synctest.Test(t, func(t *testing.T) {
@@ -47,14 +47,14 @@
 		defer world.Close()
 		background, stop := context.WithCancel(context.Background())
 		var loops conc.WaitGroup
-		loops.Go(func() { world.Heartbeats(background) })
-		loops.Go(func() { world.WatchReadiness(background) })
+		loops.Go(func() { world.SendHeartbeats(background) })
+		loops.Go(func() { world.PollReadiness(background) })
 		time.Sleep(500 * time.Millisecond)
 		world.PutConfig(0)
 		time.Sleep(settleTime)
 		var running conc.WaitGroup
 		traffic, stopTraffic := context.WithTimeout(background, faultTime+healTime)
-		running.Go(func() { world.Traffic(traffic) })
+		running.Go(func() { world.RunTraffic(traffic) })
 		began := time.Now()
 		for _, fault := range faults {
 			time.Sleep(time.Until(began.Add(fault.At)))
@@ -65,19 +65,19 @@
 		time.Sleep(settleTime)
 		stop()
 		loops.Wait()
-		world.JudgeEnd(context.Background())
+		world.CheckAcceptedJobs(context.Background())
 	})
 	return world
 }
 
-func example(seed uint64, logs io.Writer) Options {
+func exampleOptions(seed uint64, logs io.Writer) Options {
 	return Options{Seed: seed, NodesPerZone: 2, Samplers: 6, Applications: 3, Models: []string{"m1", "m2"}, Logs: logs}
 }
 
 func TestAllRequestsAreServedWithoutFaults(t *testing.T) {
-	world := play(t, example(1, nil), nil)
-	require.Empty(t, world.Truth.Violations())
-	counts := world.Truth.counts
+	world := runSimulation(t, exampleOptions(1, nil), nil)
+	require.Empty(t, world.Checker.Violations())
+	counts := world.Checker.counts
 	require.Zero(t, counts["requests refused"]+counts["requests lost"], counts)
 	require.Positive(t, counts["requests served"])
 	require.GreaterOrEqual(t, counts["steps"], 30)
@@ -85,8 +85,8 @@
 	require.Positive(t, counts["orders"])
 	require.Positive(t, counts["windows reported"])
 	require.Positive(t, counts["samplers ordered"])
-	end := world.Truth.started.Add(settleTime + faultTime)
-	require.Empty(t, world.Truth.MissedUsage(world.Truth.started.Add(settleTime), end))
+	end := world.Checker.startedAt.Add(settleTime + faultTime)
+	require.Empty(t, world.Checker.InvalidUsageReports(world.Checker.startedAt.Add(settleTime), end))
 }
 
 func TestSeeds(t *testing.T) {
@@ -97,17 +97,17 @@
 			if *traceLogs {
 				logs = os.Stdout
 			}
-			faults := Draw(seed, faultTime, *faultsRun)
-			world := play(t, example(seed, logs), faults)
-			violations := world.Truth.Violations()
+			faults := RandomFaults(seed, faultTime, *faultCount)
+			world := runSimulation(t, exampleOptions(seed, logs), faults)
+			violations := world.Checker.Violations()
 			for _, violation := range violations {
 				t.Error(violation)
 			}
 			if len(violations) > 0 {
 				t.Logf("faults %v", faults)
-				t.Logf("repeat with: go test ./internal/platformsim -run 'TestSeeds/seed=%d$' -first-seed=%d -seeds=1 -faults=%d -trace", seed, seed, *faultsRun)
+				t.Logf("repeat with: go test ./internal/platformsim -run 'TestSeeds/seed=%d$' -first-seed=%d -seeds=1 -faults=%d -trace", seed, seed, *faultCount)
 			}
-			require.Positive(t, world.Truth.counts["steps whole"], "%v", faults)
+			require.Positive(t, world.Checker.counts["steps whole"], "%v", faults)
 		})
 	}
 }
@@ -119,15 +119,15 @@
 		for seed := uint64(1); seed <= 2; seed++ {
 			t.Run(fmt.Sprint(distance, "/seed=", seed), func(t *testing.T) {
 				t.Parallel()
-				options := example(seed, nil)
+				options := exampleOptions(seed, nil)
 				options.RemoteZoneLatency = distance
 				var faults []Fault
 				if seed > 1 {
-					faults = Draw(seed, faultTime, *faultsRun)
+					faults = RandomFaults(seed, faultTime, *faultCount)
 				}
-				world := play(t, options, faults)
-				require.Empty(t, world.Truth.Violations(), "%v", faults)
-				require.Positive(t, world.Truth.counts["steps whole"], "%v", faults)
+				world := runSimulation(t, options, faults)
+				require.Empty(t, world.Checker.Violations(), "%v", faults)
+				require.Positive(t, world.Checker.counts["steps whole"], "%v", faults)
 			})
 		}
 	}
@@ -135,16 +135,16 @@
 
 // Injects each kind of fault on its own, twice, under all kinds of traffic.
 func TestEachFault(t *testing.T) {
-	for kind := range faultKinds {
+	for kind := range randomKindCount {
 		t.Run(kind.String(), func(t *testing.T) {
 			t.Parallel()
 			faults := []Fault{
 				{Kind: kind, At: 6 * time.Second, For: 4 * time.Second, Target: 1},
 				{Kind: kind, At: 25 * time.Second, For: 6 * time.Second, Target: 4},
 			}
-			world := play(t, example(uint64(kind)+100, nil), faults)
-			require.Empty(t, world.Truth.Violations())
-			require.Positive(t, world.Truth.counts["steps whole"])
+			world := runSimulation(t, exampleOptions(uint64(kind)+100, nil), faults)
+			require.Empty(t, world.Checker.Violations())
+			require.Positive(t, world.Checker.counts["steps whole"])
 		})
 	}
 }
@@ -157,9 +157,9 @@
 		{Kind: NodeReplaced, At: 8 * time.Second, For: 2 * time.Second},
 		{Kind: NodeReplaced, At: 26 * time.Second, For: 4 * time.Second},
 	}
-	world := play(t, example(300, nil), faults)
-	require.Empty(t, world.Truth.Violations())
-	counts := world.Truth.counts
+	world := runSimulation(t, exampleOptions(300, nil), faults)
+	require.Empty(t, world.Checker.Violations())
+	counts := world.Checker.counts
 	for _, model := range []string{"m1", "m2"} {
 		require.GreaterOrEqual(t, counts["steps of "+model], 15, counts)
 		// One step per replacement may time out, but no later one.
@@ -172,12 +172,12 @@
 // with eight faults).
 func TestDownMachineIsNotReplaced(t *testing.T) {
 	faults := []Fault{
-		{Kind: KillAll, At: 8 * time.Second, For: 4 * time.Second},
+		{Kind: KillAllNodes, At: 8 * time.Second, For: 4 * time.Second},
 		{Kind: NodeReplaced, At: 9 * time.Second, For: 2 * time.Second},
 	}
-	world := play(t, example(301, nil), faults)
-	require.Empty(t, world.Truth.Violations())
-	require.Len(t, world.present(), len(world.nodes))
+	world := runSimulation(t, exampleOptions(301, nil), faults)
+	require.Empty(t, world.Checker.Violations())
+	require.Len(t, world.presentNodes(), len(world.nodes))
 }
 
 // Guards against an executor that cannot reach the store losing its partition assignment after
@@ -188,29 +188,29 @@
 	for node := range uint64(6) {
 		faults = append(faults, Fault{Kind: NodeCutFromStore, At: time.Duration(node+1)*pause - cutFor, For: cutFor, Target: node})
 	}
-	logs := &lines{}
-	world := play(t, example(400, logs), faults)
-	require.Empty(t, world.Truth.Violations())
-	counts := world.Truth.counts
+	logs := &logBuffer{}
+	world := runSimulation(t, exampleOptions(400, logs), faults)
+	require.Empty(t, world.Checker.Violations())
+	counts := world.Checker.counts
 	require.Equal(t, counts["steps"], counts["steps whole"], counts)
 	text := logs.String()
 	require.Contains(t, text, `"msg":"log_reached_through_peer"`)
 	require.NotContains(t, text, `"msg":"group_contact_lost"`, "the executor may lose its partition assignment")
 }
 
-// lines is a concurrency-safe buffer of the nodes' logs.
-type lines struct {
+// logBuffer is a concurrency-safe buffer of the nodes' logs.
+type logBuffer struct {
 	mutex sync.Mutex
 	text  strings.Builder
 }
 
-func (l *lines) Write(line []byte) (int, error) {
+func (l *logBuffer) Write(line []byte) (int, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.text.Write(line)
 }
 
-func (l *lines) String() string {
+func (l *logBuffer) String() string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.text.String()
@@ -225,10 +225,10 @@
 		{Kind: SamplerFail, At: 8 * time.Second, For: 20 * time.Second, Target: applicationB},
 		{Kind: SamplerFail, At: 8 * time.Second, For: 20 * time.Second, Target: applicationC},
 	}
-	world := play(t, example(302, nil), faults)
-	require.Empty(t, world.Truth.Violations())
-	require.Equal(t, 1, world.Truth.counts["zones evacuated"])
-	require.Positive(t, world.Truth.counts[countRewardFailures])
+	world := runSimulation(t, exampleOptions(302, nil), faults)
+	require.Empty(t, world.Checker.Violations())
+	require.Equal(t, 1, world.Checker.counts["zones evacuated"])
+	require.Positive(t, world.Checker.counts[countRewardFailures])
 }
 
 // Machines that were suspended give up leases and assignments that may have expired, and acquire
@@ -239,10 +239,10 @@
 		{Kind: Suspension, At: 15 * time.Second, For: 4 * time.Second},
 		{Kind: Suspension, At: 30 * time.Second, For: time.Minute},
 	}
-	options := example(303, nil)
+	options := exampleOptions(303, nil)
 	options.SimulateSuspension = true
-	world := play(t, options, faults)
-	require.Empty(t, world.Truth.Violations())
-	counts := world.Truth.counts
+	world := runSimulation(t, options, faults)
+	require.Empty(t, world.Checker.Violations())
+	counts := world.Checker.counts
 	require.GreaterOrEqual(t, counts["steps whole"], counts["steps"]-len(faults), counts)
 }
--- a/internal/platformsim/store.go
+++ b/internal/platformsim/store.go
@@ -16,22 +16,22 @@
 )
 
 const (
-	storeParts     = 8
-	storeLatency   = 4 * time.Millisecond
-	maxReadBytes   = 1 << 20
-	maxAppendDelay = 5 * time.Second
+	storePartitions = 8
+	storeLatency    = 4 * time.Millisecond
+	maxReadBytes    = 1 << 20
+	maxAppendDelay  = 5 * time.Second
 )
 
 // StoreFaults are the faults injected into the store. The zero value injects none.
 type StoreFaults struct {
 	// Down refuses every call with status 503; Silent leaves every new call unanswered.
-	Down, Silent bool
-	// Slow multiplies the response time; values below 1 have no effect.
-	Slow float64
-	// Lose is the fraction of writes that are executed but not answered; Late delays their
+	Down, Unresponsive bool
+	// SlowdownFactor multiplies the response time; values below 1 have no effect.
+	SlowdownFactor float64
+	// LostWriteRate is the fraction of writes that are executed but not answered; Late delays their
 	// execution by up to maxAppendDelay.
-	Lose float64
-	Late bool
+	LostWriteRate float64
+	DelayWrites   bool
 }
 
 // Store simulates the platform's metadata store, an append-only log with topics, partitions
@@ -42,7 +42,7 @@
 	topics map[string][][][]byte
 	// firstOffsets is the oldest offset of partition 0 of each topic that can still be read.
 	firstOffsets map[string]int
-	groups       map[string]*group
+	groups       map[string]*consumerGroup
 	faults       StoreFaults
 	changed      chan struct{}
 	// onRead is called with the records that are returned to a machine; it may be nil.
@@ -71,7 +71,7 @@
 func NewStore(seed uint64) *Store {
 	return &Store{
 		random: rand.New(rand.NewPCG(seed, 1)), topics: make(map[string][][][]byte),
-		firstOffsets: make(map[string]int), groups: make(map[string]*group),
+		firstOffsets: make(map[string]int), groups: make(map[string]*consumerGroup),
 		changed: make(chan struct{}), readCounts: make(map[topicReader]int),
 	}
 }
@@ -84,9 +84,9 @@
 	s.notifyReaders()
 }
 
-// Forget drops the history of a keyed topic: reads from before its end get status 410, while
+// DropHistory drops the history of a keyed topic: reads from before its end get status 410, while
 // the newest record of each key stays available.
-func (s *Store) Forget(topic string) {
+func (s *Store) DropHistory(topic string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.firstOffsets[topic] = len(s.topicPartitions(topic)[0])
@@ -108,7 +108,7 @@
 	s.append(topic, 0, [][]byte{record})
 }
 
-func (s *Store) draw(probability float64) bool {
+func (s *Store) randomChance(probability float64) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.random.Float64() < probability
@@ -121,7 +121,7 @@
 
 func (s *Store) topicPartitions(name string) [][][]byte {
 	if s.topics[name] == nil {
-		s.topics[name] = make([][][]byte, storeParts)
+		s.topics[name] = make([][][]byte, storePartitions)
 	}
 	return s.topics[name]
 }
@@ -144,18 +144,18 @@
 	}
 	s.mutex.Lock()
 	faults := s.faults
-	loseAnswer := request.Method == http.MethodPost && s.random.Float64() < faults.Lose
+	loseAnswer := request.Method == http.MethodPost && s.random.Float64() < faults.LostWriteRate
 	delay := time.Duration(s.random.Int64N(int64(maxAppendDelay)))
 	s.mutex.Unlock()
-	time.Sleep(time.Duration(float64(storeLatency) * max(faults.Slow, 1)))
+	time.Sleep(time.Duration(float64(storeLatency) * max(faults.SlowdownFactor, 1)))
 	switch {
 	case faults.Down:
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
-	case faults.Silent:
+	case faults.Unresponsive:
 		<-request.Context().Done()
 		panic(http.ErrAbortHandler)
-	case loseAnswer && faults.Late:
+	case loseAnswer && faults.DelayWrites:
 		time.AfterFunc(delay, func() { s.serve(discardWriter{}, request, body) })
 		<-request.Context().Done()
 		panic(http.ErrAbortHandler)
@@ -193,7 +193,7 @@
 
 func topicPartition(request *http.Request) (topic string, partition int) {
 	partition, err := strconv.Atoi(request.URL.Query().Get("part"))
-	if err != nil || partition >= storeParts {
+	if err != nil || partition >= storePartitions {
 		partition = 0
 	}
 	return request.URL.Query().Get("topic"), partition
@@ -210,7 +210,7 @@
 	s.mutex.Lock()
 	offset := s.append(topic, partition, records)
 	s.mutex.Unlock()
-	writeDocument(writer, platform.AppendDocument{Offset: uint64(offset), End: uint64(offset + len(records))})
+	writeJSON(writer, platform.AppendDocument{Offset: uint64(offset), End: uint64(offset + len(records))})
 }
 
 func (s *Store) serveRead(writer http.ResponseWriter, request *http.Request) {
@@ -226,7 +226,7 @@
 	for waiting := waitMS > 0; ; {
 		s.mutex.Lock()
 		records, changed, first := s.topicPartitions(topic)[partition], s.changed, s.firstOffsets[topic]
-		down := s.faults.Down || s.faults.Silent
+		down := s.faults.Down || s.faults.Unresponsive
 		s.mutex.Unlock()
 		if down {
 			writer.WriteHeader(http.StatusServiceUnavailable)
@@ -234,7 +234,7 @@
 		}
 		if from < first {
 			writer.WriteHeader(http.StatusGone)
-			writeDocument(writer, struct {
+			writeJSON(writer, struct {
 				First int `json:"first"`
 			}{first})
 			return
@@ -299,10 +299,10 @@
 			document.Records = append(document.Records, record)
 		}
 	}
-	writeDocument(writer, document)
+	writeJSON(writer, document)
 }
 
-func writeDocument(writer http.ResponseWriter, document any) {
+func writeJSON(writer http.ResponseWriter, document any) {
 	content, err := json.Marshal(document)
 	if err != nil {
 		panic(err)
--- a/internal/platformsim/surroundings.go
+++ b/internal/platformsim/surroundings.go
@@ -13,9 +13,9 @@
 	"github.com/pathbend/pathbend/platform"
 )
 
-// Surroundings is the environment in which the machines of a world run: network links and
+// Environment is the environment in which the machines of a world run: network links and
 // processes, either simulated or real.
-type Surroundings interface {
+type Environment interface {
 	// Network returns the network as seen by a machine in a zone.
 	Network(machine, zone string) network.Network
 	// Listen opens a port of a machine and returns the address at which others reach it. The
@@ -47,7 +47,7 @@
 	Done() <-chan struct{}
 }
 
-// simulatedEnvironment implements Surroundings with in-memory links and a goroutine per node.
+// simulatedEnvironment implements Environment with in-memory links and a goroutine per node.
 type simulatedEnvironment struct{ links }
 
 // links is an alias, so that the name of the embedded field does not hide the method Network.
@@ -55,7 +55,7 @@
 
 // zoneLatency returns the one-way latency between zones. If remoteLatency is not 0, it is the
 // latency between remoteZone and every other zone.
-func zoneLatency(remoteLatency time.Duration) simnet.Latency {
+func zoneLatency(remoteLatency time.Duration) simnet.LatencyFunc {
 	return func(from, to string) time.Duration {
 		switch {
 		case from == to:
@@ -94,9 +94,9 @@
 	settings.PortRange = []int{minPeerPort, maxPeerPort}
 	logger := event.Discard()
 	if logs != nil {
-		logger = event.NewLogger(logs, slog.LevelDebug, "node", settings.Node)
+		logger = event.NewLogger(logs, slog.LevelDebug, "node", settings.NodeName)
 	}
-	node := &simulatedNode{process: platform.NewProcess(settings, s.For(settings.Node, settings.Zone), logger), done: make(chan struct{})}
+	node := &simulatedNode{process: platform.NewProcess(settings, s.For(settings.NodeName, settings.Zone), logger), done: make(chan struct{})}
 	var ctx context.Context
 	ctx, node.stop = context.WithCancel(context.Background())
 	go func() {
@@ -107,9 +107,11 @@
 	return node, nil
 }
 
-func (s simulatedEnvironment) Isolate(inside, outside []string) { forEachLink(inside, outside, s.Hold) }
+func (s simulatedEnvironment) Isolate(inside, outside []string) {
+	forEachLink(inside, outside, s.Block)
+}
 func (s simulatedEnvironment) Rejoin(inside, outside []string) {
-	forEachLink(inside, outside, s.Release)
+	forEachLink(inside, outside, s.Unblock)
 }
 
 func forEachLink(inside, outside []string, apply func(from, to string)) {
--- a/internal/platformsim/tenants.go
+++ b/internal/platformsim/tenants.go
@@ -57,8 +57,8 @@
 	r.keys[fmt.Sprintf("key-%d-of-%s", r.keyCount, tenant)] = &keyHistory{tenant: tenant, grantedAt: time.Now()}
 }
 
-// rotate revokes all keys of a tenant and grants it new ones.
-func (r *tenantRegistry) rotate(target uint64) {
+// rotateKeys revokes all keys of a tenant and grants it new ones.
+func (r *tenantRegistry) rotateKeys(target uint64) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	tenant := r.names[target%uint64(len(r.names))]
@@ -78,9 +78,9 @@
 	defer r.mutex.Unlock()
 	var documents []platform.TenantDocument
 	for i, name := range r.names {
-		documents = append(documents, platform.TenantDocument{Name: name, Keys: r.heldKeys(name), Priority: i % 2})
+		documents = append(documents, platform.TenantDocument{Name: name, APIKeys: r.heldKeys(name), Priority: i % 2})
 		if r.regionBound && i == 0 {
-			documents[i].Regions = []string{tenantRegion}
+			documents[i].AllowedRegions = []string{tenantRegion}
 		}
 	}
 	return documents
@@ -98,17 +98,17 @@
 	return held
 }
 
-// keyFor returns a random valid key of a tenant.
-func (r *tenantRegistry) keyFor(tenant string, random *rand.Rand) string {
+// randomKey returns a random valid key of a tenant.
+func (r *tenantRegistry) randomKey(tenant string, random *rand.Rand) string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	held := r.heldKeys(tenant)
 	return held[random.IntN(len(held))]
 }
 
-// takenKey returns a key that was revoked more than configDeadline ago and its history, or
+// revokedKey returns a key that was revoked more than configDeadline ago and its history, or
 // unknownKey and a zero history if there is none.
-func (r *tenantRegistry) takenKey() (string, keyHistory) {
+func (r *tenantRegistry) revokedKey() (string, keyHistory) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	var revoked []string
@@ -125,8 +125,8 @@
 	return newest, *r.keys[newest]
 }
 
-// other returns a tenant other than the given one.
-func (r *tenantRegistry) other(tenant string) string {
+// otherTenant returns a tenant other than the given one.
+func (r *tenantRegistry) otherTenant(tenant string) string {
 	for _, name := range r.names {
 		if name != tenant {
 			return name
@@ -135,8 +135,8 @@
 	return tenant
 }
 
-// heldFor returns the time since a key was granted, or 0 if it is revoked or unknown.
-func (r *tenantRegistry) heldFor(key string) time.Duration {
+// keyAge returns the time since a key was granted, or 0 if it is revoked or unknown.
+func (r *tenantRegistry) keyAge(key string) time.Duration {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	known := r.keys[key]
@@ -146,18 +146,18 @@
 	return time.Since(known.grantedAt)
 }
 
-// authorization returns the value of the Authorization header that carries a key.
-func authorization(key string) string { return platform.SchemeToken + " " + key }
+// authorizationHeader returns the value of the Authorization header that carries a key.
+func authorizationHeader(key string) string { return platform.AuthSchemeToken + " " + key }
 
-// Claims records the tenant for which a request or an item runs.
-func (t *Truth) Claims(id, tenant string) {
+// RecordTenant records the tenant for which a request or an item runs.
+func (t *Checker) RecordTenant(id, tenant string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.tenants[id] = tenant
 }
 
-// Intrudes records a request, sent now, whose key was revoked or never granted.
-func (t *Truth) Intrudes(id string, key keyHistory) {
+// RecordUnauthorizedRequest records a request, sent now, whose key was revoked or never granted.
+func (t *Checker) RecordUnauthorizedRequest(id string, key keyHistory) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.tenants[id] = key.tenant
@@ -174,14 +174,14 @@
 // checkTenant checks the tenant that a request from a node names to a sampler, and that no
 // invalid key and no authorization header reaches one. A disturbed machine may still accept a
 // revoked key; it then names the tenant that held the key.
-func (t *Truth) checkTenant(id, node string, header http.Header) {
+func (t *Checker) checkTenant(id, node string, header http.Header) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if credentials := header.Get(platform.HeaderAuthorization); credentials != "" {
-		t.broken("UNASKED", "request %s passed authorization header %q to a sampler", id, credentials)
+		t.recordViolation("UNASKED", "request %s passed authorization header %q to a sampler", id, credentials)
 	}
 	if named := header.Get(platform.HeaderTenant); named != t.tenants[id] {
-		t.broken("UNASKED", "request %s of tenant %q named tenant %q to a sampler", id, t.tenants[id], named)
+		t.recordViolation("UNASKED", "request %s of tenant %q named tenant %q to a sampler", id, t.tenants[id], named)
 	}
 	known, unauthorized := t.unauthorized[id]
 	if !unauthorized {
@@ -190,31 +190,31 @@
 	delay := known.sentAt.Sub(known.revokedAt)
 	switch {
 	case known.revokedAt.IsZero():
-		t.broken("ROUTE", "request %s with a key that was never granted reached a sampler from %s", id, node)
-	case delay > configDeadline+t.lateness(time.Now()) && t.inTouch(node, time.Now()):
-		t.broken("CONFIG", "request %s, sent %v after its key was revoked, reached a sampler from %s", id, delay, node)
+		t.recordViolation("ROUTE", "request %s with a key that was never granted reached a sampler from %s", id, node)
+	case delay > configDeadline+t.recentWakeDelay(time.Now()) && t.inTouch(node, time.Now()):
+		t.recordViolation("CONFIG", "request %s, sent %v after its key was revoked, reached a sampler from %s", id, delay, node)
 	}
 }
 
-// judgeDenial reports a 401 to a key that has been valid for long enough that every node must
+// checkUnauthorized reports a 401 to a key that has been valid for long enough that every node must
 // know it.
-func (t *Truth) judgeDenial(got answered, id, key string, heldFor time.Duration) {
+func (t *Checker) checkUnauthorized(got callResult, id, key string, heldFor time.Duration) {
 	if got.status != http.StatusUnauthorized {
 		return
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if heldFor > configDeadline+t.allowance(time.Now()) {
-		t.broken("DENIED", "node %s denied request %s with key %s, valid for %v", got.node, id, key, heldFor)
+	if heldFor > configDeadline+t.tolerance(time.Now()) {
+		t.recordViolation("DENIED", "node %s denied request %s with key %s, valid for %v", got.node, id, key, heldFor)
 	}
 }
 
-// judgeIntrusion reports a successful answer to a key that no tenant holds. A disturbed node may
+// checkUnauthorizedAccess reports a successful answer to a key that no tenant holds. A disturbed node may
 // still accept a key that was revoked, but never one that was not granted.
-func (t *Truth) judgeIntrusion(got answered, id, key string) {
+func (t *Checker) checkUnauthorizedAccess(got callResult, id, key string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if got.status < http.StatusMultipleChoices && (key == unknownKey || t.inTouch(got.node, got.began)) {
-		t.broken("ROUTE", "node %s served request %s with invalid key %s", got.node, id, key)
+	if got.status < http.StatusMultipleChoices && (key == unknownKey || t.inTouch(got.node, got.startedAt)) {
+		t.recordViolation("ROUTE", "node %s served request %s with invalid key %s", got.node, id, key)
 	}
 }
--- a/internal/platformsim/tenants_test.go
+++ b/internal/platformsim/tenants_test.go
@@ -19,10 +19,10 @@
 	faults := []Fault{
 		{Kind: StoreSilent, At: 17 * time.Second, For: 4 * time.Second},
 		{Kind: StoreSilent, At: 27 * time.Second, For: 7 * time.Second},
-		{Kind: KeysTaken, At: 30 * time.Second, For: 4 * time.Second, Target: 3},
+		{Kind: KeysRevoked, At: 30 * time.Second, For: 4 * time.Second, Target: 3},
 	}
-	world := play(t, example(7014, nil), faults)
-	require.Empty(t, world.Truth.Violations())
+	world := runSimulation(t, exampleOptions(7014, nil), faults)
+	require.Empty(t, world.Checker.Violations())
 }
 
 func TestUnauthorizedRequestsAreChecked(t *testing.T) {
@@ -44,16 +44,16 @@
 	} {
 		t.Run(example.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				truth := NewTruth()
+				truth := NewChecker()
 				time.Sleep(time.Minute)
 				if example.disturbed != "" {
-					truth.Disturb(strings.TrimPrefix(example.disturbed, storeDisturbed), time.Now())
+					truth.RecordDisturbance(strings.TrimPrefix(example.disturbed, storeDisturbed), time.Now())
 				}
 				key := keyHistory{tenant: example.namedTenant}
 				if example.revokedFor > 0 {
 					key = keyHistory{tenant: tenant, revokedAt: time.Now().Add(-example.revokedFor)}
 				}
-				truth.Intrudes("x", key)
+				truth.RecordUnauthorizedRequest("x", key)
 				truth.checkTenant("x", node, http.Header{platform.HeaderTenant: {example.namedTenant}})
 				violations := truth.Violations()
 				if example.want == "" {
@@ -67,5 +67,5 @@
 	}
 }
 
-// storeDisturbed selects the store, whose name in a Truth is empty.
+// storeDisturbed selects the store, whose name in a Checker is empty.
 const storeDisturbed = "store"
--- a/internal/platformsim/world.go
+++ b/internal/platformsim/world.go
@@ -30,16 +30,16 @@
 	samplerPort   = ":90"
 	storeMachine  = "store"
 	remoteZone    = "c"
-	graceS        = 8
+	gracePeriodS  = 8
 
 	host              = "app.example"
 	applicationPrefix = "/app/"
 	rolloutPrefix     = "/roll/"
-	// boundPrefix is the path prefix of a rollout route that is restricted to routeRegion.
+	// regionBoundPrefix is the path prefix of a rollout route that is restricted to routeRegion.
 	// The first tenant is restricted to tenantRegion.
-	boundPrefix  = "/bound/"
-	routeRegion  = "north"
-	tenantRegion = "south"
+	regionBoundPrefix = "/bound/"
+	routeRegion       = "north"
+	tenantRegion      = "south"
 
 	modelService    = "llm"
 	applicationName = "api"
@@ -55,8 +55,8 @@
 	Applications int
 	Models       []string
 	Logs         io.Writer
-	// Surroundings provides links and processes; if nil, they are simulated in memory.
-	Surroundings Surroundings
+	// Environment provides links and processes; if nil, they are simulated in memory.
+	Environment Environment
 	// RemoteZoneLatency is the one-way network latency between remoteZone, with its nodes,
 	// samplers and callers, and the other zones and the store. If it is 0, remoteZone is as
 	// near as any other zone.
@@ -64,9 +64,9 @@
 	// Regions maps each zone to its region in a world of two regions, where one route and
 	// one tenant are restricted to one region each. It is nil in a world of one region.
 	Regions map[string]string
-	// Nameless is set where samplers cannot identify the node that a request comes from.
+	// NodesUnidentified is set where samplers cannot identify the node that a request comes from.
 	// A disturbance of one machine then counts as a disturbance of all.
-	Nameless bool
+	NodesUnidentified bool
 	// Sharing sets the cluster size from which nodes share what they read from the log,
 	// and the number of nodes per reader.
 	Sharing fanout.Sizes
@@ -78,11 +78,11 @@
 // World is a cluster of real nodes together with the store, the platform's API, the samplers
 // and the callers around it.
 type World struct {
-	Truth *Truth
-	Store *Store
+	Checker *Checker
+	Store   *Store
 
 	options       Options
-	network       Surroundings
+	environment   Environment
 	tenants       *tenantRegistry
 	servers       []*http.Server
 	storeAddress  string
@@ -90,17 +90,17 @@
 	cloudFaults   atomic.Pointer[CloudFaults]
 	configVersion uint64
 
-	// slept is the total time, in nanoseconds, for which the nodes' machines were suspended.
-	slept atomic.Int64
+	// suspendedNS is the total time, in nanoseconds, for which the nodes' machines were suspended.
+	suspendedNS atomic.Int64
 
 	mutex      sync.Mutex
 	nodes      []*nodeMachine
 	samplers   []*samplerMachine
 	readyNodes []string
 	versions   map[string]uint64
-	// evacuated counts the faults that currently evacuate each zone.
-	evacuated map[string]int
-	work      conc.WaitGroup
+	// evacuationCounts counts the faults that currently evacuate each zone.
+	evacuationCounts map[string]int
+	background       conc.WaitGroup
 }
 
 // nodeMachine is a machine that runs a node.
@@ -120,27 +120,27 @@
 	server     *http.Server
 	startCount int
 	down       bool
-	// claimed is set while a fault stops and restarts the machine.
-	claimed bool
+	// reserved is set while a fault stops and restarts the machine.
+	reserved bool
 }
 
-// claim reserves a machine for a fault that stops it. It reports false if another fault
+// reserve reserves a machine for a fault that stops it. It reports false if another fault
 // already holds the machine.
-func (w *World) claim(machine *samplerMachine) bool {
+func (w *World) reserve(machine *samplerMachine) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	free := !machine.claimed
-	machine.claimed = true
+	free := !machine.reserved
+	machine.reserved = true
 	return free
 }
 
-func (w *World) unclaim(machine *samplerMachine) {
+func (w *World) release(machine *samplerMachine) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	machine.claimed = false
+	machine.reserved = false
 }
 
-func (w *World) takeDown(machine *samplerMachine) {
+func (w *World) markDown(machine *samplerMachine) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	machine.down = true
@@ -156,12 +156,12 @@
 // listener or a node cannot be started.
 func NewWorld(options Options) *World {
 	w := &World{
-		Truth: NewTruth(), Store: NewStore(options.Seed), options: options,
-		network: options.Surroundings, versions: make(map[string]uint64), evacuated: make(map[string]int),
+		Checker: NewChecker(), Store: NewStore(options.Seed), options: options,
+		environment: options.Environment, versions: make(map[string]uint64), evacuationCounts: make(map[string]int),
 		tenants: newTenantRegistry(),
 	}
-	if w.network == nil {
-		w.network = newSimulatedEnvironment(options.Seed, options.RemoteZoneLatency)
+	if w.environment == nil {
+		w.environment = newSimulatedEnvironment(options.Seed, options.RemoteZoneLatency)
 	}
 	for _, model := range options.Models {
 		w.versions[model] = 1
@@ -170,8 +170,8 @@
 	w.storeAddress = address
 	w.serve(listener, w.Store)
 	w.cloudFaults.Store(&CloudFaults{})
-	w.Truth.regions, w.Store.onRead = options.Regions, w.handed
-	w.Truth.nameless = options.Nameless
+	w.Checker.regions, w.Store.onRead = options.Regions, w.checkReturnedRecords
+	w.Checker.nodesUnidentified = options.NodesUnidentified
 	listener, w.cloudAddress = w.listen(cloudMachine, zones[0], cloudPort)
 	w.serve(listener, http.HandlerFunc(w.serveCloud))
 	for i := range options.Samplers {
@@ -191,7 +191,7 @@
 }
 
 func (w *World) listen(machine, zone, port string) (net.Listener, string) {
-	listener, address, err := w.network.Listen(machine, zone, port)
+	listener, address, err := w.environment.Listen(machine, zone, port)
 	if err != nil {
 		panic(err)
 	}
@@ -200,7 +200,7 @@
 
 func (w *World) serve(listener net.Listener, handler http.Handler) *http.Server {
 	server := &http.Server{Handler: handler, ErrorLog: slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)}
-	w.work.Go(func() { _ = server.Serve(listener) })
+	w.background.Go(func() { _ = server.Serve(listener) })
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.servers = append(w.servers, server)
@@ -210,7 +210,7 @@
 func (w *World) addSampler(service string, index, slots int, serviceTime time.Duration) {
 	machine := &samplerMachine{host: fmt.Sprintf("s%d", index)}
 	machine.spec = SamplerSpec{
-		Zone: zones[index%len(zones)], Service: service, Slots: slots, Work: serviceTime,
+		Zone: zones[index%len(zones)], Service: service, Slots: slots, ServiceTime: serviceTime,
 	}
 	w.samplers = append(w.samplers, machine)
 	w.startSampler(machine)
@@ -241,10 +241,10 @@
 	machine.spec.Address = address
 	var coldUntil time.Time
 	if machine.startCount > 1 {
-		coldUntil = time.Now().Add(coldTime)
+		coldUntil = time.Now().Add(coldDuration)
 	}
-	sampler := newSampler(id, machine.spec, models, w.Truth, w.Store, w.options.Seed+uint64(machine.startCount)*1000, coldUntil)
-	sampler.crash = func(key, node string) { w.crashRun(sampler, key, node) }
+	sampler := newSampler(id, machine.spec, models, w.Checker, w.Store, w.options.Seed+uint64(machine.startCount)*1000, coldUntil)
+	sampler.crash = func(key, node string) { w.crashUnderRequest(sampler, key, node) }
 	server := w.serve(listener, sampler)
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -253,21 +253,21 @@
 
 func (w *World) nodeSettings(machine *nodeMachine) platform.Settings {
 	var settings platform.Settings
-	settings.Node, settings.Zone, settings.IP = machine.name, machine.zone, machine.name
-	settings.Listen.Front, settings.Listen.Readiness = w.network.Front(machine.name), w.network.Readiness(machine.name)
-	settings.Bounds.GraceS, settings.Bounds.SettleMS, settings.Bounds.LeaseMS = graceS, 1000, 3000
+	settings.NodeName, settings.Zone, settings.IP = machine.name, machine.zone, machine.name
+	settings.Listen.Front, settings.Listen.Readiness = w.environment.Front(machine.name), w.environment.Readiness(machine.name)
+	settings.Bounds.GraceS, settings.Bounds.SettleMS, settings.Bounds.LeaseMS = gracePeriodS, 1000, 3000
 	settings.Bounds.StatusIntervalS = 120
 	settings.Limits.CPUShare, settings.Limits.Cores = 0.5, 1
-	settings.Bounds.ColdOver, settings.Bounds.ColdSlack = coldOver, coldSlack
-	settings.Bounds.EvacuateMS = float64(evacuateBound.Milliseconds())
+	settings.Bounds.ColdOver, settings.Bounds.ColdSlack = coldFactor, coldAllowance
+	settings.Bounds.EvacuateMS = float64(evacuationDeadline.Milliseconds())
 	settings.Store.Address, settings.Store.RecordBytes, settings.Store.CallBytes = w.storeAddress, 32<<10, 256<<10
-	settings.Store.Parts = storeParts
+	settings.Store.Parts = storePartitions
 	settings.Store.TTLMinMS = 1000
 	settings.Sharing = w.options.Sharing
 	if w.options.Regions != nil {
 		settings.Zones = w.options.Regions
 	}
-	settings.Bounds.ReportWindowS, settings.Bounds.UsageLateS = reportWindow.Seconds(), usageLate.Seconds()
+	settings.Bounds.ReportWindowS, settings.Bounds.UsageLateS = reportWindow.Seconds(), usageReportTimeout.Seconds()
 	settings.Cloud.Address, settings.Cloud.Duties = w.cloudAddress, []string{platform.DutyUsage, platform.DutyScale}
 	if w.options.SimulateSuspension {
 		// Wall-clock time advances while a real machine is suspended; the simulated one does
@@ -278,7 +278,7 @@
 }
 
 func (w *World) startNode(machine *nodeMachine) {
-	process, err := w.network.StartNode(w.nodeSettings(machine), w.options.Logs)
+	process, err := w.environment.StartNode(w.nodeSettings(machine), w.options.Logs)
 	if err != nil {
 		panic(err)
 	}
@@ -299,21 +299,21 @@
 	return ready[random.IntN(len(ready))]
 }
 
-// present returns the nodes whose machines have not been removed.
-func (w *World) present() []*nodeMachine {
+// presentNodes returns the nodes whose machines have not been removed.
+func (w *World) presentNodes() []*nodeMachine {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return slices.DeleteFunc(slices.Clone(w.nodes), func(machine *nodeMachine) bool { return machine.removed })
 }
 
-// WatchReadiness polls the readiness endpoint of every node each second until ctx ends.
-func (w *World) WatchReadiness(ctx context.Context) {
+// PollReadiness polls the readiness endpoint of every node each second until ctx ends.
+func (w *World) PollReadiness(ctx context.Context) {
 	prober := w.newCaller("entry", zones[0], "", 0)
 	for ctx.Err() == nil {
 		var ready []string
-		for _, machine := range w.present() {
+		for _, machine := range w.presentNodes() {
 			requestCtx, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
-			request, err := http.NewRequestWithContext(requestCtx, http.MethodGet, "http://"+w.network.Readiness(machine.name)+platform.PathReady, nil)
+			request, err := http.NewRequestWithContext(requestCtx, http.MethodGet, "http://"+w.environment.Readiness(machine.name)+platform.PathReady, nil)
 			if err != nil {
 				panic(err)
 			}
@@ -341,15 +341,15 @@
 	w.tenants.regionBound = w.options.Regions != nil
 	add := func(name, prefix, kind, service string, dueMS float64) {
 		document.Routes = append(document.Routes, platform.RouteDocument{
-			Name: name, Host: host, Prefix: prefix, Kind: kind, TimeoutMS: 1500, ObjectiveMS: 150,
-			Attempts: itemAttempts, Service: service, DueMS: dueMS,
+			Name: name, Host: host, PathPrefix: prefix, Kind: kind, TimeoutMS: 1500, LatencyObjectiveMS: 150,
+			MaxAttempts: maxItemAttempts, Service: service, ResultsDueAfterMS: dueMS,
 		})
 	}
 	add("application", applicationPrefix, platform.KindSafe, applicationName, 0)
 	add("rollout", rolloutPrefix, platform.KindRollout, modelService, 7500)
 	if w.options.Regions != nil {
-		add("bound", boundPrefix, platform.KindRollout, modelService, 7500)
-		document.Routes[len(document.Routes)-1].Regions = []string{routeRegion}
+		add("bound", regionBoundPrefix, platform.KindRollout, modelService, 7500)
+		document.Routes[len(document.Routes)-1].AllowedRegions = []string{routeRegion}
 	}
 	for i := range extraRoutes {
 		add(fmt.Sprint("extra", i), fmt.Sprintf("/extra%d/", i), platform.KindSafe, applicationName, 0)
@@ -366,7 +366,7 @@
 // modelServiceDocument describes the model samplers, a service that nodes may scale up.
 func (w *World) modelServiceDocument() platform.ServiceDocument {
 	document := platform.ServiceDocument{Name: modelService, Scaling: &platform.ScalingDocument{
-		Min: 1, Max: mostSamplers, BootS: 4, SpotPrice: 0.2, ZonePrices: make(map[string]float64),
+		Min: 1, Max: maxSamplersPerZone, BootTimeS: 4, SpotPrice: 0.2, ZonePrices: make(map[string]float64),
 	}}
 	for _, zone := range zones {
 		document.Scaling.ZonePrices[zone] = 1
@@ -378,8 +378,8 @@
 	return document
 }
 
-// nameVersion publishes a trainer's new weight version of a model.
-func (w *World) nameVersion(model string, version uint64) {
+// publishVersion publishes a trainer's new weight version of a model.
+func (w *World) publishVersion(model string, version uint64) {
 	content, err := json.Marshal(platform.VersionDocument{Model: model, Version: version})
 	if err != nil {
 		panic(err)
@@ -390,10 +390,10 @@
 	w.Store.Put(platform.TopicOperator, platform.KeyVersionPrefix+model, content)
 }
 
-// Heartbeats renews the registry entries of all running samplers until ctx ends.
-func (w *World) Heartbeats(ctx context.Context) {
+// SendHeartbeats renews the registry entries of all running samplers until ctx ends.
+func (w *World) SendHeartbeats(ctx context.Context) {
 	for ctx.Err() == nil {
-		wait.For(ctx, heartbeat)
+		wait.For(ctx, heartbeatInterval)
 		for _, machine := range w.samplers {
 			w.mutex.Lock()
 			sampler, down := machine.sampler, machine.down
@@ -405,14 +405,14 @@
 	}
 }
 
-// Traffic runs trainers, clients, job readers and unauthorized callers until ctx ends.
-func (w *World) Traffic(ctx context.Context) {
+// RunTraffic runs trainers, clients, job readers and unauthorized callers until ctx ends.
+func (w *World) RunTraffic(ctx context.Context) {
 	var callers conc.WaitGroup
 	for i, model := range w.options.Models {
 		trainer := w.newCaller("trainer-"+model, zones[i%len(zones)], host, w.options.Seed+uint64(i)*17)
 		trainer.tenant = w.tenants.names[i%tenantCount]
 		if w.options.Regions != nil && i > 0 {
-			trainer.prefix = boundPrefix
+			trainer.routePrefix = regionBoundPrefix
 		}
 		callers.Go(func() { trainer.runTrainer(ctx, model, 6, 4) })
 	}
@@ -421,9 +421,9 @@
 		client.tenant = w.tenants.names[i%tenantCount]
 		callers.Go(func() { client.runClient(ctx, 250*time.Millisecond) })
 		jobReader := w.newCaller("looker-"+zone, zone, host, w.options.Seed+uint64(i)*23+7)
-		callers.Go(func() { jobReader.runLooker(ctx) })
+		callers.Go(func() { jobReader.runJobReader(ctx) })
 		unauthorizedCaller := w.newCaller("intruder-"+zone, zone, host, w.options.Seed+uint64(i)*29+9)
-		callers.Go(func() { unauthorizedCaller.runIntruder(ctx) })
+		callers.Go(func() { unauthorizedCaller.runUnauthorizedCaller(ctx) })
 	}
 	callers.Wait()
 }
@@ -434,65 +434,65 @@
 
 // acceptedJobs returns the jobs accepted within maxCheckedJobAge, ordered by time of
 // acceptance, then id.
-func (t *Truth) acceptedJobs() []*jobTruth {
+func (t *Checker) acceptedJobs() []*jobHistory {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	var accepted []*jobTruth
+	var accepted []*jobHistory
 	for _, job := range t.jobs {
 		if !job.accepted.IsZero() && time.Since(job.accepted) < maxCheckedJobAge {
 			accepted = append(accepted, job)
 		}
 	}
-	slices.SortFunc(accepted, func(a, b *jobTruth) int {
+	slices.SortFunc(accepted, func(a, b *jobHistory) int {
 		return cmp.Or(a.accepted.Compare(b.accepted), strings.Compare(a.id, b.id))
 	})
 	return accepted
 }
 
-// JudgeEnd reads every recently accepted job from its first result at every node and reports
+// CheckAcceptedJobs reads every recently accepted job from its first result at every node and reports
 // results that are missing. It is called once all faults are over.
-func (w *World) JudgeEnd(ctx context.Context) {
+func (w *World) CheckAcceptedJobs(ctx context.Context) {
 	reader := w.newCaller("judge", zones[0], host, 99)
-	for _, machine := range w.present() {
+	for _, machine := range w.presentNodes() {
 		w.mutex.Lock()
 		w.readyNodes = []string{machine.name}
 		w.mutex.Unlock()
-		for _, job := range w.Truth.acceptedJobs() {
+		for _, job := range w.Checker.acceptedJobs() {
 			w.checkJob(ctx, reader, machine.name, job)
 		}
 	}
 }
 
-func (w *World) checkJob(ctx context.Context, reader *caller, node string, job *jobTruth) {
+func (w *World) checkJob(ctx context.Context, reader *caller, node string, job *jobHistory) {
 	seen := 0
 	for from := 0; ; {
-		page, ok := reader.read(ctx, job, from)
+		page, ok := reader.readPage(ctx, job, from)
 		if !ok {
-			w.Truth.Update(job, func() { w.Truth.broken("LOST", "node %s did not return job %s", node, job.id) })
+			w.Checker.UpdateJob(job, func() { w.Checker.recordViolation("LOST", "node %s did not return job %s", node, job.id) })
 			return
 		}
 		seen += len(page.Results)
-		from = page.Next
+		from = page.NextToken
 		if len(page.Results) == 0 {
 			break
 		}
 	}
-	w.Truth.Update(job, func() {
+	w.Checker.UpdateJob(job, func() {
 		if seen < len(job.results) {
-			w.Truth.broken("LOST", "node %s returned %d of %d results of job %s", node, seen, len(job.results), job.id)
+			w.Checker.recordViolation("LOST", "node %s returned %d of %d results of job %s", node, seen, len(job.results), job.id)
 		}
 	})
 }
 
 // Close stops all nodes and servers and waits for the background work to end.
 func (w *World) Close() {
-	for _, machine := range w.present() {
+	for _, machine := range w.presentNodes() {
 		w.kill(machine)
 	}
 	for _, server := range w.servers {
 		_ = server.Close()
 	}
-	w.work.Wait()
+	w.background.Wait()
 }
 
 // kill crashes a node: it cuts the machine's links and kills the process. It does nothing if
@@ -505,23 +505,23 @@
 	if wasDown {
 		return
 	}
-	w.network.Crash(machine.name)
+	w.environment.Crash(machine.name)
 	machine.process.Kill()
 }
 
 // restart restores the machine's links and starts a new process of the node.
 func (w *World) restart(machine *nodeMachine) {
-	w.network.Restore(machine.name)
+	w.environment.Restore(machine.name)
 	w.startNode(machine)
 }
 
 // SuspendedTime returns the total time for which the nodes' machines were suspended.
-func (w *World) SuspendedTime() time.Duration { return time.Duration(w.slept.Load()) }
+func (w *World) SuspendedTime() time.Duration { return time.Duration(w.suspendedNS.Load()) }
 
 // Nodes returns the names of the node machines that have not been removed.
 func (w *World) Nodes() []string {
 	var names []string
-	for _, machine := range w.present() {
+	for _, machine := range w.presentNodes() {
 		names = append(names, machine.name)
 	}
 	return names
@@ -536,5 +536,5 @@
 	return names
 }
 
-// Healed records that a disturbance caused from outside the simulation is over.
-func (w *World) Healed() { w.healed("") }
+// RecordRecovery records that a disturbance caused from outside the simulation is over.
+func (w *World) RecordRecovery() { w.recordRecovery("") }
--- a/internal/platformsim/zones.go
+++ b/internal/platformsim/zones.go
@@ -7,20 +7,20 @@
 	"github.com/sourcegraph/conc"
 )
 
-// cutZone isolates the nodes and samplers of a zone from all other machines.
-func (w *World) cutZone(fault Fault, zone string) {
+// isolateZone isolates the nodes and samplers of a zone from all other machines.
+func (w *World) isolateZone(fault Fault, zone string) {
 	w.isolateZones(fault, func(candidate string) bool { return candidate == zone }, w.nodesIn(zone))
 }
 
 // nodesIn returns the nodes of a zone that have not been removed.
 func (w *World) nodesIn(zone string) []*nodeMachine {
-	return slices.DeleteFunc(w.present(), func(machine *nodeMachine) bool { return machine.zone != zone })
+	return slices.DeleteFunc(w.presentNodes(), func(machine *nodeMachine) bool { return machine.zone != zone })
 }
 
-// cutRegion isolates the machines of the region that does not contain the store.
-func (w *World) cutRegion(fault Fault) {
+// isolateRegion isolates the machines of the region that does not contain the store.
+func (w *World) isolateRegion(fault Fault) {
 	storeRegion := w.options.Regions[zones[0]]
-	w.isolateZones(fault, func(zone string) bool { return w.options.Regions[zone] != storeRegion }, w.present())
+	w.isolateZones(fault, func(zone string) bool { return w.options.Regions[zone] != storeRegion }, w.presentNodes())
 }
 
 // isolateZones isolates the machines of the zones that belongs selects from all others, and
@@ -36,7 +36,7 @@
 		}
 		outside = append(outside, name)
 	}
-	for _, machine := range w.present() {
+	for _, machine := range w.presentNodes() {
 		assign(machine.name, machine.zone)
 	}
 	for _, machine := range w.samplers {
@@ -45,59 +45,59 @@
 	for _, machine := range disturbed {
 		w.disturb(fault, machine.name)
 	}
-	w.network.Isolate(inside, outside)
+	w.environment.Isolate(inside, outside)
 	time.Sleep(fault.For)
-	w.network.Rejoin(inside, outside)
-	for _, machine := range w.present() {
+	w.environment.Rejoin(inside, outside)
+	for _, machine := range w.presentNodes() {
 		// The isolated links held back requests from any node to their samplers.
-		w.Truth.Held(machine.name)
+		w.Checker.RecordHeldTraffic(machine.name)
 	}
 	for _, machine := range disturbed {
-		w.healed(machine.name)
+		w.recordRecovery(machine.name)
 	}
 }
 
-// loseZone kills the nodes of a zone and stops its samplers, which restart cold.
-func (w *World) loseZone(fault Fault, zone string) {
+// failZone kills the nodes of a zone and stops its samplers, which restart cold.
+func (w *World) failZone(fault Fault, zone string) {
 	var stopping conc.WaitGroup
 	stopping.Go(func() { w.killFor(fault, w.nodesIn(zone)...) })
-	stopping.Go(func() { w.returnCold(fault, zone) })
+	stopping.Go(func() { w.restartZoneCold(fault, zone) })
 	stopping.Wait()
 }
 
-// noteTrouble records which machines a fault affects, so that lost requests can be attributed
+// recordFault records which machines a fault affects, so that lost requests can be attributed
 // to it. The returned function records that the fault is over.
-func (w *World) noteTrouble(fault Fault, node *nodeMachine) (end func()) {
+func (w *World) recordFault(fault Fault, node *nodeMachine) (end func()) {
 	name, until := fault.Kind.String(), time.Now().Add(fault.For)
 	var endings []func()
 	record := func(place string, until time.Time) {
-		endings = append(endings, w.Truth.Trouble(place, name, until, false))
+		endings = append(endings, w.Checker.RecordDisruption(place, name, until, false))
 	}
 	switch fault.Kind {
 	case NodeKill, NodeFreeze, NodeCutFromStore, NodeCutFromAll:
 		record(node.name, until)
-	case NodeTerm:
-		endings = append(endings, w.Truth.Trouble(node.name, name, time.Now().Add((graceS+1)*time.Second), true))
-	case HerdKill, KillAll, RegionCut:
-		for _, machine := range w.present() {
+	case NodeTerminate:
+		endings = append(endings, w.Checker.RecordDisruption(node.name, name, time.Now().Add((gracePeriodS+1)*time.Second), true))
+	case KillMostNodes, KillAllNodes, RegionCut:
+		for _, machine := range w.presentNodes() {
 			record(machine.name, until)
 		}
 	case NodeReplaced:
-		record(w.lastToOrder(node).name, until)
+		record(w.lastOrderSender(node).name, until)
 	case ZoneCut, ZoneLost:
 		for _, machine := range w.nodesIn(zones[fault.Target%uint64(len(zones))]) {
 			record(machine.name, until)
 		}
-		record(AtSamplers, until)
-	case StoreDown, StoreSilent, StoreSlow, StoreLost, StoreLate, StoreRebalance, StoreForgets:
-		record(atStore, until)
-	case ConfigChange, KeysTaken, Evacuate:
-		record(atOperator, until)
-	case SamplerCrash, SamplerReplaced, ColdReturn, SamplersTurnCold:
+		record(PlaceSamplers, until)
+	case StoreDown, StoreSilent, StoreSlow, StoreLosesWrites, StoreDelaysWrites, StoreRebalance, StoreDropsHistory:
+		record(placeStore, until)
+	case ConfigChange, KeysRevoked, Evacuate:
+		record(placeOperator, until)
+	case SamplerCrash, SamplerReplaced, ZoneRestartsCold, SamplersTurnCold:
 		// The samplers stay cold, or out of the registry, for some more seconds.
-		record(AtSamplers, until.Add(drainBound+coldTime+silentBeats*heartbeat))
+		record(PlaceSamplers, until.Add(drainDeadline+coldDuration+entryExpiryHeartbeats*heartbeatInterval))
 	default:
-		record(AtSamplers, until)
+		record(PlaceSamplers, until)
 	}
 	return func() {
 		for _, end := range endings {
--- a/internal/quarantine/guard.go
+++ b/internal/quarantine/guard.go
@@ -11,18 +11,18 @@
 	"github.com/pathbend/pathbend/internal/result"
 )
 
-// Teller publishes this node's records to the other nodes through a log. Records read back
+// Publisher publishes this node's records to the other nodes through a log. Records read back
 // from the log, including this node's own, are applied with Merge in log order.
-type Teller interface {
-	// Tell publishes a record. It returns once this node has read the record back from the
+type Publisher interface {
+	// Publish publishes a record. It returns once this node has read the record back from the
 	// log, along with all earlier ones, or when the time that a request may wait is over.
 	// In the latter case publishing continues in the background.
-	Tell(ctx context.Context, record Record)
+	Publish(ctx context.Context, record Record)
 }
 
-// TellWithin runs write and returns when it is done or the timeout has expired. After a
+// RunWithin runs write and returns when it is done or the timeout has expired. After a
 // timeout write keeps running in the background; it must return when its node shuts down.
-func TellWithin(ctx context.Context, timeout time.Duration, write func()) {
+func RunWithin(ctx context.Context, timeout time.Duration, write func()) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	written := make(chan struct{})
@@ -40,7 +40,7 @@
 // for concurrent use.
 type Guard struct {
 	policy    Policy
-	publisher Teller
+	publisher Publisher
 	logger    *event.Logger
 
 	// nonEmpty is set while the registry holds any record. While it is unset, requests are
@@ -48,7 +48,7 @@
 	nonEmpty atomic.Bool
 
 	mutex    sync.Mutex
-	registry Book
+	registry Registry
 	// running counts this node's requests in progress at back ends by digest, as far as they
 	// were admitted while the registry held a record.
 	running map[Digest]int
@@ -57,31 +57,31 @@
 
 // Counts are the counters of a guard since the start of the node.
 type Counts struct {
-	// Ended counts back ends that crashed while running requests of this node, and Refused
+	// Crashes counts back ends that crashed while running requests of this node, and Refused
 	// the requests that were not let through. Held is the number of digests that are
 	// quarantined now.
-	Ended   int
-	Refused int
-	Held    int
+	Crashes     int
+	Refused     int
+	Quarantined int
 }
 
-// NewGuard returns a guard with an empty registry. SetTeller must be called before the
+// NewGuard returns a guard with an empty registry. SetPublisher must be called before the
 // guard is used.
 func NewGuard(policy Policy, logger *event.Logger) *Guard {
 	return &Guard{policy: policy, logger: logger, running: make(map[Digest]int)}
 }
 
-// SetTeller sets the publisher to the other nodes.
-func (g *Guard) SetTeller(publisher Teller) { g.publisher = publisher }
+// SetPublisher sets the publisher to the other nodes.
+func (g *Guard) SetPublisher(publisher Publisher) { g.publisher = publisher }
 
 // suspectRetryAfter is the retry delay for a suspect request that is already running at a
 // back end: roughly the duration of one run.
 const suspectRetryAfter = 250 * time.Millisecond
 
-// Enter admits a request to a back end, or returns a *result.Error with a retry delay. The
+// Acquire admits a request to a back end, or returns a *result.Error with a retry delay. The
 // caller must call release when the attempt is over. digestOf is called only if the
 // registry holds any record.
-func (g *Guard) Enter(ctx context.Context, digestOf func() Digest) (release func(), err error) {
+func (g *Guard) Acquire(ctx context.Context, digestOf func() Digest) (release func(), err error) {
 	if !g.nonEmpty.Load() {
 		return func() {}, nil
 	}
@@ -144,7 +144,7 @@
 	if !due {
 		return false
 	}
-	g.publisher.Tell(ctx, claimed)
+	g.publisher.Publish(ctx, claimed)
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	won := g.registry.OwnsTrial(digest, claimant)
@@ -167,17 +167,17 @@
 	return g.registry.CrashCount(digest) > 0
 }
 
-// Ended records that a back end crashed while running a request, and publishes the record
+// ReportCrash records that a back end crashed while running a request, and publishes the record
 // before it returns.
-func (g *Guard) Ended(ctx context.Context, digest Digest, backEnd string) {
+func (g *Guard) ReportCrash(ctx context.Context, digest Digest, backEnd string) {
 	if record, changed := g.addCrash(digest, backEnd); changed {
-		g.publisher.Tell(ctx, record)
+		g.publisher.Publish(ctx, record)
 	}
 }
 
-// Heard records that a back end crashed while running a request, without publishing it:
+// RecordCrash records that a back end crashed while running a request, without publishing it:
 // another node does so.
-func (g *Guard) Heard(digest Digest, backEnd string) { g.addCrash(digest, backEnd) }
+func (g *Guard) RecordCrash(digest Digest, backEnd string) { g.addCrash(digest, backEnd) }
 
 func (g *Guard) addCrash(digest Digest, backEnd string) (Record, bool) {
 	g.mutex.Lock()
@@ -186,16 +186,16 @@
 	record, changed := g.registry.AddCrash(digest, backEnd, time.Now())
 	g.updateNonEmpty()
 	if changed {
-		g.counts.Ended++
-		g.logger.Log(event.BackEndEnded, "digest", digest.String(), "back_end", backEnd, "ends", len(record.Ended))
+		g.counts.Crashes++
+		g.logger.Log(event.BackEndEnded, "digest", digest.String(), "back_end", backEnd, "ends", len(record.CrashedBackEnds))
 		g.logQuarantined(digest, before)
 	}
 	return record, changed
 }
 
-// Served records that a back end ran a request without crashing, which lifts the
+// ReportSuccess records that a back end ran a request without crashing, which lifts the
 // quarantine.
-func (g *Guard) Served(ctx context.Context, digestOf func() Digest) {
+func (g *Guard) ReportSuccess(ctx context.Context, digestOf func() Digest) {
 	if !g.nonEmpty.Load() {
 		return
 	}
@@ -209,7 +209,7 @@
 	}
 	g.logger.Log(event.QuarantineCleared, "digest", digest.String(), "ends", crashes)
 	// The response is not delayed until the record is published.
-	go g.publisher.Tell(context.WithoutCancel(ctx), record)
+	go g.publisher.Publish(context.WithoutCancel(ctx), record)
 }
 
 // Merge applies a record that was read from the log, whether from another node or from this
@@ -234,17 +234,17 @@
 	g.logger.Log(event.RequestQuarantined, "digest", digest.String(), "ends", g.registry.CrashCount(digest), "retry_after_ms", time.Until(until).Milliseconds())
 }
 
-// Ends returns the number of back ends that crashed while running a digest, since the last
+// CrashCount returns the number of back ends that crashed while running a digest, since the last
 // successful run.
-func (g *Guard) Ends(digest Digest) int {
+func (g *Guard) CrashCount(digest Digest) int {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.registry.CrashCount(digest)
 }
 
-// HeldUntil returns when the next trial of a digest is due, or the zero time if the digest
+// QuarantinedUntil returns when the next trial of a digest is due, or the zero time if the digest
 // is not quarantined or its trial is due already.
-func (g *Guard) HeldUntil(digest Digest) time.Time {
+func (g *Guard) QuarantinedUntil(digest Digest) time.Time {
 	if !g.nonEmpty.Load() {
 		return time.Time{}
 	}
@@ -257,8 +257,8 @@
 // Empty reports whether the registry holds no records.
 func (g *Guard) Empty() bool { return !g.nonEmpty.Load() }
 
-// Held returns the records of all quarantined digests.
-func (g *Guard) Held() []Record {
+// Quarantined returns the records of all quarantined digests.
+func (g *Guard) Quarantined() []Record {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.registry.Quarantined(g.policy)
@@ -277,7 +277,7 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	counts := g.counts
-	counts.Held = len(g.registry.Quarantined(g.policy))
+	counts.Quarantined = len(g.registry.Quarantined(g.policy))
 	return counts
 }
 
--- a/internal/quarantine/guard_test.go
+++ b/internal/quarantine/guard_test.go
@@ -22,7 +22,7 @@
 	disconnected bool
 }
 
-func (l *fakeLog) Tell(_ context.Context, record Record) {
+func (l *fakeLog) Publish(_ context.Context, record Record) {
 	if l.disconnected {
 		return
 	}
@@ -36,7 +36,7 @@
 	log := &fakeLog{}
 	for range count {
 		guard := NewGuard(policy, event.Discard())
-		guard.SetTeller(log)
+		guard.SetPublisher(log)
 		log.guards = append(log.guards, guard)
 	}
 	return log.guards, log
@@ -50,10 +50,10 @@
 	t.Helper()
 	count := 0
 	for _, guard := range nodes {
-		release, err := guard.Enter(context.Background(), digestOf)
+		release, err := guard.Acquire(context.Background(), digestOf)
 		if err != nil {
 			require.True(t, result.Is(err, result.RequestQuarantined), "%v", err)
-			require.Equal(t, result.NotRun, result.From(err).Run())
+			require.Equal(t, result.NotRun, result.From(err).Execution())
 			require.Positive(t, result.From(err).RetryAfter)
 			continue
 		}
@@ -65,31 +65,31 @@
 
 func TestCrashesAtDifferentNodesQuarantineARequestAtAllNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		nodes, _ := newGuards(3, Requests())
+		nodes, _ := newGuards(3, RequestPolicy())
 		for i, node := range nodes {
 			require.Equal(t, len(nodes), admitted(t, nodes), "%d crashes", i)
-			node.Ended(context.Background(), digest, fmt.Sprint("back-end-", i))
+			node.ReportCrash(context.Background(), digest, fmt.Sprint("back-end-", i))
 			require.True(t, nodes[0].Suspected(digestOf), "the request must be suspect")
 		}
 		require.Zero(t, admitted(t, nodes))
-		require.Equal(t, Counts{Ended: 1, Refused: 1, Held: 1}, nodes[0].Counts())
+		require.Equal(t, Counts{Crashes: 1, Refused: 1, Quarantined: 1}, nodes[0].Counts())
 	})
 }
 
 func TestOnlyOneNodeRunsATrial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		nodes, _ := newGuards(5, Requests())
-		for i := range Ends {
-			nodes[i].Ended(context.Background(), digest, fmt.Sprint("back-end-", i))
+		nodes, _ := newGuards(5, RequestPolicy())
+		for i := range CrashLimit {
+			nodes[i].ReportCrash(context.Background(), digest, fmt.Sprint("back-end-", i))
 		}
-		time.Sleep(Requests().TrialDelays[0])
+		time.Sleep(RequestPolicy().TrialDelays[0])
 		require.Equal(t, 1, admitted(t, nodes))
-		nodes[0].Ended(context.Background(), digest, "back-end-of-the-trial")
-		time.Sleep(Requests().TrialDelays[0])
+		nodes[0].ReportCrash(context.Background(), digest, "back-end-of-the-trial")
+		time.Sleep(RequestPolicy().TrialDelays[0])
 		require.Zero(t, admitted(t, nodes), "the second trial has a longer delay")
-		time.Sleep(Requests().TrialDelays[1])
+		time.Sleep(RequestPolicy().TrialDelays[1])
 		require.Equal(t, 1, admitted(t, nodes))
-		nodes[0].Served(context.Background(), digestOf)
+		nodes[0].ReportSuccess(context.Background(), digestOf)
 		synctest.Wait()
 		require.Equal(t, len(nodes), admitted(t, nodes), "a back end ran it without crashing")
 	})
@@ -104,12 +104,12 @@
 	delivered chan struct{}
 }
 
-func (l *batchingLog) Tell(ctx context.Context, record Record) {
+func (l *batchingLog) Publish(ctx context.Context, record Record) {
 	l.mutex.Lock()
 	l.published = append(l.published, record)
 	if len(l.published) == l.batchSize {
 		for _, record := range l.published {
-			l.fakeLog.Tell(ctx, record)
+			l.fakeLog.Publish(ctx, record)
 		}
 		close(l.delivered)
 	}
@@ -119,17 +119,17 @@
 
 func TestFirstOfConcurrentClaimsInTheLogWins(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		nodes, log := newGuards(3, Requests())
-		for i := range Ends {
-			nodes[i].Ended(context.Background(), digest, fmt.Sprint("back-end-", i))
+		nodes, log := newGuards(3, RequestPolicy())
+		for i := range CrashLimit {
+			nodes[i].ReportCrash(context.Background(), digest, fmt.Sprint("back-end-", i))
 		}
-		time.Sleep(Requests().TrialDelays[0])
+		time.Sleep(RequestPolicy().TrialDelays[0])
 		batching := &batchingLog{fakeLog: *log, batchSize: len(nodes), delivered: make(chan struct{})}
 		var admittedCount atomic.Int64
 		for _, node := range nodes {
-			node.SetTeller(batching)
+			node.SetPublisher(batching)
 			go func() {
-				if release, err := node.Enter(context.Background(), digestOf); err == nil {
+				if release, err := node.Acquire(context.Background(), digestOf); err == nil {
 					admittedCount.Add(1)
 					release()
 				}
@@ -142,12 +142,12 @@
 
 func TestNodeCutOffFromTheLogRunsNoTrial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		nodes, log := newGuards(2, Requests())
-		for i := range Ends {
-			nodes[0].Ended(context.Background(), digest, fmt.Sprint("back-end-", i))
+		nodes, log := newGuards(2, RequestPolicy())
+		for i := range CrashLimit {
+			nodes[0].ReportCrash(context.Background(), digest, fmt.Sprint("back-end-", i))
 		}
 		log.disconnected = true
-		time.Sleep(2 * Requests().TrialDelays[0])
+		time.Sleep(2 * RequestPolicy().TrialDelays[0])
 		require.Zero(t, admitted(t, nodes))
 		log.disconnected = false
 		require.Equal(t, 1, admitted(t, nodes))
@@ -155,21 +155,21 @@
 }
 
 func TestNodeCutOffFromTheLogCountsItsOwnCrashes(t *testing.T) {
-	nodes, log := newGuards(2, Requests())
+	nodes, log := newGuards(2, RequestPolicy())
 	log.disconnected = true
-	for i := range Ends {
-		nodes[0].Ended(context.Background(), digest, fmt.Sprint("back-end-", i))
+	for i := range CrashLimit {
+		nodes[0].ReportCrash(context.Background(), digest, fmt.Sprint("back-end-", i))
 	}
 	require.Zero(t, admitted(t, nodes[:1]))
 	require.Equal(t, 1, admitted(t, nodes[1:]))
 }
 
 func TestSuspectRequestRunsOneAtATime(t *testing.T) {
-	nodes, _ := newGuards(1, Requests())
-	for i := range Ends - 1 {
-		nodes[0].Ended(context.Background(), digest, fmt.Sprint("back-end-", i))
+	nodes, _ := newGuards(1, RequestPolicy())
+	for i := range CrashLimit - 1 {
+		nodes[0].ReportCrash(context.Background(), digest, fmt.Sprint("back-end-", i))
 	}
-	release, err := nodes[0].Enter(context.Background(), digestOf)
+	release, err := nodes[0].Acquire(context.Background(), digestOf)
 	require.NoError(t, err)
 	require.Zero(t, admitted(t, nodes))
 	release()
@@ -177,25 +177,25 @@
 }
 
 func TestRequestsAreNotHashedWhileTheRegistryIsEmpty(t *testing.T) {
-	nodes, _ := newGuards(1, Requests())
+	nodes, _ := newGuards(1, RequestPolicy())
 	unexpectedDigest := func() Digest { panic("digest computed with an empty registry") }
-	release, err := nodes[0].Enter(context.Background(), unexpectedDigest)
+	release, err := nodes[0].Acquire(context.Background(), unexpectedDigest)
 	require.NoError(t, err)
 	release()
 	require.False(t, nodes[0].Suspected(unexpectedDigest))
-	nodes[0].Served(context.Background(), unexpectedDigest)
-	require.True(t, nodes[0].HeldUntil(digest).IsZero())
+	nodes[0].ReportSuccess(context.Background(), unexpectedDigest)
+	require.True(t, nodes[0].QuarantinedUntil(digest).IsZero())
 }
 
 func TestItemIsQuarantinedUntilItsTrial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		nodes, _ := newGuards(1, Items())
-		for i := range Ends {
-			require.True(t, nodes[0].HeldUntil(digest).IsZero())
-			nodes[0].Ended(context.Background(), digest, fmt.Sprint("sampler-", i))
+		nodes, _ := newGuards(1, ItemPolicy())
+		for i := range CrashLimit {
+			require.True(t, nodes[0].QuarantinedUntil(digest).IsZero())
+			nodes[0].ReportCrash(context.Background(), digest, fmt.Sprint("sampler-", i))
 		}
-		require.Equal(t, time.Now().Add(Items().TrialDelays[0]).Unix(), nodes[0].HeldUntil(digest).Unix())
-		time.Sleep(Items().TrialDelays[0])
-		require.True(t, nodes[0].HeldUntil(digest).IsZero())
+		require.Equal(t, time.Now().Add(ItemPolicy().TrialDelays[0]).Unix(), nodes[0].QuarantinedUntil(digest).Unix())
+		time.Sleep(ItemPolicy().TrialDelays[0])
+		require.True(t, nodes[0].QuarantinedUntil(digest).IsZero())
 	})
 }
--- a/internal/quarantine/policy.go
+++ b/internal/quarantine/policy.go
@@ -14,10 +14,10 @@
 	TrialTimeout time.Duration
 }
 
-// Ends is the number of back-end crashes at which a request is quarantined. One crash may
+// CrashLimit is the number of back-end crashes at which a request is quarantined. One crash may
 // be a coincidence, and two may be one node that took both back ends down. The service's
 // requirements expect a request to be recognized at the third.
-const Ends = 3
+const CrashLimit = 3
 
 const (
 	// maxTrialDelay is the longest delay between trials: at one trial an hour a request
@@ -27,20 +27,20 @@
 	trialTimeout = 30 * time.Second
 )
 
-// Requests returns the policy for client requests and reward calls. Nodes learn of crashes
+// RequestPolicy returns the policy for client requests and reward calls. Nodes learn of crashes
 // seen by others within about 100 ms. The requirements allow three sends after nodes have
 // had 3 s to learn of the third crash: two of them are trials, and one is left for nodes
 // that have just started.
-func Requests() Policy {
-	return Policy{CrashLimit: Ends, TrialDelays: []time.Duration{15 * time.Second, 2 * time.Minute, maxTrialDelay}, TrialTimeout: trialTimeout}
+func RequestPolicy() Policy {
+	return Policy{CrashLimit: CrashLimit, TrialDelays: []time.Duration{15 * time.Second, 2 * time.Minute, maxTrialDelay}, TrialTimeout: trialTimeout}
 }
 
-// Items returns the policy for items of batch jobs. A sampler runs several items at once,
+// ItemPolicy returns the policy for items of batch jobs. A sampler runs several items at once,
 // so an item is more often running beside the one that caused a crash, and only one node
 // starts items: trials come sooner. The first trial falls within the 3 s after the third
 // crash that the requirements leave for propagation; the two others are sends after it.
-func Items() Policy {
-	return Policy{CrashLimit: Ends, TrialDelays: []time.Duration{time.Second, 4 * time.Second, 8 * time.Second, maxTrialDelay}, TrialTimeout: trialTimeout}
+func ItemPolicy() Policy {
+	return Policy{CrashLimit: CrashLimit, TrialDelays: []time.Duration{time.Second, 4 * time.Second, 8 * time.Second, maxTrialDelay}, TrialTimeout: trialTimeout}
 }
 
 // trialDelay returns the delay before the next trial, given the number of trials so far or
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -12,9 +12,9 @@
 	// Epoch counts how often the digest was cleared. Records of an earlier epoch are
 	// ignored.
 	Epoch uint64
-	// Ended holds the ids of the back ends that crashed while running the digest in this
+	// CrashedBackEnds holds the ids of the back ends that crashed while running the digest in this
 	// epoch, ascending.
-	Ended []string
+	CrashedBackEnds []string
 	// Trials counts the trials of this epoch. Claimant identifies who claimed the latest
 	// one.
 	Trials   int
@@ -34,11 +34,11 @@
 		return false
 	case other.Epoch > r.Epoch:
 		*r = other
-		r.Ended = slices.Clone(other.Ended)
+		r.CrashedBackEnds = slices.Clone(other.CrashedBackEnds)
 		return true
 	}
 	changed := false
-	for _, id := range other.Ended {
+	for _, id := range other.CrashedBackEnds {
 		changed = r.addCrashed(id) || changed
 	}
 	if other.Trials > r.Trials {
@@ -53,22 +53,22 @@
 
 // addCrashed adds the id of a crashed back end and reports whether the record changed.
 func (r *Record) addCrashed(id string) bool {
-	at, found := slices.BinarySearch(r.Ended, id)
-	if found || len(r.Ended) == maxCrashedBackEnds {
+	at, found := slices.BinarySearch(r.CrashedBackEnds, id)
+	if found || len(r.CrashedBackEnds) == maxCrashedBackEnds {
 		return false
 	}
-	r.Ended = slices.Insert(slices.Clip(r.Ended), at, id)
+	r.CrashedBackEnds = slices.Insert(slices.Clip(r.CrashedBackEnds), at, id)
 	return true
 }
 
 // hasCrashed reports whether the record lists a back end as crashed.
 func (r *Record) hasCrashed(id string) bool {
-	_, found := slices.BinarySearch(r.Ended, id)
+	_, found := slices.BinarySearch(r.CrashedBackEnds, id)
 	return found
 }
 
 // reachedLimit reports whether the digest has as many crashes as the policy's limit.
-func (r *Record) reachedLimit(policy Policy) bool { return len(r.Ended) >= policy.CrashLimit }
+func (r *Record) reachedLimit(policy Policy) bool { return len(r.CrashedBackEnds) >= policy.CrashLimit }
 
 // nextTrialAt returns when the next trial is due for a quarantined digest with the given
 // number of crashes.
--- a/internal/quarantine/registry.go
+++ b/internal/quarantine/registry.go
@@ -33,18 +33,18 @@
 	TrialDue
 )
 
-// Book is the set of crash records of one node, by digest. It is not safe for concurrent
+// Registry is the set of crash records of one node, by digest. It is not safe for concurrent
 // use. The zero value is empty.
-type Book struct {
+type Registry struct {
 	records map[Digest]*Record
 }
 
 // Empty reports whether the registry holds no records.
-func (r *Book) Empty() bool { return len(r.records) == 0 }
+func (r *Registry) Empty() bool { return len(r.records) == 0 }
 
 // Status returns the status of a request at the given time. until is when the next trial of
 // a quarantined request is due.
-func (r *Book) Status(digest Digest, policy Policy, now time.Time) (status Status, until time.Time) {
+func (r *Registry) Status(digest Digest, policy Policy, now time.Time) (status Status, until time.Time) {
 	record := r.records[digest]
 	crashes := r.attributedCrashes(record, policy)
 	switch {
@@ -63,13 +63,13 @@
 // request can crash four back ends of a service within half a second, and the requests that
 // ran on three of them at that time are innocent. So a crash does not count if a
 // quarantined digest with more crashes was also running on the same back end.
-func (r *Book) attributedCrashes(record *Record, policy Policy) int {
+func (r *Registry) attributedCrashes(record *Record, policy Policy) int {
 	if record == nil {
 		return 0
 	}
-	crashes := len(record.Ended)
-	for _, id := range record.Ended {
-		if r.attributedElsewhere(id, len(record.Ended), policy) {
+	crashes := len(record.CrashedBackEnds)
+	for _, id := range record.CrashedBackEnds {
+		if r.attributedElsewhere(id, len(record.CrashedBackEnds), policy) {
 			crashes--
 		}
 	}
@@ -78,9 +78,9 @@
 
 // attributedElsewhere reports whether the crash of a back end is attributed to another
 // digest: one that has reached the crash limit and has more crashes than the given number.
-func (r *Book) attributedElsewhere(backEnd string, crashes int, policy Policy) bool {
+func (r *Registry) attributedElsewhere(backEnd string, crashes int, policy Policy) bool {
 	for _, other := range r.records {
-		if len(other.Ended) > crashes && other.reachedLimit(policy) && other.hasCrashed(backEnd) {
+		if len(other.CrashedBackEnds) > crashes && other.reachedLimit(policy) && other.hasCrashed(backEnd) {
 			return true
 		}
 	}
@@ -88,9 +88,9 @@
 }
 
 // CrashCount returns the number of back ends that crashed while running a digest.
-func (r *Book) CrashCount(digest Digest) int {
+func (r *Registry) CrashCount(digest Digest) int {
 	if record := r.records[digest]; record != nil {
-		return len(record.Ended)
+		return len(record.CrashedBackEnds)
 	}
 	return 0
 }
@@ -102,7 +102,7 @@
 
 // AddCrash records that a back end crashed while running a digest. It returns the record to
 // publish to the other nodes, and whether it has changed.
-func (r *Book) AddCrash(digest Digest, backEnd string, now time.Time) (Record, bool) {
+func (r *Registry) AddCrash(digest Digest, backEnd string, now time.Time) (Record, bool) {
 	record := r.getOrCreate(digest, now)
 	id := backEnd
 	for restart := 2; record.hasCrashed(id) && now.Sub(record.ChangedAt) > sameCrashWindow; restart++ {
@@ -117,9 +117,9 @@
 
 // Clear deletes the crashes of a digest after a back end ran it without crashing. It
 // returns the record to publish to the other nodes, or false if there was nothing to clear.
-func (r *Book) Clear(digest Digest, now time.Time) (Record, bool) {
+func (r *Registry) Clear(digest Digest, now time.Time) (Record, bool) {
 	record := r.records[digest]
-	if record == nil || len(record.Ended) == 0 {
+	if record == nil || len(record.CrashedBackEnds) == 0 {
 		return Record{}, false
 	}
 	*record = Record{Digest: digest, Epoch: record.Epoch + 1, ChangedAt: now}
@@ -129,7 +129,7 @@
 // ClaimTrial returns the record to publish before a trial, or false if no trial of the
 // digest is due. It does not store the record: the claimant owns the trial once the record
 // has been merged and OwnsTrial returns true.
-func (r *Book) ClaimTrial(digest Digest, policy Policy, claimant uint64, now time.Time) (Record, bool) {
+func (r *Registry) ClaimTrial(digest Digest, policy Policy, claimant uint64, now time.Time) (Record, bool) {
 	if status, _ := r.Status(digest, policy, now); status != TrialDue {
 		return Record{}, false
 	}
@@ -141,14 +141,14 @@
 
 // OwnsTrial reports whether the claimant made the latest claim on a trial of the digest
 // that was merged.
-func (r *Book) OwnsTrial(digest Digest, claimant uint64) bool {
+func (r *Registry) OwnsTrial(digest Digest, claimant uint64) bool {
 	record := r.records[digest]
 	return record != nil && record.Trials > 0 && record.Claimant == claimant
 }
 
 // Merge applies a record from another node and reports whether it changed anything. A
 // record that was changed in the future is treated as changed now.
-func (r *Book) Merge(received Record, now time.Time) bool {
+func (r *Registry) Merge(received Record, now time.Time) bool {
 	if received.ChangedAt.After(now) {
 		received.ChangedAt = now
 	}
@@ -157,14 +157,14 @@
 
 // Quarantined returns the records at or above a policy's crash limit, including those due
 // for a trial, ordered by digest.
-func (r *Book) Quarantined(policy Policy) []Record {
+func (r *Registry) Quarantined(policy Policy) []Record {
 	return r.filter(func(record *Record) bool { return r.attributedCrashes(record, policy) >= policy.CrashLimit })
 }
 
 // All returns every record, ordered by digest.
-func (r *Book) All() []Record { return r.filter(func(*Record) bool { return true }) }
+func (r *Registry) All() []Record { return r.filter(func(*Record) bool { return true }) }
 
-func (r *Book) filter(include func(*Record) bool) []Record {
+func (r *Registry) filter(include func(*Record) bool) []Record {
 	var records []Record
 	for _, record := range r.records {
 		if include(record) {
@@ -176,10 +176,10 @@
 }
 
 // Expire deletes the records that have not changed within their retention period.
-func (r *Book) Expire(now time.Time) {
+func (r *Registry) Expire(now time.Time) {
 	for digest, record := range r.records {
 		limit := recordTTL
-		if len(record.Ended) >= Ends {
+		if len(record.CrashedBackEnds) >= CrashLimit {
 			limit = quarantinedRecordTTL
 		}
 		if now.Sub(record.ChangedAt) > limit {
@@ -190,7 +190,7 @@
 
 // getOrCreate returns the record of a digest, creating it if there is none. It evicts a
 // record if the registry is full.
-func (r *Book) getOrCreate(digest Digest, now time.Time) *Record {
+func (r *Registry) getOrCreate(digest Digest, now time.Time) *Record {
 	if record := r.records[digest]; record != nil {
 		return record
 	}
@@ -206,11 +206,11 @@
 }
 
 // evictOne deletes the record with the fewest crashes, and the oldest of these.
-func (r *Book) evictOne() {
+func (r *Registry) evictOne() {
 	var candidate *Record
 	for _, record := range r.records {
-		if candidate == nil || len(record.Ended) < len(candidate.Ended) ||
-			len(record.Ended) == len(candidate.Ended) && record.ChangedAt.Before(candidate.ChangedAt) {
+		if candidate == nil || len(record.CrashedBackEnds) < len(candidate.CrashedBackEnds) ||
+			len(record.CrashedBackEnds) == len(candidate.CrashedBackEnds) && record.ChangedAt.Before(candidate.ChangedAt) {
 			candidate = record
 		}
 	}
@@ -219,6 +219,6 @@
 
 func (r *Record) clone() Record {
 	cloned := *r
-	cloned.Ended = slices.Clone(r.Ended)
+	cloned.CrashedBackEnds = slices.Clone(r.CrashedBackEnds)
 	return cloned
 }
--- a/internal/quarantine/registry_test.go
+++ b/internal/quarantine/registry_test.go
@@ -17,44 +17,44 @@
 
 // quarantinedRegistry returns a registry in which a digest has just reached the crash limit,
 // with the last crash at start.
-func quarantinedRegistry(t *testing.T) *Book {
+func quarantinedRegistry(t *testing.T) *Registry {
 	t.Helper()
-	registry := &Book{}
-	for i := range Ends {
+	registry := &Registry{}
+	for i := range CrashLimit {
 		_, changed := registry.AddCrash(digest, fmt.Sprint("back-end-", i), start)
 		require.True(t, changed)
 	}
 	return registry
 }
 
-func status(registry *Book, policy Policy, at time.Time) Status {
+func status(registry *Registry, policy Policy, at time.Time) Status {
 	status, _ := registry.Status(digest, policy, at)
 	return status
 }
 
 func TestRequestIsQuarantinedAtTheCrashLimit(t *testing.T) {
-	registry := &Book{}
+	registry := &Registry{}
 	require.True(t, registry.Empty())
 	for crashes, want := range []Status{Allowed, Allowed, Suspect, Quarantined} {
-		require.Equal(t, want, status(registry, Requests(), start), "%d crashes", crashes)
+		require.Equal(t, want, status(registry, RequestPolicy(), start), "%d crashes", crashes)
 		registry.AddCrash(digest, fmt.Sprint("back-end-", crashes), start)
 		// A second node reports the same crash.
 		_, changed := registry.AddCrash(digest, fmt.Sprint("back-end-", crashes), start.Add(time.Second))
 		require.False(t, changed)
 	}
-	status, _ := registry.Status(Content{Path: "/other"}.Digest(), Requests(), start)
+	status, _ := registry.Status(Content{Path: "/other"}.Digest(), RequestPolicy(), start)
 	require.Equal(t, Allowed, status)
 }
 
 // Guards against back ends that keep their ids over a restart: if only one crash were
 // counted per id, a pool of two such back ends would be crashed forever.
 func TestRestartedBackEndCountsAsAnotherCrash(t *testing.T) {
-	registry := &Book{}
-	for i := range Ends {
+	registry := &Registry{}
+	for i := range CrashLimit {
 		_, changed := registry.AddCrash(digest, "only-back-end", start.Add(time.Duration(i)*(sameCrashWindow+time.Millisecond)))
 		require.True(t, changed, "crash %d", i)
 	}
-	require.Equal(t, Quarantined, status(registry, Requests(), start.Add(10*time.Second)))
+	require.Equal(t, Quarantined, status(registry, RequestPolicy(), start.Add(10*time.Second)))
 }
 
 func TestSuccessClearsARequestAgainstOlderRecords(t *testing.T) {
@@ -62,12 +62,12 @@
 	before := registry.All()[0]
 	clearedRecord, ok := registry.Clear(digest, start.Add(time.Second))
 	require.True(t, ok)
-	require.Equal(t, Allowed, status(registry, Requests(), start.Add(time.Second)))
+	require.Equal(t, Allowed, status(registry, RequestPolicy(), start.Add(time.Second)))
 	require.False(t, registry.Merge(before, start.Add(2*time.Second)), "records of the epoch before are ignored")
-	require.Equal(t, Allowed, status(registry, Requests(), start.Add(2*time.Second)))
+	require.Equal(t, Allowed, status(registry, RequestPolicy(), start.Add(2*time.Second)))
 	other := quarantinedRegistry(t)
 	require.True(t, other.Merge(clearedRecord, start.Add(time.Second)))
-	require.Equal(t, Allowed, status(other, Requests(), start.Add(time.Second)))
+	require.Equal(t, Allowed, status(other, RequestPolicy(), start.Add(time.Second)))
 	_, ok = registry.Clear(digest, start)
 	require.False(t, ok, "there is nothing left to clear")
 }
@@ -75,7 +75,7 @@
 // Three sends are allowed after the third crash, once all nodes have had time to learn of
 // it. Two of them are trials.
 func TestTrialsAreLimitedInNumberAndRate(t *testing.T) {
-	for name, policy := range map[string]Policy{"requests": Requests(), "items": Items()} {
+	for name, policy := range map[string]Policy{"requests": RequestPolicy(), "items": ItemPolicy()} {
 		t.Run(name, func(t *testing.T) {
 			const propagation, period = 3 * time.Second, 55 * time.Minute
 			registry, lateTrials := quarantinedRegistry(t), 0
@@ -106,33 +106,33 @@
 		record.Digest = bystander
 		registry.Merge(record, start)
 	}
-	other, _ := registry.Status(bystander, Requests(), start)
+	other, _ := registry.Status(bystander, RequestPolicy(), start)
 	require.Equal(t, Quarantined, other, "it has as many crashes as the cause")
 	registry.AddCrash(digest, "fourth-back-end", start)
-	other, _ = registry.Status(bystander, Requests(), start)
+	other, _ = registry.Status(bystander, RequestPolicy(), start)
 	require.Equal(t, Allowed, other)
-	require.Equal(t, Quarantined, status(registry, Requests(), start))
-	require.Len(t, registry.Quarantined(Requests()), 1)
-	for i := range Ends {
+	require.Equal(t, Quarantined, status(registry, RequestPolicy(), start))
+	require.Len(t, registry.Quarantined(RequestPolicy()), 1)
+	for i := range CrashLimit {
 		registry.AddCrash(bystander, fmt.Sprint("own-crash-", i), start)
 	}
-	other, _ = registry.Status(bystander, Requests(), start)
+	other, _ = registry.Status(bystander, RequestPolicy(), start)
 	require.Equal(t, Quarantined, other, "it has crashes of its own")
 }
 
 func TestFirstClaimInTheLogOwnsTheTrial(t *testing.T) {
 	one, other := quarantinedRegistry(t), quarantinedRegistry(t)
 	at := start.Add(time.Minute)
-	first, ok := one.ClaimTrial(digest, Requests(), 1, at)
+	first, ok := one.ClaimTrial(digest, RequestPolicy(), 1, at)
 	require.True(t, ok)
-	second, ok := other.ClaimTrial(digest, Requests(), 2, at)
+	second, ok := other.ClaimTrial(digest, RequestPolicy(), 2, at)
 	require.True(t, ok)
-	for _, registry := range []*Book{one, other} {
+	for _, registry := range []*Registry{one, other} {
 		require.True(t, registry.Merge(first, at))
 		require.False(t, registry.Merge(second, at))
 		require.True(t, registry.OwnsTrial(digest, 1))
 		require.False(t, registry.OwnsTrial(digest, 2))
-		_, ok = registry.ClaimTrial(digest, Requests(), 3, at.Add(time.Second))
+		_, ok = registry.ClaimTrial(digest, RequestPolicy(), 3, at.Add(time.Second))
 		require.False(t, ok, "the trial is in progress")
 	}
 }
@@ -145,7 +145,7 @@
 	require.Len(t, registry.All(), 2)
 	registry.Expire(start.Add(recordTTL + time.Second))
 	require.Len(t, registry.All(), 1)
-	require.Equal(t, digest, registry.Quarantined(Requests())[0].Digest)
+	require.Equal(t, digest, registry.Quarantined(RequestPolicy())[0].Digest)
 	registry.Expire(start.Add(quarantinedRecordTTL + time.Second))
 	require.True(t, registry.Empty())
 }
@@ -156,21 +156,21 @@
 		registry.AddCrash(Content{Path: fmt.Sprint(i)}.Digest(), "back-end", start.Add(time.Duration(i)*time.Millisecond))
 	}
 	require.Len(t, registry.All(), maxRecords)
-	require.Equal(t, Quarantined, status(registry, Requests(), start), "quarantined records are evicted last")
+	require.Equal(t, Quarantined, status(registry, RequestPolicy(), start), "quarantined records are evicted last")
 }
 
 func TestRecordFromAFastClockDoesNotProlongTheQuarantine(t *testing.T) {
-	registry := &Book{}
+	registry := &Registry{}
 	published := quarantinedRegistry(t).All()[0]
 	published.ChangedAt = start.Add(time.Hour)
 	require.True(t, registry.Merge(published, start))
-	_, until := registry.Status(digest, Requests(), start)
-	require.Equal(t, start.Add(Requests().TrialDelays[0]), until)
+	_, until := registry.Status(digest, RequestPolicy(), start)
+	require.Equal(t, start.Add(RequestPolicy().TrialDelays[0]), until)
 }
 
 func TestRecordsSurviveEncoding(t *testing.T) {
 	registry := quarantinedRegistry(t)
-	claim, ok := registry.ClaimTrial(digest, Requests(), 7, start.Add(time.Minute))
+	claim, ok := registry.ClaimTrial(digest, RequestPolicy(), 7, start.Add(time.Minute))
 	require.True(t, ok)
 	decoded, err := Decode(Encode(claim, true))
 	require.NoError(t, err)
@@ -187,7 +187,7 @@
 // crashes.
 func TestMergeIsIndependentOfOrderAndRepetition(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		writer := &Book{}
+		writer := &Registry{}
 		var published []Record
 		for i := range rapid.IntRange(1, 8).Draw(t, "steps") {
 			at := start.Add(time.Duration(i) * time.Second)
@@ -202,7 +202,7 @@
 		}
 		now := start.Add(time.Hour)
 		order := rapid.Permutation(append(slices.Clone(published), published...)).Draw(t, "order")
-		one, other := &Book{}, &Book{}
+		one, other := &Registry{}, &Registry{}
 		for _, record := range published {
 			one.Merge(record, now)
 		}
@@ -212,8 +212,8 @@
 		require.Equal(t, len(one.All()), len(other.All()))
 		for i, record := range one.All() {
 			require.Equal(t, record.Epoch, other.All()[i].Epoch)
-			require.Equal(t, record.Ended, other.All()[i].Ended)
-			require.Equal(t, writer.All()[i].Ended, record.Ended)
+			require.Equal(t, record.CrashedBackEnds, other.All()[i].CrashedBackEnds)
+			require.Equal(t, writer.All()[i].CrashedBackEnds, record.CrashedBackEnds)
 		}
 	})
 }
--- a/internal/quarantine/wire.go
+++ b/internal/quarantine/wire.go
@@ -11,7 +11,7 @@
 // unset for requests.
 func Encode(record Record, item bool) *pathbendv1.SuspectRequest {
 	return &pathbendv1.SuspectRequest{
-		Digest: record.Digest[:], Epoch: record.Epoch, Ended: record.Ended, Trials: uint32(record.Trials),
+		Digest: record.Digest[:], Epoch: record.Epoch, Ended: record.CrashedBackEnds, Trials: uint32(record.Trials),
 		Claimant: record.Claimant, ChangedUnixMs: record.ChangedAt.UnixMilli(), Item: item,
 	}
 }
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -14,10 +14,10 @@
 import "time"
 
 const (
-	// Interval is the time between two reports of a node with demand.
-	Interval = 500 * time.Millisecond
-	// Lifetime is how long a report and the share granted for it are valid.
-	Lifetime = 3 * Interval
+	// ReportInterval is the time between two reports of a node with demand.
+	ReportInterval = 500 * time.Millisecond
+	// ReportTTL is how long a report and the share granted for it are valid.
+	ReportTTL = 3 * ReportInterval
 )
 
 // report is the newest demand of a node, in requests per second.
@@ -26,24 +26,24 @@
 	receivedAt time.Time
 }
 
-// Ledger holds the current reports for one tenant, by node, and divides the
+// Allocator holds the current reports for one tenant, by node, and divides the
 // tenant's rate among them. It is not safe for concurrent use.
-type Ledger struct {
+type Allocator struct {
 	reports map[string]report
 }
 
-// NewLedger returns one without reports.
-func NewLedger() *Ledger { return &Ledger{reports: make(map[string]report)} }
+// NewAllocator returns one without reports.
+func NewAllocator() *Allocator { return &Allocator{reports: make(map[string]report)} }
 
 // Report records a node's demand and returns its share of rate; all three are in
 // requests per second. If the total demand reaches the rate, the rate is divided
 // in proportion to demand. Otherwise every node gets its demand and an equal part
 // of the remaining rate, so that its demand can grow.
-func (l *Ledger) Report(now time.Time, node string, demand, rate float64) float64 {
+func (l *Allocator) Report(now time.Time, node string, demand, rate float64) float64 {
 	l.reports[node] = report{demand: demand, receivedAt: now}
 	total := 0.0
 	for id, latest := range l.reports {
-		if now.Sub(latest.receivedAt) >= Lifetime {
+		if now.Sub(latest.receivedAt) >= ReportTTL {
 			delete(l.reports, id)
 			continue
 		}
@@ -57,7 +57,7 @@
 
 // ActiveNodes returns the number of nodes whose reports had not expired at the
 // last call of Report.
-func (l *Ledger) ActiveNodes() int { return len(l.reports) }
+func (l *Allocator) ActiveNodes() int { return len(l.reports) }
 
 // Meter estimates a node's demand from its arrivals by exponential smoothing. The
 // zero value has no demand.
--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -18,7 +18,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(1, 1000).Draw(t, "rate")
 		demands := rapid.SliceOfN(rapid.Float64Range(0.1, 1000), 1, 20).Draw(t, "demands")
-		ledger := NewLedger()
+		ledger := NewAllocator()
 		sum, total := 0.0, 0.0
 		for round := range 2 {
 			sum, total = 0, 0
@@ -44,22 +44,22 @@
 }
 
 func TestSoleNodeGetsTheWholeRateUntilAnotherReports(t *testing.T) {
-	ledger := NewLedger()
+	ledger := NewAllocator()
 	require.InDelta(t, 100, ledger.Report(start, "a", 10, 100), 1e-9)
 	require.InDelta(t, 90, ledger.Report(start, "b", 90, 100), 1e-9)
 	require.InDelta(t, 10, ledger.Report(start, "a", 10, 100), 1e-9)
-	require.InDelta(t, 100, ledger.Report(start.Add(Lifetime), "a", 10, 100), 1e-9, "the report of b has expired")
+	require.InDelta(t, 100, ledger.Report(start.Add(ReportTTL), "a", 10, 100), 1e-9, "the report of b has expired")
 	require.Equal(t, 1, ledger.ActiveNodes())
 }
 
 func TestMeterFollowsDemandAndDropsToZeroWhenIdle(t *testing.T) {
 	var meter Meter
 	for range 10 {
-		meter.Observe(50, Interval)
+		meter.Observe(50, ReportInterval)
 	}
-	require.InDelta(t, 100, meter.Observe(50, Interval), 1)
+	require.InDelta(t, 100, meter.Observe(50, ReportInterval), 1)
 	for range 12 {
-		meter.Observe(0, Interval)
+		meter.Observe(0, ReportInterval)
 	}
-	require.Zero(t, meter.Observe(0, Interval))
+	require.Zero(t, meter.Observe(0, ReportInterval))
 }
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -51,7 +51,7 @@
 // Put adds or replaces the entry of a sampler and assigns its revision. It returns false,
 // and ignores the entry, if it is from an earlier incarnation.
 func (r *Registry) Put(sampler schedule.Sampler) bool {
-	if sampler.Born < r.newestStart(sampler.ID) {
+	if sampler.StartedAtMs < r.newestStart(sampler.ID) {
 		return false
 	}
 	delete(r.unusable, sampler.ID)
@@ -65,8 +65,8 @@
 	return true
 }
 
-// Drop removes the entry of an id.
-func (r *Registry) Drop(id string, now time.Time) {
+// Remove removes the entry of an id.
+func (r *Registry) Remove(id string, now time.Time) {
 	delete(r.unusable, id)
 	r.remove(id, now)
 }
@@ -84,14 +84,14 @@
 // the id is unknown or its entries have no start time.
 func (r *Registry) newestStart(id string) int64 {
 	if sampler, found := r.samplers[id]; found {
-		return sampler.Born
+		return sampler.StartedAtMs
 	}
 	return r.removed[id].startUnixMilli
 }
 
-// TellsStart reports whether an earlier entry of an id had a start time. An entry without
+// HasStartTime reports whether an earlier entry of an id had a start time. An entry without
 // one is not valid for such an id.
-func (r *Registry) TellsStart(id string) bool { return r.newestStart(id) > 0 }
+func (r *Registry) HasStartTime(id string) bool { return r.newestStart(id) > 0 }
 
 // Clear removes all entries, so that the newest entry of each id can be read again. Their
 // start times are retained.
@@ -108,8 +108,8 @@
 	if !found {
 		return
 	}
-	if sampler.Born > 0 {
-		r.removed[id] = removedEntry{startUnixMilli: sampler.Born, removedAt: now}
+	if sampler.StartedAtMs > 0 {
+		r.removed[id] = removedEntry{startUnixMilli: sampler.StartedAtMs, removedAt: now}
 	}
 	delete(r.samplers, id)
 	if index, found := slices.BinarySearch(r.ids, id); found {
@@ -127,8 +127,8 @@
 	}
 }
 
-// Unusable returns the number of ids whose newest entry cannot be decoded.
-func (r *Registry) Unusable() int { return len(r.unusable) }
+// UnusableCount returns the number of ids whose newest entry cannot be decoded.
+func (r *Registry) UnusableCount() int { return len(r.unusable) }
 
 // All returns the samplers in ascending order of their ids.
 func (r *Registry) All() []schedule.Sampler {
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -12,7 +12,7 @@
 var now = time.Unix(1_000, 0)
 
 func entry(id string, startUnixMilli int64, address string) schedule.Sampler {
-	return schedule.Sampler{ID: id, Born: startUnixMilli, Address: address}
+	return schedule.Sampler{ID: id, StartedAtMs: startUnixMilli, Address: address}
 }
 
 func TestEntryOfAFormerIncarnationNeverReplacesANewer(t *testing.T) {
@@ -28,7 +28,7 @@
 func TestStartTimeIsRetainedAfterTheEntryIsRemoved(t *testing.T) {
 	registry := New()
 	registry.Put(entry("s", 20, "new"))
-	registry.Drop("s", now)
+	registry.Remove("s", now)
 	require.False(t, registry.Put(entry("s", 10, "earlier")))
 	require.Empty(t, registry.All())
 	registry.Put(entry("s", 20, "returned"))
@@ -45,22 +45,22 @@
 	require.True(t, registry.Reject("turns malformed", now))
 	require.False(t, registry.Reject("turns malformed", now), "a further malformed entry is not the first")
 	require.True(t, registry.Reject("never valid", now))
-	require.Equal(t, 2, registry.Unusable())
+	require.Equal(t, 2, registry.UnusableCount())
 	require.Len(t, registry.All(), 1, "other entries are not affected")
 	require.Equal(t, "valid", registry.All()[0].ID)
 	require.False(t, registry.Put(entry("turns malformed", 10, "earlier")))
 	require.True(t, registry.Put(entry("turns malformed", 20, "b")))
 	require.Len(t, registry.All(), 2)
-	registry.Drop("never valid", now)
-	require.Zero(t, registry.Unusable())
+	registry.Remove("never valid", now)
+	require.Zero(t, registry.UnusableCount())
 }
 
 func TestEntriesWithoutStartTimeAreOneIncarnation(t *testing.T) {
 	registry := New()
 	require.True(t, registry.Put(entry("s", 0, "a")))
-	require.False(t, registry.TellsStart("s"))
+	require.False(t, registry.HasStartTime("s"))
 	require.True(t, registry.Put(entry("s", 0, "b")))
-	registry.Drop("s", now)
+	registry.Remove("s", now)
 	require.True(t, registry.Put(entry("s", 0, "c")))
 }
 
@@ -76,7 +76,7 @@
 	after := registry.All()
 	require.Equal(t, before[0].Revision, after[0].Revision)
 	require.NotEqual(t, before[1].Revision, after[1].Revision)
-	registry.Drop("a", now)
+	registry.Remove("a", now)
 	require.Equal(t, "b", registry.All()[0].ID)
 	registry.Clear(now)
 	require.Empty(t, registry.All())
