--- a/internal/relay/way.go
+++ b/internal/relay/way.go
@@ -29,9 +29,9 @@
 	latencyWeight = 0.1
 	// probeInterval is how often a node that relays its calls tries the direct path.
 	probeInterval = 500 * time.Millisecond
-	// ProbeFor is how long such a call waits for the direct path before it goes through a
+	// ProbeTimeout is how long such a call waits for the direct path before it goes through a
 	// peer as well.
-	ProbeFor = 60 * time.Millisecond
+	ProbeTimeout = 60 * time.Millisecond
 	// minBackoff is for how long no peer is tried after a peer got no answer either, as when
 	// the service is down for all nodes. It doubles up to maxBackoff.
 	minBackoff = 500 * time.Millisecond
@@ -47,9 +47,9 @@
 	Address string
 }
 
-// Way tracks whether a node's direct path to the log service is silent, and selects the peers
+// Selector tracks whether a node's direct path to the log service is silent, and selects the peers
 // that relay its calls if so. It is safe for concurrent use.
-type Way struct {
+type Selector struct {
 	self Peer
 
 	mutex sync.Mutex
@@ -67,15 +67,15 @@
 	switched chan struct{}
 }
 
-// NewWay returns the state of a node whose calls go directly to the service.
-func NewWay(self Peer) *Way {
-	return &Way{self: self, avoidUntil: make(map[string]time.Time), switched: make(chan struct{})}
+// NewSelector returns the state of a node whose calls go directly to the service.
+func NewSelector(self Peer) *Selector {
+	return &Selector{self: self, avoidUntil: make(map[string]time.Time), switched: make(chan struct{})}
 }
 
-// Around reports whether calls go through peers, and whether this call, if mayProbe allows it,
+// Relaying reports whether calls go through peers, and whether this call, if mayProbe allows it,
 // is to try the direct path first. If calls go directly, switched is closed once they begin to
 // go through peers; otherwise it is nil.
-func (s *Way) Around(mayProbe bool, now time.Time) (relaying, probe bool, switched <-chan struct{}) {
+func (s *Selector) Relaying(mayProbe bool, now time.Time) (relaying, probe bool, switched <-chan struct{}) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if !s.relaying {
@@ -87,30 +87,30 @@
 	return true, probe, nil
 }
 
-// Patience returns the time without an answer after which the direct path counts as silent, in
+// SilenceTimeout returns the time without an answer after which the direct path counts as silent, in
 // addition to the time for which the service was asked to hold a call.
-func (s *Way) Patience() time.Duration {
+func (s *Selector) SilenceTimeout() time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.silenceTimeout()
 }
 
 // silenceTimeout returns the silence timeout of the direct path. The caller holds s.mutex.
-func (s *Way) silenceTimeout() time.Duration {
+func (s *Selector) silenceTimeout() time.Duration {
 	return max(minSilenceTimeout, silenceLatencyFactor*s.meanLatency)
 }
 
-// MayAsk reports whether a call that failed or got no answer may go through peers: the direct
+// MayRelay reports whether a call that failed or got no answer may go through peers: the direct
 // path is silent for all calls, and no backoff is in force.
-func (s *Way) MayAsk(now time.Time) bool {
+func (s *Selector) MayRelay(now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return now.Sub(s.answeredAt) >= s.silenceTimeout() && !now.Before(s.backoffUntil)
 }
 
-// Offers reports whether this node may relay calls of its peers: its own calls go directly to
+// AcceptsRelays reports whether this node may relay calls of its peers: its own calls go directly to
 // the service, which answered one recently.
-func (s *Way) Offers(now time.Time) bool {
+func (s *Selector) AcceptsRelays(now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return !s.relaying && now.Sub(s.answeredAt) < maxAnswerAge
@@ -120,9 +120,9 @@
 // of its peers. Every node makes a call at least once a second.
 const maxAnswerAge = 1500 * time.Millisecond
 
-// Answered records an answer on the direct path, upon which calls go directly again. took is the
+// RecordAnswer records an answer on the direct path, upon which calls go directly again. took is the
 // latency of the call, 0 for one that the service was asked to hold.
-func (s *Way) Answered(took time.Duration, now time.Time) {
+func (s *Selector) RecordAnswer(took time.Duration, now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.answeredAt, s.relaying, s.backoff = now, false, 0
@@ -131,9 +131,9 @@
 	}
 }
 
-// Helped records that a peer relayed a call successfully. It reports whether calls begin to go
+// RecordRelayed records that a peer relayed a call successfully. It reports whether calls begin to go
 // through peers, which they do if the direct path is silent.
-func (s *Way) Helped(now time.Time) (started bool) {
+func (s *Selector) RecordRelayed(now time.Time) (started bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.backoff = 0
@@ -146,10 +146,10 @@
 	return true
 }
 
-// Unhelpful records that a peer failed to relay a call. serviceDown is set if the peer reached
+// RecordRelayFailure records that a peer failed to relay a call. serviceDown is set if the peer reached
 // the service, which refused it as well; the peer is not at fault then, and calls go directly
 // until a backoff has passed.
-func (s *Way) Unhelpful(peer string, serviceDown bool, now time.Time) {
+func (s *Selector) RecordRelayFailure(peer string, serviceDown bool, now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if !serviceDown {
@@ -164,9 +164,9 @@
 	}
 }
 
-// Choose returns up to limit peers in the order in which this node tries them: those of its own
+// SelectPeers returns up to limit peers in the order in which this node tries them: those of its own
 // zone first, then by a hash that gives each node a different order, which spreads the load.
-func (s *Way) Choose(peers []Peer, limit int, now time.Time) []Peer {
+func (s *Selector) SelectPeers(peers []Peer, limit int, now time.Time) []Peer {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	var eligible []Peer
@@ -185,7 +185,7 @@
 	return eligible[:min(len(eligible), limit)]
 }
 
-func (s *Way) zoneDistance(peer Peer) int {
+func (s *Selector) zoneDistance(peer Peer) int {
 	if peer.Zone == s.self.Zone {
 		return 0
 	}
@@ -193,7 +193,7 @@
 }
 
 // hash orders the peers within a zone.
-func (s *Way) hash(name string) uint64 {
+func (s *Selector) hash(name string) uint64 {
 	digest := fnv.New64a()
 	// Write of a hash.Hash returns no error.
 	_, _ = digest.Write([]byte(s.self.Name + "\x00" + name))
--- a/internal/relay/way_test.go
+++ b/internal/relay/way_test.go
@@ -11,22 +11,22 @@
 
 func after(elapsed time.Duration) time.Time { return start.Add(elapsed) }
 
-func newTestSelector() *Way { return NewWay(Peer{Name: "n", Zone: "z"}) }
+func newTestSelector() *Selector { return NewSelector(Peer{Name: "n", Zone: "z"}) }
 
-func isRelaying(s *Way, now time.Time) bool {
-	relaying, _, _ := s.Around(false, now)
+func isRelaying(s *Selector, now time.Time) bool {
+	relaying, _, _ := s.Relaying(false, now)
 	return relaying
 }
 
 func TestCallsAreRelayedOnlyWhileTheDirectPathIsSilent(t *testing.T) {
 	s := newTestSelector()
-	s.Answered(5*time.Millisecond, start)
-	require.False(t, s.MayAsk(after(minSilenceTimeout-time.Millisecond)), "another call was answered recently")
-	require.True(t, s.MayAsk(after(minSilenceTimeout)))
-	require.False(t, s.Helped(after(minSilenceTimeout-time.Millisecond)))
-	require.True(t, s.Helped(after(minSilenceTimeout)))
+	s.RecordAnswer(5*time.Millisecond, start)
+	require.False(t, s.MayRelay(after(minSilenceTimeout-time.Millisecond)), "another call was answered recently")
+	require.True(t, s.MayRelay(after(minSilenceTimeout)))
+	require.False(t, s.RecordRelayed(after(minSilenceTimeout-time.Millisecond)))
+	require.True(t, s.RecordRelayed(after(minSilenceTimeout)))
 	require.True(t, isRelaying(s, after(minSilenceTimeout)))
-	require.False(t, s.Offers(after(minSilenceTimeout)), "no call takes two hops")
+	require.False(t, s.AcceptsRelays(after(minSilenceTimeout)), "no call takes two hops")
 }
 
 func TestSlowServiceIsNotSilent(t *testing.T) {
@@ -34,26 +34,26 @@
 	now := start
 	for range 100 {
 		now = now.Add(200 * time.Millisecond)
-		s.Answered(200*time.Millisecond, now)
+		s.RecordAnswer(200*time.Millisecond, now)
 	}
-	require.False(t, s.MayAsk(now.Add(900*time.Millisecond)))
-	require.True(t, s.MayAsk(now.Add(1100*time.Millisecond)))
+	require.False(t, s.MayRelay(now.Add(900*time.Millisecond)))
+	require.True(t, s.MayRelay(now.Add(1100*time.Millisecond)))
 }
 
 func TestDirectPathIsUsedAgainAfterItsFirstAnswer(t *testing.T) {
 	s := newTestSelector()
-	require.True(t, s.Helped(start))
-	_, probe, _ := s.Around(true, after(probeInterval-time.Millisecond))
+	require.True(t, s.RecordRelayed(start))
+	_, probe, _ := s.Relaying(true, after(probeInterval-time.Millisecond))
 	require.False(t, probe)
-	_, probe, _ = s.Around(false, after(probeInterval))
+	_, probe, _ = s.Relaying(false, after(probeInterval))
 	require.False(t, probe, "a call that the service holds is no probe")
-	_, probe, _ = s.Around(true, after(probeInterval))
+	_, probe, _ = s.Relaying(true, after(probeInterval))
 	require.True(t, probe)
-	_, probe, _ = s.Around(true, after(probeInterval+time.Millisecond))
+	_, probe, _ = s.Relaying(true, after(probeInterval+time.Millisecond))
 	require.False(t, probe, "only one call per interval is a probe")
-	s.Answered(time.Millisecond, after(time.Second))
+	s.RecordAnswer(time.Millisecond, after(time.Second))
 	require.False(t, isRelaying(s, after(time.Second)))
-	require.True(t, s.Offers(after(time.Second)))
+	require.True(t, s.AcceptsRelays(after(time.Second)))
 }
 
 // Without a backoff, each call of each node would be made twice while the service is down for
@@ -62,21 +62,21 @@
 	s := newTestSelector()
 	now := start
 	for _, backoff := range []time.Duration{minBackoff, 2 * minBackoff, 4 * minBackoff, maxBackoff, maxBackoff} {
-		require.True(t, s.MayAsk(now))
-		s.Unhelpful("p", true, now)
-		require.False(t, s.MayAsk(now.Add(backoff-time.Millisecond)))
+		require.True(t, s.MayRelay(now))
+		s.RecordRelayFailure("p", true, now)
+		require.False(t, s.MayRelay(now.Add(backoff-time.Millisecond)))
 		now = now.Add(backoff)
 	}
-	s.Answered(time.Millisecond, now)
+	s.RecordAnswer(time.Millisecond, now)
 	now = now.Add(time.Second)
-	s.Unhelpful("p", true, now)
-	require.True(t, s.MayAsk(now.Add(minBackoff)))
+	s.RecordRelayFailure("p", true, now)
+	require.True(t, s.MayRelay(now.Add(minBackoff)))
 }
 
 func TestWaitingCallsAreNotifiedOfTheSwitchToPeers(t *testing.T) {
 	s := newTestSelector()
-	_, _, switched := s.Around(true, start)
-	s.Helped(start)
+	_, _, switched := s.Relaying(true, start)
+	s.RecordRelayed(start)
 	select {
 	case <-switched:
 	default:
@@ -87,9 +87,9 @@
 func TestPeersOfTheOwnZoneAreTriedFirstAndFailedOnesAvoided(t *testing.T) {
 	s := newTestSelector()
 	peers := []Peer{{Name: "n", Zone: "z", Address: "a"}, {Name: "far", Zone: "y", Address: "a"}, {Name: "near", Zone: "z", Address: "a"}, {Name: "old", Zone: "z"}}
-	chosen := s.Choose(peers, 2, start)
+	chosen := s.SelectPeers(peers, 2, start)
 	require.Equal(t, []string{"near", "far"}, []string{chosen[0].Name, chosen[1].Name}, "neither the node itself nor a peer without an address is selected")
-	s.Unhelpful("near", false, start)
-	require.Equal(t, "far", s.Choose(peers, 1, start)[0].Name)
-	require.Equal(t, "near", s.Choose(peers, 1, after(avoidPeriod))[0].Name)
+	s.RecordRelayFailure("near", false, start)
+	require.Equal(t, "far", s.SelectPeers(peers, 1, start)[0].Name)
+	require.Equal(t, "near", s.SelectPeers(peers, 1, after(avoidPeriod))[0].Name)
 }
--- a/internal/result/result.go
+++ b/internal/result/result.go
@@ -14,18 +14,18 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Run states whether a back end executed a request.
-type Run string
+// Execution states whether a back end executed a request.
+type Execution string
 
 // States of execution. NotRun is reported only if it is certain; in doubt the state is
 // Unknown.
 const (
 	// Done means that the request was executed.
-	Done Run = "done"
+	Done Execution = "done"
 	// NotRun means that no back end executed the request.
-	NotRun Run = "not_run"
+	NotRun Execution = "not_run"
 	// Unknown means that a back end may have executed the request.
-	Unknown Run = "unknown"
+	Unknown Execution = "unknown"
 )
 
 // Code is the number of a result. The thousands digit groups codes by cause.
@@ -101,8 +101,8 @@
 	Name string
 	// HTTPStatus is the status of HTTP responses that carry the code.
 	HTTPStatus int
-	// Run states what the code guarantees about execution.
-	Run Run
+	// Execution states what the code guarantees about execution.
+	Execution Execution
 	// Meaning states what happened; Fix states what the caller should do.
 	Meaning string
 	Fix     string
@@ -157,8 +157,8 @@
 // Unwrap returns the wrapped error, nil if there is none.
 func (e *Error) Unwrap() error { return e.cause }
 
-// Run states whether the request was executed, according to the code.
-func (e *Error) Run() Run { return Lookup(e.Code).Run }
+// Execution states whether the request was executed, according to the code.
+func (e *Error) Execution() Execution { return Lookup(e.Code).Execution }
 
 // From returns the first Error in the chain of err, or wraps err as Internal if there
 // is none.
--- a/internal/result/result_test.go
+++ b/internal/result/result_test.go
@@ -14,7 +14,7 @@
 
 // tableRow returns the row of docs/RESULT_CODES.md for a definition.
 func tableRow(d Definition) string {
-	return fmt.Sprintf("| %d | `%s` | %d | %s | %s | %s |", d.Code, d.Name, d.HTTPStatus, d.Run, d.Meaning, d.Fix)
+	return fmt.Sprintf("| %d | `%s` | %d | %s | %s | %s |", d.Code, d.Name, d.HTTPStatus, d.Execution, d.Meaning, d.Fix)
 }
 
 func TestTableInDocsMatchesDefinitions(t *testing.T) {
@@ -40,10 +40,10 @@
 		require.False(t, names[definition.Name], definition.Name)
 		require.NotEmpty(t, definition.Meaning)
 		require.NotEmpty(t, definition.Fix)
-		require.Contains(t, []Run{Done, NotRun, Unknown}, definition.Run)
+		require.Contains(t, []Execution{Done, NotRun, Unknown}, definition.Execution)
 		previous, names[definition.Name] = definition.Code, true
 	}
-	require.Equal(t, Unknown, Lookup(12345).Run, "an undefined code must not guarantee anything about execution")
+	require.Equal(t, Unknown, Lookup(12345).Execution, "an undefined code must not guarantee anything about execution")
 }
 
 func TestErrorKeepsCauseAndCode(t *testing.T) {
--- a/internal/rollout/handover.go
+++ b/internal/rollout/handover.go
@@ -39,7 +39,7 @@
 		case s.sample != nil:
 			exported.Slots = append(exported.Slots, HandoverSlot{
 				Slot: i, Tokens: s.sample.Tokens, Segments: s.sample.Segments, FinishReason: s.sample.FinishReason,
-				Attempt: s.sample.Attempt, AgeMS: now.Sub(s.sample.Started).Milliseconds(),
+				Attempt: s.sample.Attempt, AgeMS: now.Sub(s.sample.StartedAt).Milliseconds(),
 			})
 		case j.policy.CarryOver:
 			if partial, ok := longestPartial(s, i, now); ok {
@@ -80,7 +80,7 @@
 		}
 		s.sample = &delivery.Sample{
 			Slot: imported.Slot, Group: handover.Spec.Prompts[s.promptIndex].Group, Tokens: imported.Tokens,
-			Segments: imported.Segments, FinishReason: imported.FinishReason, Attempt: imported.Attempt, Started: started,
+			Segments: imported.Segments, FinishReason: imported.FinishReason, Attempt: imported.Attempt, StartedAt: started,
 		}
 	}
 	return job
--- a/internal/rollout/job.go
+++ b/internal/rollout/job.go
@@ -22,8 +22,8 @@
 	HedgeAfter time.Duration
 }
 
-// PolicyOf returns the policy that a tenant's configuration sets for a model.
-func PolicyOf(capacity config.Capacity, model *config.Model) Policy {
+// NewPolicy returns the policy that a tenant's configuration sets for a model.
+func NewPolicy(capacity config.Capacity, model *config.Model) Policy {
 	return Policy{
 		Freshness:             delivery.NewFreshnessLimit(model.Freshness),
 		MaxConcurrentAttempts: capacity.ConcurrentSamples,
@@ -45,8 +45,8 @@
 // retryDelay is the time after a failed attempt before its slot is retried.
 const retryDelay = 100 * time.Millisecond
 
-// Start is a request to the driver to run an attempt.
-type Start struct {
+// AttemptRequest is a request to the driver to run an attempt.
+type AttemptRequest struct {
 	Slot       int
 	Attempt    string
 	Prompt     Prompt
@@ -192,7 +192,7 @@
 	if limit == 0 {
 		limit = DefaultPullSamples
 	}
-	answer := PullAnswer{JobID: j.spec.JobID, Slots: len(j.slots), Samples: []Delivered{}}
+	answer := PullAnswer{JobID: j.spec.JobID, Slots: len(j.slots), Samples: []DeliveredSample{}}
 	size := 0
 	for i := range j.slots {
 		if len(answer.Samples) == limit || size > maxPullBytes {
@@ -216,11 +216,11 @@
 	return size
 }
 
-func (j *Job) deliver(sample *delivery.Sample, now time.Time) Delivered {
-	return Delivered{
+func (j *Job) deliver(sample *delivery.Sample, now time.Time) DeliveredSample {
+	return DeliveredSample{
 		Sample:            *sample,
 		MaxTrainerVersion: delivery.OldestVersion(sample.Segments) + j.policy.Freshness.MaxVersions,
-		DiscardAfterMS:    (j.policy.Freshness.MaxAge - now.Sub(sample.Started)).Milliseconds(),
+		DiscardAfterMS:    (j.policy.Freshness.MaxAge - now.Sub(sample.StartedAt)).Milliseconds(),
 	}
 }
 
@@ -229,7 +229,7 @@
 func (j *Job) dropStale(now time.Time) {
 	for i := range j.slots {
 		s := &j.slots[i]
-		if s.sample != nil && !j.isFresh(s.sample.Segments, s.sample.Started, now) {
+		if s.sample != nil && !j.isFresh(s.sample.Segments, s.sample.StartedAt, now) {
 			s.sample = nil
 			j.counters.Stale++
 		}
@@ -258,8 +258,8 @@
 
 // StartAttempts returns the attempts to start now: first those of slots without a
 // running attempt, in slot order, then second attempts of slots without progress.
-func (j *Job) StartAttempts(now time.Time) []Start {
-	var starts []Start
+func (j *Job) StartAttempts(now time.Time) []AttemptRequest {
+	var starts []AttemptRequest
 	for i := range j.slots {
 		if j.running >= j.policy.MaxConcurrentAttempts {
 			return starts
@@ -275,8 +275,8 @@
 	return !s.held && s.sample == nil && len(s.attempts) == 0 && !now.Before(s.retryAt)
 }
 
-func (j *Job) startHedges(now time.Time) []Start {
-	var starts []Start
+func (j *Job) startHedges(now time.Time) []AttemptRequest {
+	var starts []AttemptRequest
 	if j.policy.HedgeAfter == 0 {
 		return nil
 	}
@@ -293,7 +293,7 @@
 	return starts
 }
 
-func (j *Job) startAttempt(index int, now time.Time) Start {
+func (j *Job) startAttempt(index int, now time.Time) AttemptRequest {
 	s := &j.slots[index]
 	if s.firstStart.IsZero() {
 		s.firstStart = now
@@ -301,7 +301,7 @@
 	j.attemptCount++
 	added := &attempt{id: fmt.Sprintf("%s/%d/%d", j.spec.JobID, index, j.attemptCount), started: now, lastProgress: now}
 	prompt := j.spec.Prompts[s.promptIndex]
-	start := Start{
+	start := AttemptRequest{
 		Slot: index, Attempt: added.id, Prompt: prompt, Seed: prompt.Seed + uint64(s.indexInGroup),
 		MinVersion: j.policy.Freshness.MinVersion(j.trainerVersion), Age: now.Sub(s.firstStart),
 	}
@@ -366,7 +366,7 @@
 	j.cancelAttempts(s)
 	s.sample = &delivery.Sample{
 		Slot: index, Group: j.spec.Prompts[s.promptIndex].Group, Tokens: running.tokens, Segments: running.segments,
-		FinishReason: reason, Attempt: id, Started: running.started,
+		FinishReason: reason, Attempt: id, StartedAt: running.started,
 	}
 }
 
--- a/internal/rollout/job_test.go
+++ b/internal/rollout/job_test.go
@@ -24,7 +24,7 @@
 	return Spec{JobID: "job", Model: "m", TrainerVersion: 1, Prompts: []Prompt{{Prompt: "p", Samples: samples, MaxTokens: 8}}}
 }
 
-func finish(j *Job, s Start, version uint64) {
+func finish(j *Job, s AttemptRequest, version uint64) {
 	j.AddTokens(baseTime, s.Slot, s.Attempt, []string{"a"}, version)
 	j.CompleteAttempt(baseTime, s.Slot, s.Attempt, "stop")
 }
@@ -105,7 +105,7 @@
 		policy := testPolicy(rapid.Uint64Range(0, 2).Draw(t, "bound"))
 		job := NewJob(testSpec(samples), policy, baseTime)
 		now, engineVersion, trainerVersion := baseTime, uint64(1), uint64(1)
-		running := map[string]Start{}
+		running := map[string]AttemptRequest{}
 		produced := map[string][]uint64{} // the version of each token, by attempt
 		var held delivery.Cursor
 		delivered := map[int]bool{}
@@ -166,7 +166,7 @@
 	})
 }
 
-func requireProducedVersions(t *rapid.T, sample Delivered, produced []uint64) {
+func requireProducedVersions(t *rapid.T, sample DeliveredSample, produced []uint64) {
 	require.Equal(t, len(produced), len(sample.Tokens), fmt.Sprint(sample))
 	for _, segment := range sample.Segments {
 		for at := segment.From; at < segment.To; at++ {
--- a/internal/rollout/manager.go
+++ b/internal/rollout/manager.go
@@ -19,8 +19,8 @@
 
 // Progress receives the progress of an attempt.
 type Progress interface {
-	// Placed reports the engine that serves the attempt.
-	Placed(engine string)
+	// EngineSelected reports the engine that serves the attempt.
+	EngineSelected(engine string)
 	// Chunk reports generated tokens; false asks the generator to stop.
 	Chunk(tokens []string, version uint64) bool
 }
@@ -28,7 +28,7 @@
 // Generator runs one attempt on an engine until it ends. It returns the finish
 // reason, or an error if the attempt failed.
 type Generator interface {
-	Generate(ctx context.Context, tenant, model string, start Start, progress Progress) (finishReason string, err error)
+	Generate(ctx context.Context, tenant, model string, start AttemptRequest, progress Progress) (finishReason string, err error)
 }
 
 const (
@@ -157,10 +157,10 @@
 type attemptProgress struct {
 	manager *Manager
 	running *runningJob
-	start   Start
+	start   AttemptRequest
 }
 
-func (p *attemptProgress) Placed(engine string) {
+func (p *attemptProgress) EngineSelected(engine string) {
 	p.manager.mutex.Lock()
 	defer p.manager.mutex.Unlock()
 	p.running.job.SetEngine(p.start.Slot, p.start.Attempt, engine)
@@ -184,7 +184,7 @@
 	return min(max(result.From(err).RetryAfter, retryDelay), maxQuarantineRetryDelay)
 }
 
-func (m *Manager) run(ctx context.Context, running *runningJob, start Start) {
+func (m *Manager) run(ctx context.Context, running *runningJob, start AttemptRequest) {
 	progress := &attemptProgress{manager: m, running: running, start: start}
 	reason, err := m.generator.Generate(ctx, running.key.tenant, running.model, start, progress)
 	m.mutex.Lock()
--- a/internal/rollout/spec.go
+++ b/internal/rollout/spec.go
@@ -105,8 +105,8 @@
 	return nil
 }
 
-// Delivered is a sample with the limits within which the trainer may use it.
-type Delivered struct {
+// DeliveredSample is a sample with the limits within which the trainer may use it.
+type DeliveredSample struct {
 	delivery.Sample
 	// MaxTrainerVersion is the highest trainer version at which the sample may
 	// be used.
@@ -118,9 +118,9 @@
 
 // PullAnswer is the answer to a pull.
 type PullAnswer struct {
-	JobID   string      `json:"job_id"`
-	Samples []Delivered `json:"samples"`
-	Slots   int         `json:"slots"`
+	JobID   string            `json:"job_id"`
+	Samples []DeliveredSample `json:"samples"`
+	Slots   int               `json:"slots"`
 	// Remaining is the number of slots that neither the cursor nor this answer contains.
 	Remaining int `json:"remaining"`
 }
--- a/internal/roundtrip/estimator.go
+++ b/internal/roundtrip/estimator.go
@@ -28,11 +28,11 @@
 
 // Bounds limit the time-out of an estimator, whatever the round-trip times are.
 type Bounds struct {
-	// Floor is the minimum time-out. It is also the time-out for a nearby service, relative
+	// MinTimeout is the minimum time-out. It is also the time-out for a nearby service, relative
 	// to which the extra time for distance is counted.
-	Floor time.Duration
-	// Ceiling is the maximum time-out.
-	Ceiling time.Duration
+	MinTimeout time.Duration
+	// MaxTimeout is the maximum time-out.
+	MaxTimeout time.Duration
 }
 
 // Estimator estimates the round-trip time of calls of one kind to one destination with the
@@ -69,9 +69,9 @@
 	return &Estimator{bounds: bounds, backoff: 1}
 }
 
-// Answered records an answer that arrived at the time now, with the round-trip time of its
+// RecordAnswer records an answer that arrived at the time now, with the round-trip time of its
 // call. It resets the back-off.
-func (e *Estimator) Answered(roundTrip time.Duration, now time.Time) {
+func (e *Estimator) RecordAnswer(roundTrip time.Duration, now time.Time) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if e.hasSample {
@@ -83,42 +83,42 @@
 	e.backoff, e.answeredAt = 1, now
 }
 
-// Reached records that the service answered at the time now, over a path whose round-trip
+// RecordContact records that the service answered at the time now, over a path whose round-trip
 // time does not apply, such as through another node. It counts for AnsweredSince only.
-func (e *Estimator) Reached(now time.Time) {
+func (e *Estimator) RecordContact(now time.Time) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.answeredAt = now
 }
 
-// GivenUp records that a call was abandoned at the time now, waited after it was sent. The
+// RecordAbandoned records that a call was abandoned at the time now, waited after it was sent. The
 // call counts as lost, and the time-out is backed off, if it waited for the time-out or
 // longer. Lost calls that were in flight at the same time back off once.
-func (e *Estimator) GivenUp(waited time.Duration, now time.Time) {
+func (e *Estimator) RecordAbandoned(waited time.Duration, now time.Time) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	alreadyCounted := now.Add(-waited).Before(e.backedOffAt)
-	if alreadyCounted || waited < e.timeout() || e.timeout() >= e.bounds.Ceiling {
+	if alreadyCounted || waited < e.timeout() || e.timeout() >= e.bounds.MaxTimeout {
 		return
 	}
 	e.backoff *= backoffFactor
 	e.backedOffAt = now
 }
 
-// Read returns the current estimate.
-func (e *Estimator) Read() Estimate {
+// Estimate returns the current estimate.
+func (e *Estimator) Estimate() Estimate {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return Estimate{Smoothed: e.smoothed, Deviation: e.deviation, Timeout: e.timeout()}
 }
 
-// Beyond returns how much longer an answer may take than that of a nearby service. Callers
+// ExtraLatency returns how much longer an answer may take than that of a nearby service. Callers
 // add it to a time-out that fits a nearby service. Lost calls do not increase it: a service
 // that is down may come back at any time, and is then no farther away.
-func (e *Estimator) Beyond() time.Duration {
+func (e *Estimator) ExtraLatency() time.Duration {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return e.clamp(e.baseTimeout()) - e.bounds.Floor
+	return e.clamp(e.baseTimeout()) - e.bounds.MinTimeout
 }
 
 // AnsweredSince reports whether the service has answered at or after a time.
@@ -140,5 +140,5 @@
 
 // clamp limits a time-out to the bounds.
 func (e *Estimator) clamp(timeout time.Duration) time.Duration {
-	return min(max(timeout, e.bounds.Floor), e.bounds.Ceiling)
+	return min(max(timeout, e.bounds.MinTimeout), e.bounds.MaxTimeout)
 }
--- a/internal/roundtrip/estimator_test.go
+++ b/internal/roundtrip/estimator_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-var testBounds = Bounds{Floor: 100 * time.Millisecond, Ceiling: time.Second}
+var testBounds = Bounds{MinTimeout: 100 * time.Millisecond, MaxTimeout: time.Second}
 
 // drawMilliseconds draws a duration of minimum to maximum milliseconds.
 func drawMilliseconds(t *rapid.T, label string, minimum, maximum int) time.Duration {
@@ -23,16 +23,16 @@
 		var now time.Time
 		for range rapid.IntRange(0, 80).Draw(t, "calls") {
 			if rapid.Bool().Draw(t, "answered") {
-				estimator.Answered(drawMilliseconds(t, "took", 0, 100_000), now)
+				estimator.RecordAnswer(drawMilliseconds(t, "took", 0, 100_000), now)
 			} else {
 				now = now.Add(time.Minute)
-				estimator.GivenUp(drawMilliseconds(t, "after", 0, 10_000), now)
+				estimator.RecordAbandoned(drawMilliseconds(t, "after", 0, 10_000), now)
 			}
-			timeout := estimator.Read().Timeout
-			if timeout < testBounds.Floor || timeout > testBounds.Ceiling {
+			timeout := estimator.Estimate().Timeout
+			if timeout < testBounds.MinTimeout || timeout > testBounds.MaxTimeout {
 				t.Fatalf("time-out %v is out of bounds", timeout)
 			}
-			if beyond := estimator.Beyond(); beyond < 0 || beyond > timeout-testBounds.Floor {
+			if beyond := estimator.ExtraLatency(); beyond < 0 || beyond > timeout-testBounds.MinTimeout {
 				t.Fatalf("extra time is %v with a time-out of %v", beyond, timeout)
 			}
 		}
@@ -48,20 +48,20 @@
 		before, after := drawMilliseconds(t, "before", 1, 500), drawMilliseconds(t, "after", 1, 500)
 		var now time.Time
 		for range rapid.IntRange(1, 100).Draw(t, "answers before") {
-			estimator.Answered(before, now)
+			estimator.RecordAnswer(before, now)
 		}
 		for range few {
-			estimator.Answered(after, now)
+			estimator.RecordAnswer(after, now)
 		}
-		if timeout := estimator.Read().Timeout; timeout <= after {
+		if timeout := estimator.Estimate().Timeout; timeout <= after {
 			t.Fatalf("time-out is %v after %d answers that took %v", timeout, few, after)
 		}
 		for range many {
-			estimator.Answered(after, now)
+			estimator.RecordAnswer(after, now)
 		}
-		steady := max(after+Granularity, testBounds.Floor)
+		steady := max(after+Granularity, testBounds.MinTimeout)
 		const tolerance = 5 * time.Millisecond
-		if timeout := estimator.Read().Timeout; (timeout - steady).Abs() > tolerance {
+		if timeout := estimator.Estimate().Timeout; (timeout - steady).Abs() > tolerance {
 			t.Fatalf("time-out is %v after %d answers that took %v", timeout, few+many, after)
 		}
 	})
@@ -75,25 +75,25 @@
 		roundTrip := drawMilliseconds(t, "round trip", 1, 300)
 		var now time.Time
 		for range 50 {
-			estimator.Answered(roundTrip, now)
+			estimator.RecordAnswer(roundTrip, now)
 		}
-		before := estimator.Read().Timeout
-		beyond := estimator.Beyond()
+		before := estimator.Estimate().Timeout
+		beyond := estimator.ExtraLatency()
 		longest := before
 		for range rapid.IntRange(1, 10_000).Draw(t, "lost") {
 			now = now.Add(time.Minute)
-			estimator.GivenUp(2*time.Second, now)
-			if timeout := estimator.Read().Timeout; timeout < longest {
+			estimator.RecordAbandoned(2*time.Second, now)
+			if timeout := estimator.Estimate().Timeout; timeout < longest {
 				t.Fatalf("time-out shrank to %v from %v", timeout, longest)
 			} else {
 				longest = timeout
 			}
 		}
-		if estimator.Beyond() != beyond {
-			t.Fatalf("losses changed the extra time from %v to %v", beyond, estimator.Beyond())
+		if estimator.ExtraLatency() != beyond {
+			t.Fatalf("losses changed the extra time from %v to %v", beyond, estimator.ExtraLatency())
 		}
-		estimator.Answered(roundTrip, now)
-		if after := estimator.Read().Timeout; after > before {
+		estimator.RecordAnswer(roundTrip, now)
+		if after := estimator.Estimate().Timeout; after > before {
 			t.Fatalf("time-out was %v before the losses and is %v after the next answer", before, after)
 		}
 	})
@@ -102,23 +102,23 @@
 func TestLossLengthensTheTimeout(t *testing.T) {
 	estimator := New(testBounds)
 	for range 50 {
-		estimator.Answered(90*time.Millisecond, time.Time{})
+		estimator.RecordAnswer(90*time.Millisecond, time.Time{})
 	}
-	before := estimator.Read().Timeout
+	before := estimator.Estimate().Timeout
 	now := time.Unix(1000, 0)
-	estimator.GivenUp(before-1, now)
-	require.Equal(t, before, estimator.Read().Timeout, "the answer was not overdue")
-	estimator.GivenUp(before, now)
-	require.Equal(t, 2*before, estimator.Read().Timeout)
-	estimator.GivenUp(time.Second, now.Add(time.Millisecond))
-	require.Equal(t, 2*before, estimator.Read().Timeout, "the call was in flight when the other one was lost")
+	estimator.RecordAbandoned(before-1, now)
+	require.Equal(t, before, estimator.Estimate().Timeout, "the answer was not overdue")
+	estimator.RecordAbandoned(before, now)
+	require.Equal(t, 2*before, estimator.Estimate().Timeout)
+	estimator.RecordAbandoned(time.Second, now.Add(time.Millisecond))
+	require.Equal(t, 2*before, estimator.Estimate().Timeout, "the call was in flight when the other one was lost")
 }
 
 func TestAnsweredSinceReportsRecentAnswers(t *testing.T) {
 	estimator := New(testBounds)
 	start := time.Unix(1000, 0)
 	require.False(t, estimator.AnsweredSince(time.Time{}), "no answer yet")
-	estimator.Answered(time.Millisecond, start)
+	estimator.RecordAnswer(time.Millisecond, start)
 	require.True(t, estimator.AnsweredSince(start))
 	require.False(t, estimator.AnsweredSince(start.Add(1)))
 }
@@ -127,9 +127,9 @@
 // not be lengthened.
 func TestBeyondIsZeroForANearbyService(t *testing.T) {
 	estimator := New(testBounds)
-	require.Zero(t, estimator.Beyond(), "no answer yet")
+	require.Zero(t, estimator.ExtraLatency(), "no answer yet")
 	for range 20 {
-		estimator.Answered(4*time.Millisecond, time.Time{})
-		require.Zero(t, estimator.Beyond())
+		estimator.RecordAnswer(4*time.Millisecond, time.Time{})
+		require.Zero(t, estimator.ExtraLatency())
 	}
 }
--- a/internal/routing/allowed_region.go
+++ b/internal/routing/allowed_region.go
@@ -11,5 +11,5 @@
 
 // Keep implements Filter.
 func (a AllowedRegion) Keep(request *Request, endpoint *Endpoint) bool {
-	return !request.Regions.Bound() || request.Regions.Allow(a.Topology.Region(endpoint.Zone))
+	return !request.Regions.Restricted() || request.Regions.Allows(a.Topology.Region(endpoint.Zone))
 }
--- a/internal/routing/allowed_region_test.go
+++ b/internal/routing/allowed_region_test.go
@@ -16,23 +16,23 @@
 func TestPickStaysInAllowedRegions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := newZonedTable(rapid.IntRange(1, 12).Draw(t, "endpoints"))
-		profile := NewHostedProfile(newRandom(), Place{Node: "node-1", Zone: "a", Topology: twoRegions})
+		profile := NewPlatformProfile(newRandom(), NodeLocation{Node: "node-1", Zone: "a", Topology: twoRegions})
 		allowed := rapid.SampledFrom([]locality.Regions{locality.Only("south"), locality.Only("north"), locality.Only("elsewhere")}).Draw(t, "allowed")
 		request := &Request{Pool: "app", Zone: "a", Regions: allowed, Now: now}
 		inRegion := 0
 		for _, endpoint := range table.Pool("app") {
-			if allowed.Allow(twoRegions.Region(endpoint.Zone)) {
+			if allowed.Allows(twoRegions.Region(endpoint.Zone)) {
 				inRegion++
 			}
 			for range rapid.IntRange(0, failuresToEject).Draw(t, "failures") {
-				endpoint.Started()
-				endpoint.Failed(now)
+				endpoint.AttemptStarted()
+				endpoint.AttemptFailed(now)
 			}
 		}
 		for range inRegion {
 			picked := profile.Pick(table, request)
 			require.NotNil(t, picked, "an endpoint in an allowed region is available")
-			require.True(t, allowed.Allow(twoRegions.Region(picked.Zone)))
+			require.True(t, allowed.Allows(twoRegions.Region(picked.Zone)))
 			request.Excluded = append(request.Excluded, picked.ID)
 		}
 		require.Nil(t, profile.Pick(table, request), "all endpoints in the allowed regions are excluded")
@@ -51,10 +51,10 @@
 	table.Update([]Machine{
 		{ID: "near", Pool: "p", Zone: "b", Capacity: 6}, {ID: "far", Pool: "p", Zone: "c", Capacity: 6},
 	})
-	profile := NewHostedProfile(newRandom(), Place{Node: "node-1", Zone: "a", Topology: twoRegions})
+	profile := NewPlatformProfile(newRandom(), NodeLocation{Node: "node-1", Zone: "a", Topology: twoRegions})
 	for _, wanted := range []string{"near", "near", "far"} {
 		picked := profile.Pick(table, &Request{Pool: "p", Zone: "a", Now: now})
 		require.Equal(t, wanted, picked.ID)
-		picked.Started()
+		picked.AttemptStarted()
 	}
 }
--- a/internal/routing/benchmark_test.go
+++ b/internal/routing/benchmark_test.go
@@ -17,7 +17,7 @@
 			}
 			for b.Loop() {
 				pool.orderByZone = nil
-				pool.preferenceOrder(Place{Node: "n", Zone: "z1"}, "z1")
+				pool.preferenceOrder(NodeLocation{Node: "n", Zone: "z1"}, "z1")
 			}
 		})
 	}
--- a/internal/routing/cold_test.go
+++ b/internal/routing/cold_test.go
@@ -27,7 +27,7 @@
 		requests := rapid.IntRange(0, 12).Draw(t, "requests")
 		sum := 0
 		for _, node := range nodes {
-			sum += ColdShare(requests, nodes, node, "s")
+			sum += ColdBudgetShare(requests, nodes, node, "s")
 		}
 		require.Equal(t, requests, sum)
 	})
@@ -43,14 +43,14 @@
 		if i >= 5 {
 			view = secondView
 		}
-		sum += ColdShare(7, view, node, "s")
+		sum += ColdBudgetShare(7, view, node, "s")
 	}
 	require.LessOrEqual(t, sum, 2*7)
 }
 
 func TestUnlistedNodeHasNoColdShare(t *testing.T) {
-	require.Zero(t, ColdShare(7, nodeNames(3), "another", "s"))
-	require.Zero(t, ColdShare(7, nil, "another", "s"))
+	require.Zero(t, ColdBudgetShare(7, nodeNames(3), "another", "s"))
+	require.Zero(t, ColdBudgetShare(7, nil, "another", "s"))
 }
 
 var coldNow = time.Unix(1_000_000, 0)
@@ -63,25 +63,25 @@
 	for _, id := range ids {
 		machine := Machine{ID: id, Pool: "p", Address: id}
 		if cold[id] {
-			machine.ColdFor = 3 * time.Second
-			machine.Limits = warmup.Limits{ColdFor: 3 * time.Second, Cold: share, Warm: math.MaxInt}
+			machine.ColdRemaining = 3 * time.Second
+			machine.Limits = warmup.Limits{ColdDuration: 3 * time.Second, ColdPerSecond: share, WarmPerSecond: math.MaxInt}
 		}
 		machines = append(machines, machine)
 	}
 	table.Update(machines)
-	table.NoteCold(machines, coldNow)
+	table.UpdateColdState(machines, coldNow)
 	return table
 }
 
 // pickCold picks an endpoint and charges the request to its cold budget, as fleet.Fleet does. It
 // returns the endpoint's id, or an empty string if none was picked.
 func pickCold(table *Table) string {
-	profile := NewHostedProfile(rand.New(rand.NewPCG(1, 2)), Place{Node: "node"})
+	profile := NewPlatformProfile(rand.New(rand.NewPCG(1, 2)), NodeLocation{Node: "node"})
 	endpoint := profile.Pick(table, &Request{Pool: "p", Now: coldNow})
 	if endpoint == nil {
 		return ""
 	}
-	endpoint.Warmup.Sent(coldNow)
+	endpoint.Warmup.RecordSent(coldNow)
 	return endpoint.ID
 }
 
@@ -99,7 +99,7 @@
 		picked[pickCold(table)]++
 	}
 	require.Equal(t, map[string]int{"a": 2, "b": 2, "": 6}, picked)
-	at, cold := table.RoomAgain(&Request{Pool: "p", Now: coldNow}, AllowedRegion{})
+	at, cold := table.NextColdBudget(&Request{Pool: "p", Now: coldNow}, AllowedRegion{})
 	require.True(t, cold)
 	require.Equal(t, coldNow.Add(time.Second), at)
 }
@@ -107,13 +107,13 @@
 func TestNodeWithoutColdShareWaitsUntilEndpointIsWarm(t *testing.T) {
 	table := newColdTable(0, map[string]bool{"a": true}, "a")
 	require.Empty(t, pickCold(table))
-	at, cold := table.RoomAgain(&Request{Pool: "p", Now: coldNow}, AllowedRegion{})
+	at, cold := table.NextColdBudget(&Request{Pool: "p", Now: coldNow}, AllowedRegion{})
 	require.True(t, cold)
 	require.Equal(t, coldNow.Add(3*time.Second), at)
 }
 
 func TestRoomAgainReportsNoColdEndpointInWarmPool(t *testing.T) {
-	_, cold := newColdTable(0, nil, "a").RoomAgain(&Request{Pool: "p", Now: coldNow, Excluded: []string{"a"}}, AllowedRegion{})
+	_, cold := newColdTable(0, nil, "a").NextColdBudget(&Request{Pool: "p", Now: coldNow, Excluded: []string{"a"}}, AllowedRegion{})
 	require.False(t, cold)
 }
 
@@ -124,7 +124,7 @@
 	table.Evacuate(evacuatedZones(), later)
 	warm := []Machine{{ID: "a", Pool: "p", Address: "a"}}
 	table.Update(warm)
-	table.NoteCold(warm, later)
+	table.UpdateColdState(warm, later)
 	require.True(t, table.Get("a").Warmup.Cold(later), "the machine list lags and may not show yet that the endpoint is cold")
-	require.Equal(t, 2, table.Get("a").Warmup.Room(later))
+	require.Equal(t, 2, table.Get("a").Warmup.Available(later))
 }
--- a/internal/routing/endpoint.go
+++ b/internal/routing/endpoint.go
@@ -9,12 +9,12 @@
 // Endpoint is an engine or a back end, as seen by this node.
 type Endpoint struct {
 	ID string
-	// Born is the start time of the endpoint's current incarnation in Unix milliseconds, 0 if
+	// StartedAtMs is the start time of the endpoint's current incarnation in Unix milliseconds, 0 if
 	// it reports none.
-	Born    int64
-	Address string
-	Zone    string
-	Pool    string
+	StartedAtMs int64
+	Address     string
+	Zone        string
+	Pool        string
 	// Leaving is set once any source reports that the endpoint accepts no new work. It is
 	// never cleared.
 	Leaving bool
@@ -83,15 +83,15 @@
 // Ejected reports whether the endpoint is currently avoided after consecutive failures.
 func (e *Endpoint) Ejected(now time.Time) bool { return now.Before(e.ejectedUntil) }
 
-// Started records that an attempt was assigned to the endpoint.
-func (e *Endpoint) Started() {
+// AttemptStarted records that an attempt was assigned to the endpoint.
+func (e *Endpoint) AttemptStarted() {
 	e.InFlight++
 	e.SentSinceReport++
 }
 
-// Succeeded records an attempt that was answered completely, and its latency. It resets the
+// AttemptSucceeded records an attempt that was answered completely, and its latency. It resets the
 // failure and ejection counts.
-func (e *Endpoint) Succeeded(latency time.Duration) {
+func (e *Endpoint) AttemptSucceeded(latency time.Duration) {
 	e.InFlight--
 	e.consecutiveFailures = 0
 	e.ejections = 0
@@ -102,12 +102,12 @@
 	e.Latency += (latency - e.Latency) / latencySmoothingDivisor
 }
 
-// Released records an attempt whose end says nothing about the endpoint's health, such as
+// AttemptReleased records an attempt whose end says nothing about the endpoint's health, such as
 // one that the caller cancelled.
-func (e *Endpoint) Released() { e.InFlight-- }
+func (e *Endpoint) AttemptReleased() { e.InFlight-- }
 
-// Failed records a failed attempt and reports whether it caused the endpoint's ejection.
-func (e *Endpoint) Failed(now time.Time) bool {
+// AttemptFailed records a failed attempt and reports whether it caused the endpoint's ejection.
+func (e *Endpoint) AttemptFailed(now time.Time) bool {
 	e.InFlight--
 	e.consecutiveFailures++
 	if e.consecutiveFailures < failuresToEject {
@@ -119,8 +119,8 @@
 	return true
 }
 
-// NoteVersion records the weight version that the endpoint was observed to generate with.
-func (e *Endpoint) NoteVersion(model string, version uint64, at time.Time) {
+// RecordVersion records the weight version that the endpoint was observed to generate with.
+func (e *Endpoint) RecordVersion(model string, version uint64, at time.Time) {
 	if e.observedVersions == nil {
 		e.observedVersions = make(map[string]observedVersion)
 	}
@@ -139,8 +139,8 @@
 	return !recent
 }
 
-// Reported records a load report and the time at which it was made.
-func (e *Endpoint) Reported(report LoadReport, at time.Time) {
+// ApplyReport records a load report and the time at which it was made.
+func (e *Endpoint) ApplyReport(report LoadReport, at time.Time) {
 	e.Report = report
 	e.ReportedAt = at
 	e.SentSinceReport = 0
--- a/internal/routing/profile.go
+++ b/internal/routing/profile.go
@@ -110,8 +110,8 @@
 // about the round-trip time to the other region.
 const hostedSameRegionWeight = 0.6
 
-// Place is the location of a routing node together with the topology it knows.
-type Place struct {
+// NodeLocation is the location of a routing node together with the topology it knows.
+type NodeLocation struct {
 	// Node is the name of the node.
 	Node string
 	// Zone is the zone of the node.
@@ -120,11 +120,11 @@
 	Topology locality.Topology
 }
 
-// NewHostedProfile returns the pipeline for nodes that receive no load reports. It picks the
+// NewPlatformProfile returns the pipeline for nodes that receive no load reports. It picks the
 // endpoint in the allowed regions with the fewest requests of this node. Between equally
 // loaded endpoints it prefers the own zone, then the own region, then the node's preference
 // order. That keeps traffic within the zone and the number of connections small.
-func NewHostedProfile(random *rand.Rand, place Place) *Profile {
+func NewPlatformProfile(random *rand.Rand, place NodeLocation) *Profile {
 	region := place.Topology.Region(place.Zone)
 	return NewProfile(random, RendezvousSubset{Place: place},
 		[]Filter{AllowedRegion{place.Topology}, NotLeaving{}, NotEvacuated{}, NotExcluded{}, WithinBudget{}, NotCold{}, NotEjected{}},
--- a/internal/routing/rendezvous_subset.go
+++ b/internal/routing/rendezvous_subset.go
@@ -17,7 +17,7 @@
 // in flight: it ends once it holds maxIdleEndpoints usable endpoints without one.
 type RendezvousSubset struct {
 	// Place is the location of the routing node.
-	Place Place
+	Place NodeLocation
 }
 
 // maxIdleEndpoints is the number of usable endpoints without a request of this node that a
@@ -46,7 +46,7 @@
 // preferenceOrder returns all endpoints of the pool in the node's preference order for requests
 // from a zone. Orders are cached for the lifetime of the pool, which has a single node as
 // its user, and that node only passes its own zone or none.
-func (p *endpointPool) preferenceOrder(place Place, zone string) []*Endpoint {
+func (p *endpointPool) preferenceOrder(place NodeLocation, zone string) []*Endpoint {
 	if ordered, ok := p.orderByZone[zone]; ok {
 		return ordered
 	}
@@ -84,7 +84,7 @@
 
 // distance returns 0 for an endpoint in the given zone, 1 for one in the node's region and 2
 // for any other.
-func (p Place) distance(zone string, endpoint *Endpoint) int {
+func (p NodeLocation) distance(zone string, endpoint *Endpoint) int {
 	switch {
 	case endpoint.Zone == zone:
 		return 0
--- a/internal/routing/rendezvous_subset_test.go
+++ b/internal/routing/rendezvous_subset_test.go
@@ -27,13 +27,13 @@
 // connections the endpoints closed before they were reused.
 func TestLightlyLoadedNodeReusesOneEndpoint(t *testing.T) {
 	table := newZonedTable(12)
-	profile := NewHostedProfile(newRandom(), Place{Node: "node-1", Zone: "b"})
+	profile := NewPlatformProfile(newRandom(), NodeLocation{Node: "node-1", Zone: "b"})
 	used := make(map[string]int)
 	for range 100 {
 		picked := profile.Pick(table, &Request{Pool: "app", Zone: "b", Now: now})
 		require.Equal(t, "b", picked.Zone)
-		picked.Started()
-		picked.Succeeded(time.Millisecond)
+		picked.AttemptStarted()
+		picked.AttemptSucceeded(time.Millisecond)
 		used[picked.ID]++
 	}
 	require.Len(t, used, 1)
@@ -44,7 +44,7 @@
 	used := make(map[string]int)
 	const nodes = 200
 	for i := range nodes {
-		profile := NewHostedProfile(newRandom(), Place{Node: fmt.Sprintf("node-%d", i), Zone: "b"})
+		profile := NewPlatformProfile(newRandom(), NodeLocation{Node: fmt.Sprintf("node-%d", i), Zone: "b"})
 		// The table caches the preference order of a single node.
 		table.rebuild()
 		used[profile.Pick(table, &Request{Pool: "app", Zone: "b", Now: now}).ID]++
@@ -57,11 +57,11 @@
 
 func TestSubsetGrowsWithRequestsInFlight(t *testing.T) {
 	table := newZonedTable(12)
-	profile := NewHostedProfile(newRandom(), Place{Node: "node-1", Zone: "b"})
+	profile := NewPlatformProfile(newRandom(), NodeLocation{Node: "node-1", Zone: "b"})
 	inFlight := make(map[string]int)
 	for range 36 {
 		picked := profile.Pick(table, &Request{Pool: "app", Now: now})
-		picked.Started()
+		picked.AttemptStarted()
 		inFlight[picked.ID]++
 	}
 	require.Len(t, inFlight, 12)
@@ -72,7 +72,7 @@
 
 func TestPickFallsBackWhenPreferredEndpointsAreUnavailable(t *testing.T) {
 	table := newZonedTable(12)
-	profile := NewHostedProfile(newRandom(), Place{Node: "node-1", Zone: "b"})
+	profile := NewPlatformProfile(newRandom(), NodeLocation{Node: "node-1", Zone: "b"})
 	request := &Request{Pool: "app", Zone: "b", Now: now}
 	first := profile.Pick(table, request)
 	table.MarkLeaving(first.ID)
@@ -80,8 +80,8 @@
 	require.NotEqual(t, first.ID, second.ID)
 	require.Equal(t, "b", second.Zone)
 	for range failuresToEject {
-		second.Started()
-		second.Failed(now)
+		second.AttemptStarted()
+		second.AttemptFailed(now)
 	}
 	third := profile.Pick(table, request)
 	require.NotContains(t, []string{first.ID, second.ID}, third.ID)
@@ -97,12 +97,12 @@
 func TestCompletedRequestsAreNoLoadWithoutAReport(t *testing.T) {
 	endpoint := &Endpoint{}
 	for range 5 {
-		endpoint.Started()
-		endpoint.Succeeded(time.Millisecond)
+		endpoint.AttemptStarted()
+		endpoint.AttemptSucceeded(time.Millisecond)
 	}
 	require.Zero(t, endpoint.Load())
-	endpoint.Reported(LoadReport{Running: 2}, now)
-	endpoint.Started()
-	endpoint.Succeeded(time.Millisecond)
+	endpoint.ApplyReport(LoadReport{Running: 2}, now)
+	endpoint.AttemptStarted()
+	endpoint.AttemptSucceeded(time.Millisecond)
 	require.Equal(t, 3, endpoint.Load(), "the report does not include the request sent after it")
 }
--- a/internal/routing/restart_test.go
+++ b/internal/routing/restart_test.go
@@ -11,18 +11,18 @@
 // leaving state nor the failures of its previous incarnation.
 func TestRestartedEndpointDiscardsPreviousState(t *testing.T) {
 	table := NewTable()
-	machine := Machine{ID: "s", Pool: "p", Address: "a:1", Born: 10}
+	machine := Machine{ID: "s", Pool: "p", Address: "a:1", StartedAtMs: 10}
 	table.Update([]Machine{machine})
 	previous := table.Get("s")
 	for range failuresToEject {
-		previous.Started()
-		previous.Failed(time.Unix(100, 0))
+		previous.AttemptStarted()
+		previous.AttemptFailed(time.Unix(100, 0))
 	}
 	require.True(t, previous.Ejected(time.Unix(100, 0)))
 	require.True(t, table.MarkLeaving("s"))
 	require.Empty(t, table.Update([]Machine{machine}).Restarted, "leaving is permanent within an incarnation")
 	require.True(t, table.Get("s").Leaving)
-	machine.Born = 20
+	machine.StartedAtMs = 20
 	changes := table.Update([]Machine{machine})
 	require.Equal(t, []*Endpoint{previous}, changes.Restarted)
 	restarted := table.Get("s")
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -54,8 +54,8 @@
 	eject := func(id string) {
 		endpoint := table.Get(id)
 		for range failuresToEject {
-			endpoint.Started()
-			endpoint.Failed(now)
+			endpoint.AttemptStarted()
+			endpoint.AttemptFailed(now)
 		}
 		require.True(t, endpoint.Ejected(now))
 	}
@@ -72,7 +72,7 @@
 	table := newTestTable(3)
 	for i, version := range []uint64{4, 5, 6} {
 		report := LoadReport{Versions: map[string]uint64{"m": version}}
-		table.Get(fmt.Sprintf("engine-%03d", i)).Reported(report, now)
+		table.Get(fmt.Sprintf("engine-%03d", i)).ApplyReport(report, now)
 	}
 	profile := NewGenerationProfile(newRandom())
 	for range 50 {
@@ -83,7 +83,7 @@
 	later := now.Add(versionObservationTTL)
 	require.NotNil(t, profile.Pick(table, &Request{Pool: "samplers", Model: "m", MinVersion: 7, Now: later}), "an old report does not rule an engine out")
 	for _, endpoint := range table.Pool("samplers") {
-		endpoint.NoteVersion("m", 6, later)
+		endpoint.RecordVersion("m", 6, later)
 	}
 	require.Nil(t, profile.Pick(table, &Request{Pool: "samplers", Model: "m", MinVersion: 7, Now: later}))
 }
@@ -92,7 +92,7 @@
 	table := newTestTable(8)
 	profile := NewApplicationProfile(newRandom())
 	for range 800 {
-		profile.Pick(table, &Request{Pool: "samplers", Zone: "none", Now: now}).Started()
+		profile.Pick(table, &Request{Pool: "samplers", Zone: "none", Now: now}).AttemptStarted()
 	}
 	for _, endpoint := range table.Pool("samplers") {
 		require.InDelta(t, 100, endpoint.InFlight, 20)
@@ -147,30 +147,30 @@
 
 // The own zone must only decide between equally loaded endpoints. With a higher weight the
 // endpoints of one zone got 2.5 times their share in a burst.
-func TestHostedProfilePrefersOwnZoneOnlyAtEqualLoad(t *testing.T) {
+func TestPlatformProfilePrefersOwnZoneOnlyAtEqualLoad(t *testing.T) {
 	table := NewTable()
 	table.Update([]Machine{
 		{ID: "near", Pool: "p", Zone: "a", Capacity: 6}, {ID: "far", Pool: "p", Zone: "b", Capacity: 6},
 	})
-	profile := NewHostedProfile(newRandom(), Place{Node: "node-1", Zone: "a"})
+	profile := NewPlatformProfile(newRandom(), NodeLocation{Node: "node-1", Zone: "a"})
 	request := &Request{Pool: "p", Zone: "a"}
 	for range 20 {
 		require.Equal(t, "near", profile.Pick(table, request).ID)
 	}
-	table.Get("near").Started()
+	table.Get("near").AttemptStarted()
 	for range 20 {
 		require.Equal(t, "far", profile.Pick(table, request).ID)
 	}
 }
 
 func evacuatedZones(zones ...string) evacuation.Zones {
-	next, _ := evacuation.Zones{}.Take(evacuation.SourceOperator, zones, now)
+	next, _ := evacuation.Zones{}.ReplaceSource(evacuation.SourceOperator, zones, now)
 	return next
 }
 
 func TestEvacuatedEndpointIsNotPickedUntilItsZoneIsRestored(t *testing.T) {
 	for _, profile := range []*Profile{
-		NewApplicationProfile(newRandom()), NewHostedProfile(newRandom(), Place{Node: "n"}), NewGenerationProfile(newRandom()),
+		NewApplicationProfile(newRandom()), NewPlatformProfile(newRandom(), NodeLocation{Node: "n"}), NewGenerationProfile(newRandom()),
 	} {
 		table := NewTable()
 		table.Evacuate(evacuatedZones("a"), now)
@@ -180,8 +180,8 @@
 			require.Equal(t, "b1", profile.Pick(table, request).ID, "endpoints that are added after the evacuation are evacuated too")
 		}
 		for range failuresToEject {
-			table.Get("b1").Started()
-			table.Get("b1").Failed(now)
+			table.Get("b1").AttemptStarted()
+			table.Get("b1").AttemptFailed(now)
 		}
 		require.Equal(t, "b1", profile.Pick(table, request).ID, "an ejected endpoint is preferred to an evacuated one")
 		table.Evacuate(evacuatedZones("b"), now)
@@ -191,12 +191,12 @@
 
 func TestPoolIsEvacuatedOnceNoOtherEndpointAcceptsWork(t *testing.T) {
 	table := NewTable()
-	require.False(t, table.Evacuated("p"), "the pool is empty")
+	require.False(t, table.PoolEvacuated("p"), "the pool is empty")
 	table.Update([]Machine{{ID: "a1", Pool: "p", Address: "a1", Zone: "a"}, {ID: "b1", Pool: "p", Address: "b1", Zone: "b"}})
 	table.Evacuate(evacuatedZones("a"), now)
-	require.False(t, table.Evacuated("p"))
+	require.False(t, table.PoolEvacuated("p"))
 	table.MarkLeaving("b1")
-	require.True(t, table.Evacuated("p"))
+	require.True(t, table.PoolEvacuated("p"))
 	table.MarkLeaving("a1")
-	require.False(t, table.Evacuated("p"), "no endpoint would accept work without the evacuation either")
+	require.False(t, table.PoolEvacuated("p"), "no endpoint would accept work without the evacuation either")
 }
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -21,10 +21,10 @@
 	Leaving bool
 	// Capacity is the number of concurrent requests that it accepts; 0 if unknown.
 	Capacity int
-	// Born is the start time of its incarnation in Unix milliseconds, 0 if it reports none.
-	Born int64
-	// ColdFor is how much longer the machine expects to be cold.
-	ColdFor time.Duration
+	// StartedAtMs is the start time of its incarnation in Unix milliseconds, 0 if it reports none.
+	StartedAtMs int64
+	// ColdRemaining is how much longer the machine expects to be cold.
+	ColdRemaining time.Duration
 	// Limits bound the requests that this node may send while the machine is cold.
 	Limits warmup.Limits
 }
@@ -71,7 +71,7 @@
 // Changes lists the endpoints that an update added, marked as leaving or removed. Restarted
 // holds the previous state of those that restarted.
 type Changes struct {
-	Added, Leaving, Gone, Restarted []*Endpoint
+	Added, Leaving, Removed, Restarted []*Endpoint
 }
 
 // Update applies the machine list. Endpoints keep their dynamic state unless they restarted
@@ -83,15 +83,15 @@
 	for _, machine := range machines {
 		listed[machine.ID] = struct{}{}
 		endpoint, ok := t.byID[machine.ID]
-		if ok && endpoint.Born != machine.Born {
+		if ok && endpoint.StartedAtMs != machine.StartedAtMs {
 			// The endpoint restarted; the leaving state belongs to its previous incarnation.
 			delete(t.leaving, machine.ID)
 			changes.Restarted = append(changes.Restarted, endpoint)
 		}
-		if !ok || endpoint.Born != machine.Born || endpoint.Address != machine.Address || endpoint.Pool != machine.Pool {
-			endpoint = &Endpoint{ID: machine.ID, Born: machine.Born, Address: machine.Address, Zone: machine.Zone, Pool: machine.Pool}
+		if !ok || endpoint.StartedAtMs != machine.StartedAtMs || endpoint.Address != machine.Address || endpoint.Pool != machine.Pool {
+			endpoint = &Endpoint{ID: machine.ID, StartedAtMs: machine.StartedAtMs, Address: machine.Address, Zone: machine.Zone, Pool: machine.Pool}
 			endpoint.Report.Capacity = machine.Capacity
-			endpoint.Evacuated = t.evacuated.Has(machine.Zone)
+			endpoint.Evacuated = t.evacuated.Contains(machine.Zone)
 			_, endpoint.Leaving = t.leaving[machine.ID]
 			t.byID[machine.ID] = endpoint
 			changes.Added = append(changes.Added, endpoint)
@@ -104,38 +104,38 @@
 	for id, endpoint := range t.byID {
 		if _, ok := listed[id]; !ok {
 			endpoint.Leaving = true
-			changes.Gone = append(changes.Gone, endpoint)
+			changes.Removed = append(changes.Removed, endpoint)
 			delete(t.byID, id)
 			delete(t.leaving, id)
 		}
 	}
-	slices.SortFunc(changes.Gone, func(a, b *Endpoint) int { return cmp.Compare(a.ID, b.ID) })
-	if len(changes.Added)+len(changes.Gone) > 0 {
+	slices.SortFunc(changes.Removed, func(a, b *Endpoint) int { return cmp.Compare(a.ID, b.ID) })
+	if len(changes.Added)+len(changes.Removed) > 0 {
 		t.rebuild()
 	}
 	return changes
 }
 
-// NoteCold applies the cold state in the machine list. An entry without limits leaves those
+// UpdateColdState applies the cold state in the machine list. An entry without limits leaves those
 // of an earlier list in force until the endpoint is warm. All machines must be in the table.
-func (t *Table) NoteCold(machines []Machine, now time.Time) {
+func (t *Table) UpdateColdState(machines []Machine, now time.Time) {
 	for _, machine := range machines {
 		endpoint := t.byID[machine.ID]
 		if machine.Limits != (warmup.Limits{}) {
 			endpoint.Warmup.SetLimits(machine.Limits)
 		}
-		endpoint.Warmup.Told(machine.ColdFor, now)
+		endpoint.Warmup.UpdateColdRemaining(machine.ColdRemaining, now)
 	}
 }
 
-// RoomAgain returns the earliest time at which a cold endpoint that allowed keeps has budget
+// NextColdBudget returns the earliest time at which a cold endpoint that allowed keeps has budget
 // for the request again. cold is false if no endpoint is unavailable for lack of budget.
-func (t *Table) RoomAgain(request *Request, allowed Filter) (at time.Time, cold bool) {
+func (t *Table) NextColdBudget(request *Request, allowed Filter) (at time.Time, cold bool) {
 	for _, endpoint := range t.Pool(request.Pool) {
-		if endpoint.Leaving || endpoint.Evacuated || !allowed.Keep(request, endpoint) || slices.Contains(request.Excluded, endpoint.ID) || endpoint.Warmup.Room(request.Now) > 0 {
+		if endpoint.Leaving || endpoint.Evacuated || !allowed.Keep(request, endpoint) || slices.Contains(request.Excluded, endpoint.ID) || endpoint.Warmup.Available(request.Now) > 0 {
 			continue
 		}
-		if next := endpoint.Warmup.Next(request.Now); !cold || next.Before(at) {
+		if next := endpoint.Warmup.NextAvailable(request.Now); !cold || next.Before(at) {
 			at, cold = next, true
 		}
 	}
@@ -161,16 +161,16 @@
 	t.evacuated = zones
 	for _, endpoint := range t.byID {
 		wasEvacuated := endpoint.Evacuated
-		if endpoint.Evacuated = zones.Has(endpoint.Zone); wasEvacuated && !endpoint.Evacuated {
+		if endpoint.Evacuated = zones.Contains(endpoint.Zone); wasEvacuated && !endpoint.Evacuated {
 			// The endpoint may have become cold without the machine list showing it yet.
-			endpoint.Warmup.Doubt(now)
+			endpoint.Warmup.AssumeColdStart(now)
 		}
 	}
 }
 
-// Evacuated reports whether a pool has no endpoints for new work only because zones are
+// PoolEvacuated reports whether a pool has no endpoints for new work only because zones are
 // evacuated.
-func (t *Table) Evacuated(pool string) bool {
+func (t *Table) PoolEvacuated(pool string) bool {
 	evacuated := false
 	for _, endpoint := range t.Pool(pool) {
 		switch {
--- a/internal/routing/within_budget.go
+++ b/internal/routing/within_budget.go
@@ -7,5 +7,5 @@
 
 // Keep implements Filter.
 func (WithinBudget) Keep(request *Request, endpoint *Endpoint) bool {
-	return endpoint.Warmup.Room(request.Now) > 0
+	return endpoint.Warmup.Available(request.Now) > 0
 }
--- a/internal/scaling/plan.go
+++ b/internal/scaling/plan.go
@@ -30,8 +30,8 @@
 	// SpotPrice is the price of a spot sampler as a fraction of that of an ordinary one, 0
 	// if there are no spot samplers.
 	SpotPrice float64
-	// Boot is the time from the order of a sampler until it serves.
-	Boot time.Duration
+	// BootTime is the time from the order of a sampler until it serves.
+	BootTime time.Duration
 }
 
 // Order is a request to the platform to run Desired spot samplers in a zone. It replaces
@@ -55,7 +55,7 @@
 	// refusedZoneDelay is how long a zone gets no order after the platform refused one,
 	// which means that the zone has no spot samplers available.
 	refusedZoneDelay = 3 * time.Second
-	// missingTimeout is how long after Service.Boot an ordered sampler may be absent from
+	// missingTimeout is how long after Service.BootTime an ordered sampler may be absent from
 	// the list before the order is repeated.
 	missingTimeout = 3 * time.Second
 )
@@ -197,7 +197,7 @@
 		return true
 	}
 	missing := spotCount(service.Zones, order.Zone) < order.Desired
-	return missing && now.Sub(state.acceptedAt) > service.Boot+missingTimeout
+	return missing && now.Sub(state.acceptedAt) > service.BootTime+missingTimeout
 }
 
 // spotCount returns the number of spot samplers in the named zone, 0 if it is not listed.
@@ -210,8 +210,8 @@
 	return 0
 }
 
-// Taken records that the platform accepted an order.
-func (p *Planner) Taken(order Order, now time.Time) {
+// Accepted records that the platform accepted an order.
+func (p *Planner) Accepted(order Order, now time.Time) {
 	p.zones[order.Zone] = &zoneState{accepted: order.Desired, hasAccepted: true, acceptedAt: now}
 }
 
--- a/internal/scaling/plan_test.go
+++ b/internal/scaling/plan_test.go
@@ -16,7 +16,7 @@
 			{Name: "a", Ordinary: ordinary, Spot: spot, Price: 1.2}, {Name: "b", Ordinary: ordinary, Spot: spot, Price: 0.8},
 			{Name: "c", Ordinary: ordinary, Spot: spot, Price: 1},
 		},
-		Max: 24, Slots: 6, SpotPrice: 0.2, Boot: 4 * time.Second,
+		Max: 24, Slots: 6, SpotPrice: 0.2, BootTime: 4 * time.Second,
 	}
 }
 
@@ -30,7 +30,7 @@
 
 func acceptAll(p *Planner, orders []Order, now time.Time) {
 	for _, order := range orders {
-		p.Taken(order, now)
+		p.Accepted(order, now)
 	}
 }
 
@@ -80,7 +80,7 @@
 		if order.Zone == "a" {
 			p.Refused(order, startTime)
 		} else {
-			p.Taken(order, startTime)
+			p.Accepted(order, startTime)
 		}
 	}
 	later := startTime.Add(refusedZoneDelay / 2)
@@ -93,15 +93,15 @@
 	p := NewPlanner(startTime)
 	service := fleetOf(12, 0)
 	acceptAll(p, p.Plan(startTime, service, 300), startTime)
-	require.Empty(t, p.Plan(startTime.Add(service.Boot+missingTimeout), service, 300), "the samplers may still boot")
-	require.Len(t, p.Plan(startTime.Add(service.Boot+missingTimeout+1), service, 300), 3)
+	require.Empty(t, p.Plan(startTime.Add(service.BootTime+missingTimeout), service, 300), "the samplers may still boot")
+	require.Len(t, p.Plan(startTime.Add(service.BootTime+missingTimeout+1), service, 300), 3)
 }
 
 func TestOrdersRespectTheLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		service := Service{
 			Max: rapid.IntRange(1, 30).Draw(t, "max"), Slots: rapid.IntRange(1, 8).Draw(t, "slots"),
-			SpotPrice: rapid.Float64Range(0, 0.6).Draw(t, "price"), Boot: time.Second,
+			SpotPrice: rapid.Float64Range(0, 0.6).Draw(t, "price"), BootTime: time.Second,
 		}
 		ordinary := make(map[string]int)
 		for _, name := range []string{"a", "b", "c", "d"}[:rapid.IntRange(1, 4).Draw(t, "zones")] {
@@ -117,7 +117,7 @@
 				require.GreaterOrEqual(t, order.Desired, 0)
 				require.LessOrEqual(t, order.Desired, max(service.Max-ordinary[order.Zone], 0))
 				if rapid.Bool().Draw(t, "taken") {
-					p.Taken(order, now)
+					p.Accepted(order, now)
 				} else {
 					p.Refused(order, now)
 				}
--- a/internal/schedule/cold_test.go
+++ b/internal/schedule/cold_test.go
@@ -15,11 +15,11 @@
 	warmLimit = 12
 )
 
-var testLimits = map[string]warmup.Limits{"llm": {ColdFor: 3 * time.Second, Cold: coldLimit, Warm: warmLimit}}
+var testLimits = map[string]warmup.Limits{"llm": {ColdDuration: 3 * time.Second, ColdPerSecond: coldLimit, WarmPerSecond: warmLimit}}
 
 func coldSampler(id string, coldFor time.Duration) Sampler {
 	cold := sampler(id, 8, 1)
-	cold.ColdFor = coldFor
+	cold.ColdRemaining = coldFor
 	return cold
 }
 
@@ -28,7 +28,7 @@
 	t.Helper()
 	h := newHarness(t)
 	h.scheduler.SetLimits(testLimits)
-	h.scheduler.Samplers(samplers, h.now)
+	h.scheduler.SetSamplers(samplers, h.now)
 	itemSpecs := make([]string, 60)
 	for i := range itemSpecs {
 		itemSpecs[i] = fmt.Sprintf("g%d:10", i)
@@ -89,7 +89,7 @@
 	h := newColdHarness(t, coldSampler("s", 0))
 	starts := h.starts()
 	require.Len(t, starts, 8)
-	h.scheduler.Samplers([]Sampler{coldSampler("s", 3*time.Second)}, h.now)
+	h.scheduler.SetSamplers([]Sampler{coldSampler("s", 3*time.Second)}, h.now)
 	require.True(t, h.sendEvents(starts[0], 1, 1, 1))
 	h.end(starts, Complete)
 	require.Empty(t, h.starts())
@@ -138,7 +138,7 @@
 
 func TestNewSamplerIsTreatedAsCold(t *testing.T) {
 	h := newColdHarness(t, coldSampler("old", 0))
-	h.scheduler.Samplers([]Sampler{coldSampler("old", 0), coldSampler("new", 0)}, h.now)
+	h.scheduler.SetSamplers([]Sampler{coldSampler("old", 0), coldSampler("new", 0)}, h.now)
 	require.Equal(t, coldLimit, startsAt(h.starts(), "new"))
 }
 
@@ -150,7 +150,7 @@
 		require.True(t, h.scheduler.Progress(start.Key, start.Run, Event{ID: id, Version: 1}, h.now))
 	}
 	entry, cold := h.scheduler.items[start.Key], coldSampler("fit", 3*time.Second)
-	h.scheduler.Samplers([]Sampler{coldSampler("slow", 0), cold}, h.now)
+	h.scheduler.SetSamplers([]Sampler{coldSampler("slow", 0), cold}, h.now)
 	require.False(t, h.scheduler.moveSavesTime(entry, h.scheduler.samplers["fit"], h.scheduler.currentFastPace(h.now), h.now))
 	h.now = h.now.Add(3 * time.Second)
 	require.True(t, h.scheduler.moveSavesTime(entry, h.scheduler.samplers["fit"], h.scheduler.currentFastPace(h.now), h.now))
@@ -159,9 +159,9 @@
 // Samplers of an evacuated zone may have turned cold shortly before the evacuation ends.
 func TestZoneIsTreatedAsColdAfterItsEvacuation(t *testing.T) {
 	h := newColdHarness(t, coldSampler("s", 0))
-	h.scheduler.Evacuate(evacuated(""), h.now)
+	h.scheduler.SetEvacuatedZones(evacuated(""), h.now)
 	require.Empty(t, h.starts())
 	h.now = h.now.Add(time.Minute)
-	h.scheduler.Evacuate(evacuated(), h.now)
+	h.scheduler.SetEvacuatedZones(evacuated(), h.now)
 	require.Len(t, h.starts(), coldLimit)
 }
--- a/internal/schedule/demand.go
+++ b/internal/schedule/demand.go
@@ -37,9 +37,9 @@
 	return peaks
 }
 
-// Demand returns, by model, the recent peak number of unfinished items of open jobs. Models
+// PeakDemand returns, by model, the recent peak number of unfinished items of open jobs. Models
 // without recent jobs are absent.
-func (s *Scheduler) Demand(now time.Time) map[string]int {
+func (s *Scheduler) PeakDemand(now time.Time) map[string]int {
 	wanted := make(map[string]int)
 	for _, open := range s.jobs {
 		for _, entry := range open.items {
@@ -52,9 +52,9 @@
 	return s.demand.peaks()
 }
 
-// Wanted records the number of items that a job of a model had. A new executor uses it to
+// RecordDemand records the number of items that a job of a model had. A new executor uses it to
 // account for jobs that have already ended: otherwise a model of unknown demand would get
 // an even share of the fleet, however little work it has.
-func (s *Scheduler) Wanted(model string, items int, now time.Time) {
+func (s *Scheduler) RecordDemand(model string, items int, now time.Time) {
 	s.demand.record(map[string]int{model: items}, now)
 }
--- a/internal/schedule/incarnation_test.go
+++ b/internal/schedule/incarnation_test.go
@@ -8,7 +8,7 @@
 )
 
 func samplerStartedAt(id string, born int64, version uint64) Sampler {
-	return Sampler{ID: id, Born: born, Service: "llm", Slots: 4, Versions: map[string]uint64{"m": version}}
+	return Sampler{ID: id, StartedAtMs: born, Service: "llm", Slots: 4, Versions: map[string]uint64{"m": version}}
 }
 
 // A restarted sampler has lost its state: weights, load, cached prompts and failures of the
@@ -16,12 +16,12 @@
 func TestRestartedSamplerHasFreshState(t *testing.T) {
 	s := New(func() uint64 { return 1 })
 	now := time.Unix(100, 0)
-	s.Samplers([]Sampler{samplerStartedAt("s", 10, 7)}, now)
+	s.SetSamplers([]Sampler{samplerStartedAt("s", 10, 7)}, now)
 	previous := s.samplers["s"]
 	previous.running, previous.unresponsive, previous.failureRate = 3, true, 0.9
 	previous.promptReadAt["g"] = now
 	s.SetLoading(Incarnation{"s", 10}, "m", true)
-	s.Samplers([]Sampler{samplerStartedAt("s", 20, 2)}, now)
+	s.SetSamplers([]Sampler{samplerStartedAt("s", 20, 2)}, now)
 	next := s.samplers["s"]
 	require.NotSame(t, previous, next)
 	require.True(t, previous.superseded)
@@ -36,13 +36,13 @@
 func TestReportsOfAPreviousIncarnationAreIgnored(t *testing.T) {
 	s := New(func() uint64 { return 1 })
 	now := time.Unix(100, 0)
-	s.Samplers([]Sampler{samplerStartedAt("s", 20, 2)}, now)
+	s.SetSamplers([]Sampler{samplerStartedAt("s", 20, 2)}, now)
 	s.SetVersion(Incarnation{"s", 10}, "m", 9)
 	s.SetLoading(Incarnation{"s", 10}, "m", true)
 	require.EqualValues(t, 2, s.samplers["s"].Versions["m"])
 	require.False(t, s.samplers["s"].isLoading("m"))
-	s.Samplers([]Sampler{samplerStartedAt("s", 10, 9)}, now)
-	require.EqualValues(t, 20, s.samplers["s"].Born, "an entry of a previous incarnation is ignored")
+	s.SetSamplers([]Sampler{samplerStartedAt("s", 10, 9)}, now)
+	require.EqualValues(t, 20, s.samplers["s"].StartedAtMs, "an entry of a previous incarnation is ignored")
 	s.SetVersion(Incarnation{"s", 20}, "m", 3)
 	require.EqualValues(t, 3, s.samplers["s"].Versions["m"])
 }
@@ -55,7 +55,7 @@
 	start := h.starts()[0]
 	require.True(t, h.sendEvents(start, 1, 3, 1))
 	require.Empty(t, h.scheduler.Moves(h.now))
-	h.scheduler.Samplers([]Sampler{samplerStartedAt("s", 20, 1)}, h.now)
+	h.scheduler.SetSamplers([]Sampler{samplerStartedAt("s", 20, 1)}, h.now)
 	moves := h.scheduler.Moves(h.now)
 	require.Len(t, moves, 1)
 	require.Equal(t, "restarted", moves[0].Reason)
@@ -63,6 +63,6 @@
 	again := h.starts()
 	require.Len(t, again, 1)
 	require.EqualValues(t, 3, again[0].AfterEvent)
-	require.EqualValues(t, 20, again[0].Sampler.Born)
+	require.EqualValues(t, 20, again[0].Sampler.StartedAtMs)
 	require.Equal(t, 1, h.scheduler.samplers["s"].running)
 }
--- a/internal/schedule/item.go
+++ b/internal/schedule/item.go
@@ -12,8 +12,8 @@
 type Key struct {
 	Job  string
 	Item string
-	// Ahead is set for a speculative run of the item on behalf of a later job.
-	Ahead bool
+	// Speculative is set for a speculative run of the item on behalf of a later job.
+	Speculative bool
 }
 
 // Policy holds the rules by which the items of a job are scheduled.
@@ -39,7 +39,7 @@
 
 // allows reports whether the sampler's service and region are permitted.
 func (p *Policy) allows(sampler *Sampler) bool {
-	if p.Regions.Bound() && !p.Regions.Allow(p.Topology.Region(sampler.Zone)) {
+	if p.Regions.Restricted() && !p.Regions.Allows(p.Topology.Region(sampler.Zone)) {
 		return false
 	}
 	return slices.Contains(p.Services, sampler.Service)
@@ -121,18 +121,18 @@
 	Runs int
 	// Group is the item's group, GroupOpen the number of its other items whose results are
 	// not in the log yet. Carried is set if an earlier job already submitted the group.
-	Group     string
-	GroupOpen int
-	Carried   bool
+	Group       string
+	GroupOpen   int
+	Resubmitted bool
 	// ExpectedTokens is the caller's estimate of its length.
 	ExpectedTokens uint64
-	// Spent breaks down the time between Started and Completed.
-	Spent Spent
+	// Durations breaks down the time between Started and Completed.
+	Durations Durations
 }
 
-// Spent breaks down the time from an item's first start to its complete text. The time
+// Durations breaks down the time from an item's first start to its complete text. The time
 // that none of the fields covers was spent generating events.
-type Spent struct {
+type Durations struct {
 	// Prompt is the time from the starts of its runs to their first events.
 	Prompt time.Duration
 	// Paused is the time from the last event, or the start, of each run that ended early
@@ -148,7 +148,7 @@
 
 // addGap records the time from one event of a run, or from its start, to the next event.
 // first is set for the first event of the run.
-func (s *Spent) addGap(length time.Duration, first bool) {
+func (s *Durations) addGap(length time.Duration, first bool) {
 	switch {
 	case first:
 		s.Prompt += length
@@ -163,7 +163,7 @@
 	if m.Started.IsZero() {
 		m.Started = now
 	} else {
-		m.Spent.Paused += now.Sub(lastActivity)
+		m.Durations.Paused += now.Sub(lastActivity)
 	}
 	m.Sampler = samplerID
 	m.Runs++
@@ -191,10 +191,10 @@
 	newestVersion uint64
 }
 
-// acceptance returns the versions that may have made the job's texts.
-func (j *job) acceptance() Acceptance {
-	return Acceptance{MinVersion: j.spec.MinVersion, SingleVersion: j.policy.SingleVersion}
+// versionConstraint returns the versions that may have made the job's texts.
+func (j *job) versionConstraint() VersionConstraint {
+	return VersionConstraint{MinVersion: j.spec.MinVersion, SingleVersion: j.policy.SingleVersion}
 }
 
 // accepts reports whether text made by the versions may be part of a result.
-func (j *job) accepts(versions []uint64) bool { return j.acceptance().Fits(versions) }
+func (j *job) accepts(versions []uint64) bool { return j.versionConstraint().Accepts(versions) }
--- a/internal/schedule/large_fleet_test.go
+++ b/internal/schedule/large_fleet_test.go
@@ -26,7 +26,7 @@
 	for i := range samplers / 4 {
 		listed = append(listed, Sampler{ID: fmt.Sprintf("a-%06d", i), Service: "api", Slots: 6})
 	}
-	s.Samplers(listed, now)
+	s.SetSamplers(listed, now)
 	return s, listed, now
 }
 
@@ -43,7 +43,7 @@
 
 type noStoredTexts struct{}
 
-func (noStoredTexts) Partial(string) (Partial, bool)        { return Partial{}, false }
+func (noStoredTexts) Partial(string) (PartialText, bool)    { return PartialText{}, false }
 func (noStoredTexts) Finished(string) (ledger.Result, bool) { return ledger.Result{}, false }
 
 // BenchmarkStarts measures the start of a job's 128 items. With 8,000 samplers it takes 2.1 ms,
@@ -90,10 +90,10 @@
 			for i := range listed {
 				listed[i].Revision = uint64(i + 1)
 			}
-			s.Samplers(listed, now)
+			s.SetSamplers(listed, now)
 			for b.Loop() {
 				listed[0].Revision++
-				s.Samplers(listed, now)
+				s.SetSamplers(listed, now)
 			}
 		})
 	}
--- a/internal/schedule/length_test.go
+++ b/internal/schedule/length_test.go
@@ -45,7 +45,7 @@
 		require.True(t, h.scheduler.Progress(start.Key, start.Run, Event{ID: id, Version: 1, Data: []byte("x")}, h.now))
 	}
 	h.scheduler.fleetPace = initialPace
-	h.scheduler.Samplers([]Sampler{sampler("slow", 1, 1), sampler("fit", 1, 1)}, h.now)
+	h.scheduler.SetSamplers([]Sampler{sampler("slow", 1, 1), sampler("fit", 1, 1)}, h.now)
 	moves := h.scheduler.Moves(h.now)
 	require.Len(t, moves, 1)
 	require.Equal(t, "slow", moves[0].Reason)
--- a/internal/schedule/milestones_test.go
+++ b/internal/schedule/milestones_test.go
@@ -29,8 +29,8 @@
 	require.NotNil(t, h.scheduler.RunEnded(first.Key, again[0].Run, Complete, h.now).Finished)
 	require.True(t, h.scheduler.Scored(first.Key, h.now))
 
-	milestones, _ := h.scheduler.Settled(first.Key)
-	require.Equal(t, Spent{Prompt: 60 * time.Millisecond, Paused: 270 * time.Millisecond, Stalled: minStall}, milestones.Spent)
+	milestones, _ := h.scheduler.RemoveItem(first.Key)
+	require.Equal(t, Durations{Prompt: 60 * time.Millisecond, Paused: 270 * time.Millisecond, Stalled: minStall}, milestones.Durations)
 	require.Equal(t, "g", milestones.Group)
 	require.Equal(t, 1, milestones.GroupOpen, "the other item of its group has no result yet")
 }
--- a/internal/schedule/placement.go
+++ b/internal/schedule/placement.go
@@ -227,7 +227,7 @@
 	if entry.suspect = s.suspect(entry); entry.suspect {
 		chosen.suspects++
 	}
-	chosen.budget.Sent(now)
+	chosen.budget.RecordSent(now)
 	chosen.promptReadAt[entry.spec.Group] = now
 	return started
 }
--- a/internal/schedule/quarantine_test.go
+++ b/internal/schedule/quarantine_test.go
@@ -11,7 +11,7 @@
 // time means that an item is a suspect but not quarantined.
 type fakeQuarantine map[string]time.Time
 
-func (q fakeQuarantine) HeldUntil(item string) time.Time { return q[item] }
+func (q fakeQuarantine) QuarantinedUntil(item string) time.Time { return q[item] }
 
 func (q fakeQuarantine) Suspect(item string) bool {
 	_, known := q[item]
@@ -23,7 +23,7 @@
 func TestQuarantinedItemIsNotStarted(t *testing.T) {
 	h := newHarness(t, sampler("s", 8, 1), sampler("t", 8, 1))
 	quarantined := fakeQuarantine{"k-1": h.now.Add(time.Second)}
-	h.scheduler.SetHolds(quarantined)
+	h.scheduler.SetQuarantine(quarantined)
 	h.addJob(h.newJob("k", 1, "g:1", "g:1", "g:1"), policy(9*time.Second), storedTexts{})
 	require.ElementsMatch(t, []string{"k-0", "k-2"}, itemIDs(h.starts()))
 	// The quarantine also applies to a later job that resubmits the item.
@@ -41,7 +41,7 @@
 // each of the six crashes that one of them caused.
 func TestEachSamplerRunsAtMostOneSuspect(t *testing.T) {
 	h := newHarness(t, sampler("s", 8, 1), sampler("t", 8, 1))
-	h.scheduler.SetHolds(fakeQuarantine{"k-0": {}, "k-1": {}, "k-2": {}})
+	h.scheduler.SetQuarantine(fakeQuarantine{"k-0": {}, "k-1": {}, "k-2": {}})
 	h.addJob(h.newJob("k", 1, "g:1", "g:1", "g:1", "g:1"), policy(9*time.Second), storedTexts{})
 	starts := h.starts()
 	suspects := make(map[string]int)
@@ -61,7 +61,7 @@
 
 func TestSuspectItemIsNotRunSpeculatively(t *testing.T) {
 	h := newResubmittingHarness(t, 4, sampler("old", 8, 1), sampler("new", 8, 3))
-	h.scheduler.SetHolds(fakeQuarantine{"k-0": time.Time{}})
+	h.scheduler.SetQuarantine(fakeQuarantine{"k-0": time.Time{}})
 	startLongItem(h, 10)
 	require.Empty(t, h.starts())
 }
--- a/internal/schedule/remote.go
+++ b/internal/schedule/remote.go
@@ -20,18 +20,18 @@
 	return true
 }
 
-// Seen records the version that made an event of a run, even if the event was rejected.
-func (s *Scheduler) Seen(key Key, run, version uint64) {
+// RecordServedVersion records the version that made an event of a run, even if the event was rejected.
+func (s *Scheduler) RecordServedVersion(key Key, run, version uint64) {
 	entry := s.currentRun(key, run)
 	if entry != nil && version > 0 && version != entry.sampler.Versions[entry.job.spec.Model] {
 		s.setVersion(entry.sampler, entry.job.spec.Model, version)
 	}
 }
 
-// Advanced records the total events of a run and the versions that made them. The events
+// RecordEvents records the total events of a run and the versions that made them. The events
 // since the last report are assumed to be evenly spaced. It reports false if the run is no
 // longer current or an event is rejected.
-func (s *Scheduler) Advanced(key Key, run, events uint64, versions []uint64, now time.Time) bool {
+func (s *Scheduler) RecordEvents(key Key, run, events uint64, versions []uint64, now time.Time) bool {
 	entry := s.currentRun(key, run)
 	if entry == nil {
 		return false
@@ -80,9 +80,9 @@
 	}
 }
 
-// Hold pauses the start of a job's items if held is set, and resumes it otherwise. Current
+// SetPaused pauses the start of a job's items if held is set, and resumes it otherwise. Current
 // runs continue.
-func (s *Scheduler) Hold(jobID string, held bool) {
+func (s *Scheduler) SetPaused(jobID string, held bool) {
 	if open, ok := s.jobs[jobID]; ok {
 		open.paused = held
 	}
--- a/internal/schedule/runs.go
+++ b/internal/schedule/runs.go
@@ -30,7 +30,7 @@
 		return false
 	}
 	first := entry.lastEvent.Equal(entry.startedAt)
-	entry.milestones.Spent.addGap(now.Sub(entry.lastEvent), first)
+	entry.milestones.Durations.addGap(now.Sub(entry.lastEvent), first)
 	entry.sampler.unresponsive = false
 	if first {
 		s.firstGap += time.Duration(fleetPaceWeight * float64(now.Sub(entry.lastEvent)-s.firstGap))
@@ -49,9 +49,9 @@
 // text.
 func (i *item) appendEvent(event Event) bool {
 	if i.job.policy.Remote {
-		return i.advance(event, i.job.acceptance())
+		return i.advance(event, i.job.versionConstraint())
 	}
-	return i.Take(event, i.job.acceptance())
+	return i.Append(event, i.job.versionConstraint())
 }
 
 // observe adds the time between two events to the pace of the sampler and of the fleet.
@@ -74,17 +74,17 @@
 type Finished struct {
 	Key  Key
 	Text []byte
-	// Kept locates the text in the log, in place of Text, if an earlier job already listed
+	// StoredText locates the text in the log, in place of Text, if an earlier job already listed
 	// it.
-	Kept     *pathbendv1.Blob
-	Versions []uint64
-	Reward   *pathbendv1.RewardCall
+	StoredText *pathbendv1.Blob
+	Versions   []uint64
+	Reward     *pathbendv1.RewardCall
 	// Tenant is the tenant that submitted the job.
 	Tenant string
 	// Remote is set if the job's worker holds the text.
 	Remote bool
-	// Acceptance holds the versions that may make the text.
-	Acceptance
+	// VersionConstraint holds the versions that may make the text.
+	VersionConstraint
 	// Score is the result of the same reward call for an earlier job, empty if there is
 	// none.
 	Score string
@@ -98,7 +98,7 @@
 
 // finished describes the item as one whose text is complete.
 func (i *item) finished() Finished {
-	return Finished{Key: i.key, Text: i.text, Versions: i.versions, Reward: i.spec.Reward, Tenant: i.job.spec.Tenant, Remote: i.job.policy.Remote, Acceptance: i.job.acceptance()}
+	return Finished{Key: i.key, Text: i.text, Versions: i.versions, Reward: i.spec.Reward, Tenant: i.job.spec.Tenant, Remote: i.job.policy.Remote, VersionConstraint: i.job.versionConstraint()}
 }
 
 // Ending is the outcome of a run.
@@ -148,7 +148,7 @@
 	if entry == nil {
 		return Verdict{}
 	}
-	if key.Ahead {
+	if key.Speculative {
 		s.endSpeculative(entry, ending)
 		return Verdict{}
 	}
--- a/internal/schedule/sampler.go
+++ b/internal/schedule/sampler.go
@@ -9,12 +9,12 @@
 // Sampler describes a sampler by its entry in service discovery and its load reports.
 type Sampler struct {
 	ID string
-	// Born is the start time of the sampler in Unix milliseconds, 0 if it is not reported.
+	// StartedAtMs is the start time of the sampler in Unix milliseconds, 0 if it is not reported.
 	// It is compared only between entries of the same id.
-	Born    int64
-	Address string
-	Zone    string
-	Service string
+	StartedAtMs int64
+	Address     string
+	Zone        string
+	Service     string
 	// Slots is the number of items that the sampler generates concurrently, 0 if unknown.
 	Slots int
 	// Spot is set for a preemptible sampler; all spot samplers of a zone may be preempted
@@ -22,9 +22,9 @@
 	Spot bool
 	// Leaving is set once the sampler must get no new work.
 	Leaving bool
-	// ColdFor is the remaining warm-up time of the sampler when it wrote its entry, 0 if it
+	// ColdRemaining is the remaining warm-up time of the sampler when it wrote its entry, 0 if it
 	// was warm. The entry is some seconds old.
-	ColdFor time.Duration
+	ColdRemaining time.Duration
 	// Versions maps a model to the weight version that the sampler serves.
 	Versions map[string]uint64
 	// Revision identifies the version of the sampler's entry, 0 if unknown.
@@ -34,12 +34,12 @@
 // Incarnation identifies one process lifetime of a sampler. A sampler that restarts under
 // the same id keeps no state of its previous incarnation.
 type Incarnation struct {
-	ID   string
-	Born int64
+	ID          string
+	StartedAtMs int64
 }
 
 // Incarnation returns the incarnation that s describes.
-func (s *Sampler) Incarnation() Incarnation { return Incarnation{ID: s.ID, Born: s.Born} }
+func (s *Sampler) Incarnation() Incarnation { return Incarnation{ID: s.ID, StartedAtMs: s.StartedAtMs} }
 
 // samplerState is a sampler with the state that the executor keeps about it.
 type samplerState struct {
@@ -134,7 +134,7 @@
 	if s.Leaving || s.evacuated || now.Before(s.notBefore) {
 		return 0
 	}
-	return min(s.freeSlots(fleetPace), s.budget.Room(now))
+	return min(s.freeSlots(fleetPace), s.budget.Available(now))
 }
 
 // freeSlots returns the number of items for which the sampler has slots. Slow, failing and
@@ -212,7 +212,7 @@
 // connectionLost records that a run of the sampler broke off or was silent. The sampler may
 // have restarted, so it is treated as possibly cold.
 func (s *samplerState) connectionLost(now time.Time) {
-	s.budget.Doubt(now)
+	s.budget.AssumeColdStart(now)
 	s.backOff(now)
 }
 
--- a/internal/schedule/samplers.go
+++ b/internal/schedule/samplers.go
@@ -19,10 +19,10 @@
 	}
 }
 
-// Samplers applies the current list of samplers. State of known incarnations is kept; a
+// SetSamplers applies the current list of samplers. State of known incarnations is kept; a
 // sampler that restarted counts as new. A sampler that appears after the first list is
 // treated as possibly cold, regardless of its entry, which is some seconds old.
-func (s *Scheduler) Samplers(listed []Sampler, now time.Time) {
+func (s *Scheduler) SetSamplers(listed []Sampler, now time.Time) {
 	first := len(s.samplers) == 0
 	s.listingCount++
 	anyNew := false
@@ -30,7 +30,7 @@
 		state, isNew := s.applyEntry(&listed[i], now)
 		state.lastListing = s.listingCount
 		if isNew && !first {
-			state.budget.Doubt(now)
+			state.budget.AssumeColdStart(now)
 		}
 		anyNew = anyNew || isNew
 	}
@@ -48,12 +48,12 @@
 func (s *Scheduler) applyEntry(sampler *Sampler, now time.Time) (state *samplerState, isNew bool) {
 	state, known := s.samplers[sampler.ID]
 	switch {
-	case known && sampler.Born < state.Born:
+	case known && sampler.StartedAtMs < state.StartedAtMs:
 		return state, false
-	case known && sampler.Born > state.Born:
+	case known && sampler.StartedAtMs > state.StartedAtMs:
 		s.serving.removeAll(state)
 		state.superseded, state.Leaving, known = true, true, false
-	case known && sampler.Revision > 0 && sampler.Revision == state.Revision && sampler.ColdFor == 0 && state.lastListing == s.listingCount-1:
+	case known && sampler.Revision > 0 && sampler.Revision == state.Revision && sampler.ColdRemaining == 0 && state.lastListing == s.listingCount-1:
 		return state, false
 	}
 	if !known {
@@ -62,9 +62,9 @@
 	}
 	served := state.Versions
 	state.Sampler = *sampler
-	state.evacuated = s.evacuated.Has(sampler.Zone)
+	state.evacuated = s.evacuated.Contains(sampler.Zone)
 	state.budget.SetLimits(s.limits[sampler.Service])
-	state.budget.Told(sampler.ColdFor, now)
+	state.budget.UpdateColdRemaining(sampler.ColdRemaining, now)
 	state.Versions = mergeNewest(served, sampler.Versions)
 	s.serving.update(state, served)
 	return state, !known
@@ -87,14 +87,14 @@
 	return dropped
 }
 
-// Evacuate sets the evacuated zones. Their samplers get no new runs; current runs continue.
+// SetEvacuatedZones sets the evacuated zones. Their samplers get no new runs; current runs continue.
 // Samplers of a zone that is no longer evacuated are treated as possibly cold.
-func (s *Scheduler) Evacuate(zones evacuation.Zones, now time.Time) {
+func (s *Scheduler) SetEvacuatedZones(zones evacuation.Zones, now time.Time) {
 	s.evacuated = zones
 	for _, state := range s.samplers {
 		before := state.evacuated
-		if state.evacuated = zones.Has(state.Zone); before && !state.evacuated {
-			state.budget.Doubt(now)
+		if state.evacuated = zones.Contains(state.Zone); before && !state.evacuated {
+			state.budget.AssumeColdStart(now)
 		}
 	}
 }
@@ -114,7 +114,7 @@
 // SetVersion records the version that a sampler was observed to serve. Observations of a
 // previous incarnation are ignored.
 func (s *Scheduler) SetVersion(of Incarnation, model string, version uint64) {
-	if state, ok := s.samplers[of.ID]; ok && state.Born == of.Born {
+	if state, ok := s.samplers[of.ID]; ok && state.StartedAtMs == of.StartedAtMs {
 		s.setVersion(state, model, version)
 	}
 }
@@ -124,7 +124,7 @@
 func (s *Scheduler) SetLoading(of Incarnation, model string, loading bool) {
 	state, ok := s.samplers[of.ID]
 	switch {
-	case !ok || state.Born != of.Born:
+	case !ok || state.StartedAtMs != of.StartedAtMs:
 	case loading:
 		state.loading[model] = struct{}{}
 	default:
@@ -141,20 +141,20 @@
 	return state.Sampler, true
 }
 
-// Cold counts cold samplers and the work that they hold back.
-type Cold struct {
+// ColdStatus counts cold samplers and the work that they hold back.
+type ColdStatus struct {
 	// Listed counts the samplers that are not leaving, Cold those of them that are, or may
 	// be, cold. Sent counts the requests sent to the latter in the last second.
 	Listed, Cold, Sent int
-	// Kept counts the samplers with free slots that have reached their request limit of
+	// AtLimit counts the samplers with free slots that have reached their request limit of
 	// this second, Waiting the items that are ready to start. Both are 0 unless both are
 	// positive.
-	Kept, Waiting int
+	AtLimit, Waiting int
 }
 
 // Cold returns the current counts of cold samplers.
-func (s *Scheduler) Cold(now time.Time) Cold {
-	var status Cold
+func (s *Scheduler) Cold(now time.Time) ColdStatus {
+	var status ColdStatus
 	for _, state := range s.ordered {
 		if state.Leaving {
 			continue
@@ -162,17 +162,17 @@
 		status.Listed++
 		if state.budget.Cold(now) {
 			status.Cold++
-			status.Sent += state.budget.Spent(now)
+			status.Sent += state.budget.SentLastSecond(now)
 		}
-		if !state.evacuated && !now.Before(state.notBefore) && state.freeSlots(s.fleetPace) > 0 && state.budget.Room(now) == 0 {
-			status.Kept++
+		if !state.evacuated && !now.Before(state.notBefore) && state.freeSlots(s.fleetPace) > 0 && state.budget.Available(now) == 0 {
+			status.AtLimit++
 		}
 	}
-	if status.Kept == 0 {
+	if status.AtLimit == 0 {
 		return status
 	}
 	if status.Waiting = len(s.readyItems(now)); status.Waiting == 0 {
-		status.Kept = 0
+		status.AtLimit = 0
 	}
 	return status
 }
@@ -180,9 +180,9 @@
 // Load describes the load of a sampler.
 type Load struct {
 	ID string
-	// Born is the start time of the incarnation in Unix milliseconds.
-	Born    int64
-	Running int
+	// StartedAtMs is the start time of the incarnation in Unix milliseconds.
+	StartedAtMs int64
+	Running     int
 	// Slots is the number of items that the sampler generates concurrently.
 	Slots int
 	// Pace is the moving average of the time between two events of an item.
@@ -213,13 +213,13 @@
 	return state.load(), true
 }
 
-// Size returns the number of known samplers.
-func (s *Scheduler) Size() int { return len(s.samplers) }
+// SamplerCount returns the number of known samplers.
+func (s *Scheduler) SamplerCount() int { return len(s.samplers) }
 
 // load returns the exported description of the sampler's load.
 func (s *samplerState) load() Load {
 	return Load{
-		ID: s.ID, Born: s.Born, Running: s.running, Slots: s.slots(), Pace: s.pace, Leaving: s.Leaving,
+		ID: s.ID, StartedAtMs: s.StartedAtMs, Running: s.running, Slots: s.slots(), Pace: s.pace, Leaving: s.Leaving,
 		Evacuated: s.evacuated, Versions: s.Versions,
 	}
 }
--- a/internal/schedule/saved.go
+++ b/internal/schedule/saved.go
@@ -12,15 +12,15 @@
 	confirmTimeout = 2 * time.Second
 )
 
-// Saved provides the last part of an item's text that was read back from the log.
-type Saved interface {
+// ProgressSource provides the last part of an item's text that was read back from the log.
+type ProgressSource interface {
 	// Progress returns false if the log holds no part of the item's text.
 	Progress(itemID string) (ledger.Progress, bool)
 }
 
-// Part is a part of an item's text to append to the log. The caller that stores Text sets its
+// TextPart is a part of an item's text to append to the log. The caller that stores Text sets its
 // location in Progress.
-type Part struct {
+type TextPart struct {
 	Progress *pathbendv1.ItemProgress
 	Text     []byte
 }
@@ -29,8 +29,8 @@
 // minEvents events since its last saved part, and marks it as sent. If a part is not
 // read back in time, the whole text is sent again: the log may have lost the part, or
 // another executor may have restarted the item.
-func (s *Scheduler) Unsaved(minEvents uint64, log Saved, now time.Time) map[string][]Part {
-	unsaved := make(map[string][]Part)
+func (s *Scheduler) Unsaved(minEvents uint64, log ProgressSource, now time.Time) map[string][]TextPart {
+	unsaved := make(map[string][]TextPart)
 	for _, key := range s.runningKeys() {
 		entry := s.items[key]
 		if entry.job.policy.Remote {
@@ -45,7 +45,7 @@
 
 // canSendNext reports whether the next part may be sent. It resets t if the last part was
 // lost, so that the whole text is sent again.
-func (t *savedText) canSendNext(log Saved, itemID string, now time.Time) bool {
+func (t *savedText) canSendNext(log ProgressSource, itemID string, now time.Time) bool {
 	if t.id == 0 {
 		return true
 	}
--- a/internal/schedule/scheduler.go
+++ b/internal/schedule/scheduler.go
@@ -54,21 +54,21 @@
 	estimator        lengthEstimator
 	// averageEvents is a moving average of the length of complete texts.
 	averageEvents float64
-	quarantine    Holds
+	quarantine    Quarantine
 }
 
-// Holds provides the quarantine state of items that are suspected of crashing samplers.
-type Holds interface {
-	// HeldUntil returns the time until which an item must not be sent to a sampler, the zero
+// Quarantine provides the quarantine state of items that are suspected of crashing samplers.
+type Quarantine interface {
+	// QuarantinedUntil returns the time until which an item must not be sent to a sampler, the zero
 	// time if it is not quarantined.
-	HeldUntil(itemID string) time.Time
+	QuarantinedUntil(itemID string) time.Time
 	// Suspect reports whether samplers repeatedly crashed while running an item, and none
 	// has run it without a crash since.
 	Suspect(itemID string) bool
 }
 
-// SetHolds sets the source of the quarantine state. Without it, no item is quarantined.
-func (s *Scheduler) SetHolds(quarantine Holds) { s.quarantine = quarantine }
+// SetQuarantine sets the source of the quarantine state. Without it, no item is quarantined.
+func (s *Scheduler) SetQuarantine(quarantine Quarantine) { s.quarantine = quarantine }
 
 // suspect reports whether an item is suspected of crashing samplers. Each sampler runs at most
 // one suspect: items of a group tend to be assigned to the same sampler, so that otherwise
@@ -79,7 +79,7 @@
 
 // quarantined reports whether an item must not be sent to a sampler now.
 func (s *Scheduler) quarantined(entry *item, now time.Time) bool {
-	return s.quarantine != nil && now.Before(s.quarantine.HeldUntil(entry.key.Item))
+	return s.quarantine != nil && now.Before(s.quarantine.QuarantinedUntil(entry.key.Item))
 }
 
 // New returns an empty scheduler. newID must return ids that are unique across executors.
@@ -101,16 +101,16 @@
 	}
 }
 
-// Kept provides texts of items from earlier runs.
-type Kept interface {
+// StoredTextSource provides texts of items from earlier runs.
+type StoredTextSource interface {
 	// Partial returns the text of an unfinished item, or false if there is none.
-	Partial(itemID string) (Partial, bool)
+	Partial(itemID string) (PartialText, bool)
 	// Finished returns the result of a finished item, or false if there is none.
 	Finished(itemID string) (ledger.Result, bool)
 }
 
-// Partial is the stored text of an unfinished item.
-type Partial struct {
+// PartialText is the stored text of an unfinished item.
+type PartialText struct {
 	// ID identifies the last part of the text in the log.
 	ID       uint64
 	Events   uint64
@@ -121,7 +121,7 @@
 // AddJob adds an open job with its items. It returns the items whose text is already
 // complete, which need only their score, and the speculative runs to stop. A known job is
 // ignored.
-func (s *Scheduler) AddJob(open *ledger.Job, items []*pathbendv1.BatchItem, policy Policy, kept Kept) (finished []Finished, stopped []Key) {
+func (s *Scheduler) AddJob(open *ledger.Job, items []*pathbendv1.BatchItem, policy Policy, kept StoredTextSource) (finished []Finished, stopped []Key) {
 	if _, known := s.jobs[open.ID]; known {
 		return nil, nil
 	}
@@ -130,7 +130,7 @@
 	s.recordVersionLag(added)
 	for _, spec := range items {
 		key := Key{Job: open.ID, Item: spec.Id}
-		if open.Listed(spec.Id) || s.items[key] != nil {
+		if open.HasResult(spec.Id) || s.items[key] != nil {
 			continue
 		}
 		entry := &item{key: key, spec: spec, job: added}
@@ -165,19 +165,19 @@
 
 // reuse adopts the complete or partial text of an earlier run. It returns true if the text
 // is complete.
-func (i *item) reuse(kept Kept) (Finished, bool) {
+func (i *item) reuse(kept StoredTextSource) (Finished, bool) {
 	if done, ok := kept.Finished(i.key.Item); ok && i.job.accepts(done.Versions) && len(done.Versions) > 0 {
 		i.versions = done.Versions
 		i.phase = scoring
 		completed := i.finished()
-		completed.Kept = done.Text
+		completed.StoredText = done.Text
 		if done.RewardID == i.spec.GetReward().GetId() {
 			completed.Score = done.Score
 		}
 		return completed, true
 	}
 	if partial, ok := kept.Partial(i.key.Item); ok {
-		i.Resume(partial, i.job.acceptance())
+		i.Resume(partial, i.job.versionConstraint())
 	}
 	return Finished{}, false
 }
@@ -233,9 +233,9 @@
 	return stopped
 }
 
-// Settled removes an item whose result is in the log. It returns the item's milestones and
+// RemoveItem removes an item whose result is in the log. It returns the item's milestones and
 // its runs to stop.
-func (s *Scheduler) Settled(key Key) (milestones Milestones, stopped []Key) {
+func (s *Scheduler) RemoveItem(key Key) (milestones Milestones, stopped []Key) {
 	entry, ok := s.items[key]
 	if !ok {
 		return Milestones{}, nil
@@ -250,7 +250,7 @@
 	delete(s.items, key)
 	entry.job.items = slices.DeleteFunc(entry.job.items, func(other *item) bool { return other == entry })
 	milestones = entry.milestones
-	milestones.Group, milestones.Carried, milestones.ExpectedTokens = entry.spec.Group, entry.resubmitted, entry.spec.ExpectedTokens
+	milestones.Group, milestones.Resubmitted, milestones.ExpectedTokens = entry.spec.Group, entry.resubmitted, entry.spec.ExpectedTokens
 	for _, other := range entry.job.items {
 		if other.spec.Group == entry.spec.Group {
 			milestones.GroupOpen++
--- a/internal/schedule/scheduler_test.go
+++ b/internal/schedule/scheduler_test.go
@@ -18,14 +18,14 @@
 
 // storedTexts implements Kept with texts of earlier runs.
 type storedTexts struct {
-	partial  map[string]Partial
+	partial  map[string]PartialText
 	finished map[string]ledger.Result
 }
 
-func (k storedTexts) Partial(id string) (Partial, bool)        { p, ok := k.partial[id]; return p, ok }
+func (k storedTexts) Partial(id string) (PartialText, bool)    { p, ok := k.partial[id]; return p, ok }
 func (k storedTexts) Finished(id string) (ledger.Result, bool) { r, ok := k.finished[id]; return r, ok }
 
-// loggedProgress implements Saved with the last part of each item that the log holds.
+// loggedProgress implements ProgressSource with the last part of each item that the log holds.
 type loggedProgress map[string]ledger.Progress
 
 func (s loggedProgress) Progress(id string) (ledger.Progress, bool) { p, ok := s[id]; return p, ok }
@@ -41,7 +41,7 @@
 func newHarness(t *testing.T, samplers ...Sampler) *harness {
 	h := &harness{t: t, now: startTime}
 	h.scheduler = New(func() uint64 { h.ids++; return h.ids })
-	h.scheduler.Samplers(samplers, h.now)
+	h.scheduler.SetSamplers(samplers, h.now)
 	return h
 }
 
@@ -80,7 +80,7 @@
 	items []*pathbendv1.BatchItem
 }
 
-func (h *harness) addJob(job testJob, policy Policy, kept Kept) []Finished {
+func (h *harness) addJob(job testJob, policy Policy, kept StoredTextSource) []Finished {
 	finished, _ := h.scheduler.AddJob(job.open, job.items, policy, kept)
 	return finished
 }
@@ -121,7 +121,7 @@
 
 func TestResubmittedGroupsStartFirst(t *testing.T) {
 	h := newHarness(t, sampler("s", 0, 1))
-	h.scheduler.Samplers([]Sampler{sampler("s", 10, 1)}, h.now)
+	h.scheduler.SetSamplers([]Sampler{sampler("s", 10, 1)}, h.now)
 	h.addJob(h.newJob("a", 1, "old:5"), policy(time.Second), storedTexts{})
 	h.scheduler.DropJob("a", h.now)
 	h.addJob(h.newJob("b", 1, "new:500", "old:5"), policy(time.Second), storedTexts{})
@@ -212,7 +212,7 @@
 	h := newHarness(t, sampler("dark", 1, 1))
 	h.addJob(h.newJob("j", 1, "g:100"), policy(time.Second), storedTexts{})
 	start := h.starts()[0]
-	h.scheduler.Samplers([]Sampler{sampler("dark", 1, 1), sampler("fit", 1, 1)}, h.now)
+	h.scheduler.SetSamplers([]Sampler{sampler("dark", 1, 1), sampler("fit", 1, 1)}, h.now)
 	h.now = h.now.Add(maxSilenceTimeout)
 	require.Empty(t, h.scheduler.Moves(h.now))
 	h.now = h.now.Add(time.Millisecond)
@@ -232,7 +232,7 @@
 		require.True(t, h.scheduler.Progress(start.Key, start.Run, Event{ID: id, Version: 1, Data: []byte("x")}, h.now))
 	}
 	require.Empty(t, h.scheduler.Moves(h.now), "there is no other sampler")
-	h.scheduler.Samplers([]Sampler{sampler("slow", 1, 1), sampler("fit", 1, 1)}, h.now)
+	h.scheduler.SetSamplers([]Sampler{sampler("slow", 1, 1), sampler("fit", 1, 1)}, h.now)
 	moves := h.scheduler.Moves(h.now)
 	require.Len(t, moves, 1)
 	require.Equal(t, "slow", moves[0].Reason)
@@ -245,7 +245,7 @@
 
 func TestStoredTextIsUsedIfItsVersionsAreAccepted(t *testing.T) {
 	earlier := storedTexts{
-		partial: map[string]Partial{
+		partial: map[string]PartialText{
 			"j-0": {ID: 9, Events: 2, Text: []byte("1\n2"), Versions: []uint64{4}},
 			"j-1": {ID: 8, Events: 2, Text: []byte("1\n2"), Versions: []uint64{2}},
 		},
@@ -259,7 +259,7 @@
 	finished := h.addJob(h.newJob("j", 4, "a:1", "a:1", "a:1", "a:1", "a:1"), policy(time.Second), earlier)
 	require.Len(t, finished, 2)
 	require.Equal(t, "stamp", finished[0].Score)
-	require.Same(t, completeText, finished[0].Kept, "the stored text is listed again without being read")
+	require.Same(t, completeText, finished[0].StoredText, "the stored text is listed again without being read")
 	require.Empty(t, finished[1].Score, "the stored score is of another reward call")
 	after := make(map[string]uint64)
 	for _, start := range h.starts() {
@@ -295,11 +295,11 @@
 	require.Len(t, h.scheduler.DropJob("j", h.now), 2)
 	h.addJob(h.newJob("k", 1, "g:1", "g:1"), policy(time.Second), storedTexts{})
 	require.Len(t, h.starts(), 2)
-	milestones, stopped := h.scheduler.Settled(Key{Job: "k", Item: "k-0"})
+	milestones, stopped := h.scheduler.RemoveItem(Key{Job: "k", Item: "k-0"})
 	require.Len(t, stopped, 1)
 	require.Equal(t, 1, milestones.Runs)
 	require.NotZero(t, milestones.Started)
-	_, stopped = h.scheduler.Settled(Key{Job: "k", Item: "k-0"})
+	_, stopped = h.scheduler.RemoveItem(Key{Job: "k", Item: "k-0"})
 	require.Empty(t, stopped)
 	require.Equal(t, 1, h.scheduler.Loads()[0].Running)
 }
@@ -308,10 +308,10 @@
 	h := newHarness(t, sampler("s", 1, 1))
 	h.addJob(h.newJob("j", 1, "g:1"), policy(time.Second), storedTexts{})
 	start := h.starts()[0]
-	h.scheduler.Samplers(nil, h.now)
+	h.scheduler.SetSamplers(nil, h.now)
 	require.Len(t, h.scheduler.Loads(), 1)
 	h.scheduler.RunEnded(start.Key, start.Run, Broken, h.now)
-	h.scheduler.Samplers(nil, h.now)
+	h.scheduler.SetSamplers(nil, h.now)
 	require.Empty(t, h.scheduler.Loads())
 }
 
@@ -354,7 +354,7 @@
 	for range 30 {
 		h.scheduler.samplers["known"].observe(70*time.Millisecond, h.scheduler.fleetPace)
 	}
-	h.scheduler.Samplers([]Sampler{sampler("known", 8, 1), sampler("unknown", 8, 1)}, h.now)
+	h.scheduler.SetSamplers([]Sampler{sampler("known", 8, 1), sampler("unknown", 8, 1)}, h.now)
 	for _, start := range starts {
 		require.True(t, h.scheduler.Progress(start.Key, start.Run, Event{ID: 1, Version: 1, Data: []byte("x")}, h.now.Add(time.Second)))
 	}
@@ -457,7 +457,7 @@
 }
 
 func evacuated(zones ...string) evacuation.Zones {
-	next, _ := evacuation.Zones{}.Take(evacuation.SourceOperator, zones, startTime)
+	next, _ := evacuation.Zones{}.ReplaceSource(evacuation.SourceOperator, zones, startTime)
 	return next
 }
 
@@ -471,7 +471,7 @@
 	h.addJob(h.newJob("j", 1, "g:900", "g:800", "g:700"), policy(time.Second), storedTexts{})
 	running := h.starts()
 	require.Len(t, running, 3)
-	h.scheduler.Evacuate(evacuated("a"), h.now)
+	h.scheduler.SetEvacuatedZones(evacuated("a"), h.now)
 	h.addJob(h.newJob("k", 1, "g:900", "g:800"), policy(time.Second), storedTexts{})
 	for _, start := range running {
 		require.True(t, h.sendEvents(start, 1, 5, 1))
@@ -481,9 +481,9 @@
 	starts := h.starts()
 	require.Len(t, starts, 1)
 	require.Equal(t, "b1", starts[0].Sampler.ID)
-	h.scheduler.Samplers([]Sampler{inZone("a", sampler("a1", 2, 1)), inZone("a", sampler("a2", 2, 1)), inZone("b", sampler("b1", 1, 1))}, h.now)
+	h.scheduler.SetSamplers([]Sampler{inZone("a", sampler("a1", 2, 1)), inZone("a", sampler("a2", 2, 1)), inZone("b", sampler("b1", 1, 1))}, h.now)
 	require.Empty(t, h.starts(), "samplers listed after the evacuation get no runs either")
-	h.scheduler.Evacuate(evacuated(), h.now)
+	h.scheduler.SetEvacuatedZones(evacuated(), h.now)
 	require.Len(t, h.starts(), 1, "the zone is no longer evacuated")
 }
 
@@ -495,8 +495,8 @@
 		h.now = h.now.Add(200 * time.Millisecond)
 		require.True(t, h.scheduler.Progress(start.Key, start.Run, Event{ID: id, Version: 1, Data: []byte("x")}, h.now))
 	}
-	h.scheduler.Evacuate(evacuated("a"), h.now)
-	h.scheduler.Samplers([]Sampler{sampler("slow", 1, 1), inZone("a", sampler("fit", 1, 1))}, h.now)
+	h.scheduler.SetEvacuatedZones(evacuated("a"), h.now)
+	h.scheduler.SetSamplers([]Sampler{sampler("slow", 1, 1), inZone("a", sampler("fit", 1, 1))}, h.now)
 	require.Empty(t, h.scheduler.Moves(h.now))
 }
 
@@ -504,7 +504,7 @@
 // its regions are full.
 func TestItemsStayInTheirRegions(t *testing.T) {
 	h := newHarness(t)
-	h.scheduler.Samplers([]Sampler{
+	h.scheduler.SetSamplers([]Sampler{
 		{ID: "north", Service: "llm", Zone: "n", Slots: 8, Versions: map[string]uint64{"m": 1}},
 		{ID: "south", Service: "llm", Zone: "s", Slots: 2, Versions: map[string]uint64{"m": 1}},
 		{ID: "nowhere", Service: "llm", Slots: 8, Versions: map[string]uint64{"m": 1}},
--- a/internal/schedule/speculative.go
+++ b/internal/schedule/speculative.go
@@ -18,8 +18,8 @@
 const (
 	// speculativeSlotDivisor limits speculative runs to this fraction (1/n) of the slots.
 	speculativeSlotDivisor = 8
-	// AheadPatience is how long a speculative run continues after its job has ended.
-	AheadPatience = 3 * time.Second
+	// SpeculativeRunGracePeriod is how long a speculative run continues after its job has ended.
+	SpeculativeRunGracePeriod = 3 * time.Second
 	// minSpeculativeLengthRatio is the least ratio of an item's events to the average
 	// length of a text for the item to get a speculative run.
 	minSpeculativeLengthRatio = 2.0
@@ -28,9 +28,9 @@
 	averageEventsWeight = 0.02
 )
 
-// Named records a model version that a trainer announced. It reports whether the version
+// RecordVersion records a model version that a trainer announced. It reports whether the version
 // is newer than all versions announced before.
-func (s *Scheduler) Named(model string, version uint64) (newer bool) {
+func (s *Scheduler) RecordVersion(model string, version uint64) (newer bool) {
 	if s.newestVersions[model] >= version {
 		return false
 	}
@@ -143,7 +143,7 @@
 	}
 	later := &job{id: i.job.id, spec: spec, policy: i.job.policy}
 	key := i.key
-	key.Ahead = true
+	key.Speculative = true
 	return &item{key: key, spec: i.spec, job: later, remote: i.job.policy.Remote}
 }
 
@@ -212,7 +212,7 @@
 }
 
 // staleSpeculativeRuns returns the speculative runs to stop: those whose job ended more
-// than AheadPatience ago and those that are silent. It deletes texts that were not
+// than SpeculativeRunGracePeriod ago and those that are silent. It deletes texts that were not
 // resubmitted within groupResubmitTimeout.
 func (s *Scheduler) staleSpeculativeRuns(now time.Time) []Move {
 	var moves []Move
@@ -227,7 +227,7 @@
 		}
 		move := Move{Key: speculativeItem.key, Run: speculativeItem.run, From: speculativeItem.sampler.ID, Silent: now.Sub(speculativeItem.lastEvent), Pace: speculativeItem.sampler.pace}
 		switch {
-		case jobEnded && now.Sub(speculativeItem.jobEndedAt) > AheadPatience:
+		case jobEnded && now.Sub(speculativeItem.jobEndedAt) > SpeculativeRunGracePeriod:
 			move.Reason = "not resubmitted"
 		case move.Silent > maxSilenceTimeout && !speculativeItem.sampler.isLoading(speculativeItem.job.spec.Model):
 			move.Reason = "silent"
--- a/internal/schedule/speculative_test.go
+++ b/internal/schedule/speculative_test.go
@@ -14,7 +14,7 @@
 func newResubmittingHarness(t *testing.T, averageLength uint64, samplers ...Sampler) *harness {
 	t.Helper()
 	h := newHarness(t, samplers...)
-	h.scheduler.Named("m", 2)
+	h.scheduler.RecordVersion("m", 2)
 	h.scheduler.resubmitsGroups["m"] = true
 	h.scheduler.recordLength(averageLength)
 	return h
@@ -28,7 +28,7 @@
 	starts := h.starts()
 	require.Len(h.t, starts, 1)
 	require.True(h.t, h.sendEvents(starts[0], 1, events, 1))
-	h.scheduler.Named("m", 3)
+	h.scheduler.RecordVersion("m", 3)
 	return starts[0]
 }
 
@@ -38,10 +38,10 @@
 	h := newResubmittingHarness(t, 4, sampler("old", 4, 1))
 	startLongItem(h, 10)
 	require.Empty(t, h.starts(), "no sampler serves a version that the later job accepts")
-	h.scheduler.Samplers([]Sampler{sampler("old", 8, 1), sampler("new", 8, 3)}, h.now)
+	h.scheduler.SetSamplers([]Sampler{sampler("old", 8, 1), sampler("new", 8, 3)}, h.now)
 	speculative := h.starts()
 	require.Len(t, speculative, 1)
-	require.True(t, speculative[0].Key.Ahead)
+	require.True(t, speculative[0].Key.Speculative)
 	require.Equal(t, "tenant", speculative[0].Job.Tenant, "a speculative run belongs to the tenant of its job")
 	require.Equal(t, "new", speculative[0].Sampler.ID)
 	require.Zero(t, speculative[0].AfterEvent)
@@ -55,7 +55,7 @@
 	resumed := h.starts()
 	require.Len(t, resumed, 1)
 	require.EqualValues(t, 6, resumed[0].AfterEvent)
-	require.False(t, resumed[0].Key.Ahead)
+	require.False(t, resumed[0].Key.Speculative)
 	require.Equal(t, 1, h.scheduler.Loads()[0].Running, "the speculative run has ended")
 }
 
@@ -83,7 +83,7 @@
 	again := h.newJob("l", 4, "g:1")
 	again.items[0].Id = "k-0"
 	h.addJob(again, policy(9*time.Second), storedTexts{})
-	h.scheduler.Samplers([]Sampler{sampler("new", 8, 4)}, h.now)
+	h.scheduler.SetSamplers([]Sampler{sampler("new", 8, 4)}, h.now)
 	starts := h.starts()
 	require.Len(t, starts, 1)
 	require.Zero(t, starts[0].AfterEvent)
@@ -106,7 +106,7 @@
 	for _, start := range h.starts() {
 		require.True(t, h.sendEvents(start, 1, 3, 1))
 	}
-	h.scheduler.Named("m", 3)
+	h.scheduler.RecordVersion("m", 3)
 	require.Len(t, h.starts(), 16/speculativeSlotDivisor)
 }
 
@@ -118,7 +118,7 @@
 	require.True(t, h.sendEvents(speculative, 1, 2, 3))
 	h.scheduler.DropJob("k", h.now)
 	require.Empty(t, h.starts())
-	for elapsed := time.Duration(0); elapsed < AheadPatience; elapsed += time.Second {
+	for elapsed := time.Duration(0); elapsed < SpeculativeRunGracePeriod; elapsed += time.Second {
 		require.Empty(t, h.scheduler.Moves(h.now))
 		h.now = h.now.Add(time.Second)
 		require.True(t, h.sendEvents(speculative, uint64(3+elapsed/time.Second), uint64(3+elapsed/time.Second), 3))
@@ -133,14 +133,14 @@
 	h := newResubmittingHarness(t, 4, sampler("old", 8, 1), sampler("new", 8, 3))
 	first := startLongItem(h, 10)
 	speculative := h.starts()[0]
-	_, stopped := h.scheduler.Settled(first.Key)
+	_, stopped := h.scheduler.RemoveItem(first.Key)
 	require.Equal(t, []Key{first.Key, speculative.Key}, stopped)
 	require.False(t, h.sendEvents(speculative, 1, 1, 3))
 }
 
 func TestVersionLagOfTheLatestStepCounts(t *testing.T) {
 	h := newHarness(t, sampler("s", 1, 1))
-	h.scheduler.Named("m", 4)
+	h.scheduler.RecordVersion("m", 4)
 	for _, step := range []struct{ number, minVersion uint64 }{{4, 3}, {3, 2}} {
 		spec := &pathbendv1.BatchJob{Model: "m", MinVersion: step.minVersion, Step: step.number}
 		h.scheduler.recordVersionLag(&job{spec: spec})
--- a/internal/schedule/text.go
+++ b/internal/schedule/text.go
@@ -8,17 +8,17 @@
 	"github.com/pathbend/pathbend/internal/ledger"
 )
 
-// Acceptance restricts the weight versions that may make a text.
-type Acceptance struct {
+// VersionConstraint restricts the weight versions that may make a text.
+type VersionConstraint struct {
 	// MinVersion is the oldest accepted version.
 	MinVersion uint64
 	// SingleVersion requires each text to be made by one version.
 	SingleVersion bool
 }
 
-// Fits reports whether text made by the versions, in ascending order, may be part of a
+// Accepts reports whether text made by the versions, in ascending order, may be part of a
 // result.
-func (a Acceptance) Fits(versions []uint64) bool {
+func (a VersionConstraint) Accepts(versions []uint64) bool {
 	if len(versions) == 0 {
 		return true
 	}
@@ -48,10 +48,10 @@
 // Bytes returns the text, its events separated by line feeds. The caller must not modify it.
 func (t *Text) Bytes() []byte { return t.text }
 
-// Take appends the next event. It reports false if the event is out of sequence or made by
+// Append appends the next event. It reports false if the event is out of sequence or made by
 // a version that is not accepted. If the event's version cannot be combined with those of
 // the text, the text is reset as well.
-func (t *Text) Take(event Event, acceptance Acceptance) bool {
+func (t *Text) Append(event Event, acceptance VersionConstraint) bool {
 	before := t.events
 	if !t.advance(event, acceptance) {
 		return false
@@ -63,8 +63,8 @@
 	return true
 }
 
-// advance does what Take does, for a text whose bytes a worker holds.
-func (t *Text) advance(event Event, acceptance Acceptance) bool {
+// advance does what Append does, for a text whose bytes a worker holds.
+func (t *Text) advance(event Event, acceptance VersionConstraint) bool {
 	if event.ID != t.events+1 || event.Version < acceptance.MinVersion {
 		return false
 	}
@@ -72,7 +72,7 @@
 	if !slices.Contains(versions, event.Version) {
 		versions = ledger.MergeVersions(versions, []uint64{event.Version})
 	}
-	if !acceptance.Fits(versions) {
+	if !acceptance.Accepts(versions) {
 		t.Restart()
 		return false
 	}
@@ -85,8 +85,8 @@
 func (t *Text) Restart() { *t = Text{} }
 
 // Resume adopts a stored text if its versions are accepted.
-func (t *Text) Resume(kept Partial, acceptance Acceptance) {
-	if !acceptance.Fits(kept.Versions) {
+func (t *Text) Resume(kept PartialText, acceptance VersionConstraint) {
+	if !acceptance.Accepts(kept.Versions) {
 		return
 	}
 	t.text, t.events, t.versions = slices.Clip(kept.Text), kept.Events, kept.Versions
@@ -96,9 +96,9 @@
 // Unsaved returns the part of the text that is not in the log yet, if it has enough events,
 // and marks it as sent under a new id. The first part needs minEvents events, later ones
 // fewer.
-func (t *Text) Unsaved(itemID string, minEvents uint64, log Saved, newID func() uint64, now time.Time) (Part, bool) {
+func (t *Text) Unsaved(itemID string, minEvents uint64, log ProgressSource, newID func() uint64, now time.Time) (TextPart, bool) {
 	if !t.saved.canSendNext(log, itemID, now) || t.events < t.saved.events+t.minUnsavedEvents(minEvents) {
-		return Part{}, false
+		return TextPart{}, false
 	}
 	return t.save(itemID, newID(), now), true
 }
@@ -116,12 +116,12 @@
 }
 
 // save returns the unsent part of the text and marks it as sent.
-func (t *Text) save(itemID string, id uint64, now time.Time) Part {
+func (t *Text) save(itemID string, id uint64, now time.Time) TextPart {
 	unsent := t.text[t.saved.bytes:]
 	if t.saved.events > 0 {
 		unsent = unsent[1:] // the line feed between two events
 	}
-	part := Part{Text: slices.Clone(unsent), Progress: &pathbendv1.ItemProgress{
+	part := TextPart{Text: slices.Clone(unsent), Progress: &pathbendv1.ItemProgress{
 		ItemId: itemID, Id: id, Previous: t.saved.id, Versions: t.versions, Events: t.events - t.saved.events,
 	}}
 	t.saved = savedText{id: id, events: t.events, bytes: len(t.text), at: now}
--- a/internal/sharedlog/appender.go
+++ b/internal/sharedlog/appender.go
@@ -21,8 +21,8 @@
 	callTimeout = 1500 * time.Millisecond
 )
 
-// RecordFraming is the maximum number of bytes that the log adds to a record.
-const RecordFraming = 16
+// MaxRecordOverheadBytes is the maximum number of bytes that the log adds to a record.
+const MaxRecordOverheadBytes = 16
 
 // Appender batches the appends of concurrent callers to one partition. Records that arrive
 // while calls are in flight are sent together: a burst of callers makes a few calls, where
@@ -31,13 +31,13 @@
 type Appender struct {
 	Log       Log
 	Partition Partition
-	// MaxBytes is the maximum size of one call, including RecordFraming for each record.
+	// MaxBytes is the maximum size of one call, including MaxRecordOverheadBytes for each record.
 	MaxBytes int
 	// Observe receives the error and duration of each call. It may be nil.
 	Observe func(err error, took time.Duration)
-	// Beyond returns how much longer the log's responses to appends take than those of a log
+	// ExtraLatency returns how much longer the log's responses to appends take than those of a log
 	// in the same data center. It may be nil.
-	Beyond func() time.Duration
+	ExtraLatency func() time.Duration
 
 	mutex   sync.Mutex
 	waiting []*pendingAppend
@@ -56,7 +56,7 @@
 func (p *pendingAppend) size() int {
 	size := 0
 	for _, record := range p.records {
-		size += len(record) + RecordFraming
+		size += len(record) + MaxRecordOverheadBytes
 	}
 	return size
 }
@@ -113,7 +113,7 @@
 			defer close(done)
 			a.call(batch)
 		}()
-		slotTimer := time.NewTimer(withExtraLatency(callSlotTimeout, a.Beyond))
+		slotTimer := time.NewTimer(withExtraLatency(callSlotTimeout, a.ExtraLatency))
 		select {
 		case <-done:
 		case <-slotTimer.C:
@@ -142,7 +142,7 @@
 }
 
 func (a *Appender) call(batch []*pendingAppend) {
-	ctx, cancel := context.WithTimeout(context.Background(), withExtraLatency(callTimeout, a.Beyond))
+	ctx, cancel := context.WithTimeout(context.Background(), withExtraLatency(callTimeout, a.ExtraLatency))
 	defer cancel()
 	defer cancelWhenAllAreDone(batch, cancel)()
 	var records [][]byte
--- a/internal/sharedlog/appender_test.go
+++ b/internal/sharedlog/appender_test.go
@@ -76,7 +76,7 @@
 func TestCallsRespectMaxBytes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := &serialLog{semaphore: make(chan struct{}, 1), latency: 4 * time.Millisecond}
-		appender := &Appender{Log: log, MaxBytes: 10 * (1 + RecordFraming)}
+		appender := &Appender{Log: log, MaxBytes: 10 * (1 + MaxRecordOverheadBytes)}
 		var callers conc.WaitGroup
 		for range 104 {
 			callers.Go(func() {
--- a/internal/sharedlog/follow.go
+++ b/internal/sharedlog/follow.go
@@ -116,10 +116,10 @@
 	// Pause returns the pause after a read that reached the end of the partition, so that
 	// the next read returns several records. There is no pause if it is nil.
 	Pause func() time.Duration
-	// Beyond returns how much longer the log's responses take than those of a log in the
+	// ExtraLatency returns how much longer the log's responses take than those of a log in the
 	// same data center, to which the timeouts apply. It may be nil, which means 0.
-	Beyond func() time.Duration
-	Health Health
+	ExtraLatency func() time.Duration
+	Health       Health
 
 	// applyMutex guards next and serializes calls of Apply.
 	applyMutex sync.Mutex
@@ -136,7 +136,7 @@
 		wait.For(ctx, retryInterval)
 	}
 	for ctx.Err() == nil {
-		caughtUp, err := f.readOnce(ctx, pollWaitFor(f.Beyond))
+		caughtUp, err := f.readOnce(ctx, pollWaitFor(f.ExtraLatency))
 		switch {
 		case err != nil:
 			wait.For(ctx, retryInterval)
@@ -212,17 +212,17 @@
 	f.applyMutex.Lock()
 	from := f.next
 	f.applyMutex.Unlock()
-	asOf := clock.Mark()
+	asOf := clock.CurrentMoment()
 	timeout := poll + f.transferTimeout(poll)
 	if poll > 0 && f.Health.nextIsProbe() {
 		poll, timeout = 0, probeTimeout
 	}
-	timeout = withExtraLatency(timeout, f.Beyond)
+	timeout = withExtraLatency(timeout, f.ExtraLatency)
 	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	batch, err := f.Log.Read(callCtx, f.Partition, from, poll)
 	if result.Is(err, result.LogTruncated) {
-		f.skipTo(batch.First)
+		f.skipTo(batch.OldestOffset)
 		return false, err
 	}
 	if err != nil {
@@ -232,7 +232,7 @@
 		return false, err
 	}
 	f.apply(from, batch.Records)
-	if from+uint64(len(batch.Records)) < batch.End {
+	if from+uint64(len(batch.Records)) < batch.EndOffset {
 		return false, nil
 	}
 	if len(batch.Records) == 0 {
--- a/internal/sharedlog/follow_test.go
+++ b/internal/sharedlog/follow_test.go
@@ -20,7 +20,7 @@
 	keyed      []KeyedRecord
 	first      uint64
 	maxPerRead int
-	// failing makes reads fail. staleEnd, if not 0, is the End that the next call of Newest
+	// failing makes reads fail. staleEnd, if not 0, is the EndOffset that the next call of ReadNewest
 	// returns.
 	failing  bool
 	staleEnd uint64
@@ -61,15 +61,15 @@
 		case failing:
 			return Batch{}, result.New(result.LogUnavailable, "down")
 		case from < first:
-			return Batch{First: first}, result.New(result.LogTruncated, "gone")
+			return Batch{OldestOffset: first}, result.New(result.LogTruncated, "gone")
 		case len(found) > 0 || !time.Now().Before(deadline) || ctx.Err() != nil:
-			return Batch{End: end, First: first, Records: found}, nil
+			return Batch{EndOffset: end, OldestOffset: first, Records: found}, nil
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-func (l *fakeLog) ReadPart(ctx context.Context, partition Partition, from uint64, _ int) (Batch, error) {
+func (l *fakeLog) ReadAvailable(ctx context.Context, partition Partition, from uint64, _ int) (Batch, error) {
 	return l.Read(ctx, partition, from, 0)
 }
 
@@ -81,12 +81,12 @@
 		return KeyedBatch{}, result.New(result.LogTruncated, "gone")
 	}
 	if from >= uint64(len(l.keyed)) {
-		return KeyedBatch{End: uint64(len(l.keyed))}, nil
+		return KeyedBatch{EndOffset: uint64(len(l.keyed))}, nil
 	}
-	return KeyedBatch{End: uint64(len(l.keyed)), Next: uint64(len(l.keyed)), Records: l.keyed[from:]}, nil
+	return KeyedBatch{EndOffset: uint64(len(l.keyed)), NextOffset: uint64(len(l.keyed)), Records: l.keyed[from:]}, nil
 }
 
-func (l *fakeLog) Newest(context.Context, Partition, string) (KeyedPage, error) {
+func (l *fakeLog) ReadNewest(context.Context, Partition, string) (KeyedPage, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	end := uint64(len(l.keyed))
@@ -94,7 +94,7 @@
 		end = l.staleEnd
 		l.staleEnd = 0
 	}
-	return KeyedPage{KeyedBatch: KeyedBatch{End: end, Records: l.newest}}, nil
+	return KeyedPage{KeyedBatch: KeyedBatch{EndOffset: end, Records: l.newest}}, nil
 }
 
 type countingObserver struct{ failed, recovered int }
--- a/internal/sharedlog/keyed.go
+++ b/internal/sharedlog/keyed.go
@@ -30,17 +30,17 @@
 	Reset func(records []KeyedRecord, next uint64)
 	// Apply applies later records in order, with next as in Reset.
 	Apply func(records []KeyedRecord, next uint64)
-	// Early, if set, receives the records read so far during the initial read of all pages,
+	// OnPartial, if set, receives the records read so far during the initial read of all pages,
 	// each time that their number has doubled.
-	Early func(records []KeyedRecord)
+	OnPartial func(records []KeyedRecord)
 	// Pause is the same as in Follower.
 	Pause func() time.Duration
-	// Poll returns how long a read may wait at the service if that is longer than the usual
+	// PollWait returns how long a read may wait at the service if that is longer than the usual
 	// wait. It may be nil.
-	Poll func() time.Duration
-	// Beyond is the same as in Follower.
-	Beyond func() time.Duration
-	Health Health
+	PollWait func() time.Duration
+	// ExtraLatency is the same as in Follower.
+	ExtraLatency func() time.Duration
+	Health       Health
 
 	initialRead initialRead
 	// readAhead maps keys to the offset of their record if it was read before the offset from
@@ -57,7 +57,7 @@
 	started bool
 	// timeout is the timeout of the next attempt, 0 for pageTimeout.
 	timeout time.Duration
-	// reported is the number of records at the last call of Early.
+	// reported is the number of records at the last call of OnPartial.
 	reported int
 }
 
@@ -66,7 +66,7 @@
 	initialized := false
 	var next uint64
 	for ctx.Err() == nil {
-		asOf := clock.Mark()
+		asOf := clock.CurrentMoment()
 		batch, err := f.read(ctx, initialized, next)
 		switch {
 		case result.Is(err, result.LogTruncated):
@@ -78,26 +78,26 @@
 			}
 			wait.For(ctx, retryInterval)
 			continue
-		case !initialized && batch.End < next:
+		case !initialized && batch.EndOffset < next:
 			// The response is stale: later records were applied already.
 			wait.For(ctx, retryInterval)
 			continue
 		case !initialized:
-			f.Reset(batch.Records, batch.End)
-			initialized, next = true, batch.End
-		case batch.Next > next:
-			next = batch.Next
+			f.Reset(batch.Records, batch.EndOffset)
+			initialized, next = true, batch.EndOffset
+		case batch.NextOffset > next:
+			next = batch.NextOffset
 			f.Apply(f.withoutStale(batch.Records), next)
 		}
 		if len(batch.Records) == 0 {
 			// The service, or a cache before it, waited without a new record, so that the
 			// follower is current as of the end of the wait.
-			asOf = asOf.Add(batch.Held)
+			asOf = asOf.Add(batch.Waited)
 		}
 		if recovered, after := f.Health.recordSuccess(asOf.Add(-batch.Age)); recovered {
 			f.Observer.ReadRecovered(f.Partition, after)
 		}
-		if next >= batch.End {
+		if next >= batch.EndOffset {
 			pauseAfterRead(ctx, f.Pause)
 		}
 	}
@@ -107,15 +107,15 @@
 	if !initialized {
 		return f.readNewest(ctx)
 	}
-	poll := pollWaitFor(f.Beyond)
-	if f.Poll != nil {
-		poll = max(poll, f.Poll())
+	poll := pollWaitFor(f.ExtraLatency)
+	if f.PollWait != nil {
+		poll = max(poll, f.PollWait())
 	}
 	timeout := poll + readTimeout
 	if f.Health.nextIsProbe() {
 		poll, timeout = 0, probeTimeout
 	}
-	ctx, cancel := context.WithTimeout(ctx, withExtraLatency(timeout, f.Beyond))
+	ctx, cancel := context.WithTimeout(ctx, withExtraLatency(timeout, f.ExtraLatency))
 	defer cancel()
 	return f.Log.ReadKeyed(ctx, f.Partition, next, poll)
 }
@@ -138,21 +138,21 @@
 	}
 }
 
-// reportEarly passes the records read so far to Early if their number has doubled since the
+// reportEarly passes the records read so far to OnPartial if their number has doubled since the
 // last call, so that each record is passed about twice in total.
 func (f *KeyedFollower) reportEarly() {
-	if read := len(f.initialRead.Records); f.Early != nil && read >= 2*f.initialRead.reported {
+	if read := len(f.initialRead.Records); f.OnPartial != nil && read >= 2*f.initialRead.reported {
 		f.initialRead.reported = read
-		f.Early(f.initialRead.Records)
+		f.OnPartial(f.initialRead.Records)
 	}
 }
 
 // readPage reads the next page. An attempt that times out doubles the timeout of the next.
 func (f *KeyedFollower) readPage(ctx context.Context) (KeyedPage, error) {
 	timeout := max(f.initialRead.timeout, pageTimeout)
-	callCtx, cancel := context.WithTimeout(ctx, withExtraLatency(timeout, f.Beyond))
+	callCtx, cancel := context.WithTimeout(ctx, withExtraLatency(timeout, f.ExtraLatency))
 	defer cancel()
-	page, err := f.Log.Newest(callCtx, f.Partition, f.initialRead.lastKey)
+	page, err := f.Log.ReadNewest(callCtx, f.Partition, f.initialRead.lastKey)
 	if err != nil && callCtx.Err() != nil {
 		f.initialRead.timeout = min(2*timeout, maxPageTimeout)
 	}
@@ -162,7 +162,7 @@
 // add adds a page and reports whether it was the last one.
 func (r *initialRead) add(page KeyedPage) (complete bool) {
 	if !r.started {
-		r.started, r.End = true, page.End
+		r.started, r.EndOffset = true, page.EndOffset
 	}
 	r.Records = append(r.Records, page.Records...)
 	if len(page.Records) == 0 {
@@ -178,7 +178,7 @@
 func (f *KeyedFollower) recordReadAhead(newest KeyedBatch) {
 	f.readAhead = make(map[string]uint64)
 	for _, record := range newest.Records {
-		if record.Offset >= newest.End {
+		if record.Offset >= newest.EndOffset {
 			f.readAhead[record.Key] = record.Offset
 		}
 	}
--- a/internal/sharedlog/keyed_test.go
+++ b/internal/sharedlog/keyed_test.go
@@ -24,7 +24,7 @@
 	failed    int
 }
 
-func (l *pagedLog) Newest(ctx context.Context, _ Partition, after string) (KeyedPage, error) {
+func (l *pagedLog) ReadNewest(ctx context.Context, _ Partition, after string) (KeyedPage, error) {
 	l.requested = append(l.requested, after)
 	timer := time.NewTimer(l.latency)
 	defer timer.Stop()
@@ -37,7 +37,7 @@
 	for i, record := range l.keys {
 		if after == "" || after == l.keys[max(i-1, 0)].Key && i > 0 {
 			page := KeyedPage{More: i+1 < len(l.keys)}
-			page.Records, page.End = []KeyedRecord{record}, l.end+uint64(i)
+			page.Records, page.EndOffset = []KeyedRecord{record}, l.end+uint64(i)
 			return page, nil
 		}
 	}
@@ -49,7 +49,7 @@
 	for _, record := range l.later {
 		if record.Offset >= from {
 			batch.Records = append(batch.Records, record)
-			batch.Next = record.Offset + 1
+			batch.NextOffset = record.Offset + 1
 		}
 	}
 	if len(batch.Records) == 0 {
@@ -121,8 +121,8 @@
 		var counts []int
 		follower := &KeyedFollower{
 			Log: log, Apply: func([]KeyedRecord, uint64) {},
-			Early: func(records []KeyedRecord) { counts = append(counts, len(records)) },
-			Reset: func([]KeyedRecord, uint64) { cancel() },
+			OnPartial: func(records []KeyedRecord) { counts = append(counts, len(records)) },
+			Reset:     func([]KeyedRecord, uint64) { cancel() },
 		}
 		follower.Run(ctx)
 		require.Equal(t, []int{1, 2, 4}, counts, "each record is passed about twice in total")
--- a/internal/sharedlog/measured.go
+++ b/internal/sharedlog/measured.go
@@ -21,10 +21,10 @@
 	maxTimeout = 800 * time.Millisecond
 )
 
-// Measured wraps a log service and estimates its latency. It implements Log and Group. A
+// MeteredLog wraps a log service and estimates its latency. It implements Log and Group. A
 // node uses a single instance, so that all clients of the service on the node share the
 // estimate. It is safe for concurrent use if the service is.
-type Measured struct {
+type MeteredLog struct {
 	log   Log
 	group Group
 	// roundTrip is estimated from calls that the service answers immediately.
@@ -35,29 +35,29 @@
 	lastResponseAt atomic.Pointer[clock.Moment]
 }
 
-// Measure returns a wrapper of a log service and a group that measures their latency.
-func Measure(log Log, group Group) *Measured {
-	bounds := roundtrip.Bounds{Floor: minTimeout, Ceiling: maxTimeout}
-	m := &Measured{log: log, group: group, roundTrip: roundtrip.New(bounds), appendTime: roundtrip.New(bounds)}
+// NewMeteredLog returns a wrapper of a log service and a group that measures their latency.
+func NewMeteredLog(log Log, group Group) *MeteredLog {
+	bounds := roundtrip.Bounds{MinTimeout: minTimeout, MaxTimeout: maxTimeout}
+	m := &MeteredLog{log: log, group: group, roundTrip: roundtrip.New(bounds), appendTime: roundtrip.New(bounds)}
 	m.recordResponse(nil)
 	return m
 }
 
-// Way returns the estimator of the round-trip time to the service.
-func (m *Measured) Way() *roundtrip.Estimator { return m.roundTrip }
+// RoundTrip returns the estimator of the round-trip time to the service.
+func (m *MeteredLog) RoundTrip() *roundtrip.Estimator { return m.roundTrip }
 
-// Appends returns the estimator of the response time of appends, which a partition processes
+// AppendTime returns the estimator of the response time of appends, which a partition processes
 // one at a time.
-func (m *Measured) Appends() *roundtrip.Estimator { return m.appendTime }
+func (m *MeteredLog) AppendTime() *roundtrip.Estimator { return m.appendTime }
 
-// Quiet returns the time since the last successful response, or since m was created if there
+// SinceLastResponse returns the time since the last successful response, or since m was created if there
 // was none. It includes time for which the machine was suspended.
-func (m *Measured) Quiet() time.Duration { return m.lastResponseAt.Load().Age() }
+func (m *MeteredLog) SinceLastResponse() time.Duration { return m.lastResponseAt.Load().Age() }
 
 // recordResponse records the time of a response if the call succeeded.
-func (m *Measured) recordResponse(err error) {
+func (m *MeteredLog) recordResponse(err error) {
 	if err == nil {
-		now := clock.Mark()
+		now := clock.CurrentMoment()
 		m.lastResponseAt.Store(&now)
 	}
 }
@@ -70,10 +70,10 @@
 // routeKey is the context key of the *route of a call.
 type routeKey struct{}
 
-// WentAround marks the call of ctx as one that did not reach the service directly, for
+// MarkIndirect marks the call of ctx as one that did not reach the service directly, for
 // example because it was relayed by another node, or that tried a relay first. The duration
 // of such a call says nothing about the round-trip time and is not measured.
-func WentAround(ctx context.Context) {
+func MarkIndirect(ctx context.Context) {
 	if taken, ok := ctx.Value(routeKey{}).(*route); ok {
 		taken.indirect.Store(true)
 	}
@@ -81,7 +81,7 @@
 
 // timed makes a call and reports its outcome to an estimator. A call that its caller
 // canceled is not reported.
-func (m *Measured) timed(ctx context.Context, estimator *roundtrip.Estimator, call func(context.Context) error) error {
+func (m *MeteredLog) timed(ctx context.Context, estimator *roundtrip.Estimator, call func(context.Context) error) error {
 	taken := &route{}
 	began := time.Now()
 	err := call(context.WithValue(ctx, routeKey{}, taken))
@@ -89,40 +89,40 @@
 	now := time.Now()
 	switch {
 	case err == nil && taken.indirect.Load():
-		estimator.Reached(now)
+		estimator.RecordContact(now)
 	case err == nil:
-		estimator.Answered(now.Sub(began), now)
+		estimator.RecordAnswer(now.Sub(began), now)
 	case errors.Is(err, context.DeadlineExceeded) && !taken.indirect.Load():
-		estimator.GivenUp(now.Sub(began), now)
+		estimator.RecordAbandoned(now.Sub(began), now)
 	}
 	return err
 }
 
-// Beyond returns how much longer the service's responses take than those of a service in
+// ExtraLatency returns how much longer the service's responses take than those of a service in
 // the same data center.
-func (m *Measured) Beyond() time.Duration { return m.roundTrip.Beyond() }
+func (m *MeteredLog) ExtraLatency() time.Duration { return m.roundTrip.ExtraLatency() }
 
-// Away returns the round-trip time to the service, 0 before its first response.
-func (m *Measured) Away() time.Duration { return m.roundTrip.Read().Smoothed }
+// RoundTripTime returns the round-trip time to the service, 0 before its first response.
+func (m *MeteredLog) RoundTripTime() time.Duration { return m.roundTrip.Estimate().Smoothed }
 
 // recentAppendWindow is how long a successful append indicates that the service processes
 // appends. The service may have become unavailable since.
 const recentAppendWindow = 3 * time.Second
 
-// OverdueAppend returns the time after which an append counts as lost, and whether the
+// AppendTimeout returns the time after which an append counts as lost, and whether the
 // service responded to an append within recentAppendWindow. limit is the maximum for a
 // service in the same data center; it is extended by the extra latency of appends, and is
 // returned if there is no recent response.
-func (m *Measured) OverdueAppend(limit time.Duration) (after time.Duration, responsive bool) {
-	limit += m.appendTime.Beyond()
+func (m *MeteredLog) AppendTimeout(limit time.Duration) (after time.Duration, responsive bool) {
+	limit += m.appendTime.ExtraLatency()
 	if !m.appendTime.AnsweredSince(time.Now().Add(-recentAppendWindow)) {
 		return limit, false
 	}
-	return min(m.appendTime.Read().Timeout, limit), true
+	return min(m.appendTime.Estimate().Timeout, limit), true
 }
 
 // Append implements Log.
-func (m *Measured) Append(ctx context.Context, partition Partition, records [][]byte) (offset uint64, err error) {
+func (m *MeteredLog) Append(ctx context.Context, partition Partition, records [][]byte) (offset uint64, err error) {
 	err = m.timed(ctx, m.appendTime, func(ctx context.Context) (callErr error) {
 		offset, callErr = m.log.Append(ctx, partition, records)
 		return callErr
@@ -131,12 +131,12 @@
 }
 
 // AppendKeyed implements Log.
-func (m *Measured) AppendKeyed(ctx context.Context, partition Partition, records []KeyedRecord) error {
+func (m *MeteredLog) AppendKeyed(ctx context.Context, partition Partition, records []KeyedRecord) error {
 	return m.timed(ctx, m.appendTime, func(ctx context.Context) error { return m.log.AppendKeyed(ctx, partition, records) })
 }
 
 // Read implements Log. A read that may wait at the service is not measured.
-func (m *Measured) Read(ctx context.Context, partition Partition, from uint64, wait time.Duration) (batch Batch, err error) {
+func (m *MeteredLog) Read(ctx context.Context, partition Partition, from uint64, wait time.Duration) (batch Batch, err error) {
 	if wait > 0 {
 		batch, err = m.log.Read(ctx, partition, from, wait)
 		m.recordResponse(err)
@@ -149,17 +149,17 @@
 	return batch, err
 }
 
-// ReadPart implements Log.
-func (m *Measured) ReadPart(ctx context.Context, partition Partition, from uint64, maxBytes int) (batch Batch, err error) {
+// ReadAvailable implements Log.
+func (m *MeteredLog) ReadAvailable(ctx context.Context, partition Partition, from uint64, maxBytes int) (batch Batch, err error) {
 	err = m.timed(ctx, m.roundTrip, func(ctx context.Context) (callErr error) {
-		batch, callErr = m.log.ReadPart(ctx, partition, from, maxBytes)
+		batch, callErr = m.log.ReadAvailable(ctx, partition, from, maxBytes)
 		return callErr
 	})
 	return batch, err
 }
 
 // ReadKeyed implements Log. A read that may wait at the service is not measured.
-func (m *Measured) ReadKeyed(ctx context.Context, partition Partition, from uint64, wait time.Duration) (batch KeyedBatch, err error) {
+func (m *MeteredLog) ReadKeyed(ctx context.Context, partition Partition, from uint64, wait time.Duration) (batch KeyedBatch, err error) {
 	if wait > 0 {
 		batch, err = m.log.ReadKeyed(ctx, partition, from, wait)
 		m.recordResponse(err)
@@ -172,16 +172,16 @@
 	return batch, err
 }
 
-// Newest implements Log. It is not measured, because pages are large and their duration
+// ReadNewest implements Log. It is not measured, because pages are large and their duration
 // depends mostly on the transfer.
-func (m *Measured) Newest(ctx context.Context, partition Partition, after string) (KeyedPage, error) {
-	page, err := m.log.Newest(ctx, partition, after)
+func (m *MeteredLog) ReadNewest(ctx context.Context, partition Partition, after string) (KeyedPage, error) {
+	page, err := m.log.ReadNewest(ctx, partition, after)
 	m.recordResponse(err)
 	return page, err
 }
 
 // Join implements Group.
-func (m *Measured) Join(ctx context.Context, group, member, topic string, ttl time.Duration, generation uint64) (share Share, err error) {
+func (m *MeteredLog) Join(ctx context.Context, group, member, topic string, ttl time.Duration, generation uint64) (share Assignment, err error) {
 	err = m.timed(ctx, m.roundTrip, func(ctx context.Context) (callErr error) {
 		share, callErr = m.group.Join(ctx, group, member, topic, ttl, generation)
 		return callErr
@@ -190,14 +190,14 @@
 }
 
 // Leave implements Group.
-func (m *Measured) Leave(ctx context.Context, group, member string) error {
+func (m *MeteredLog) Leave(ctx context.Context, group, member string) error {
 	err := m.group.Leave(ctx, group, member)
 	m.recordResponse(err)
 	return err
 }
 
 // Owners implements Group.
-func (m *Measured) Owners(ctx context.Context, group string) (owners []Owner, err error) {
+func (m *MeteredLog) Owners(ctx context.Context, group string) (owners []Owner, err error) {
 	err = m.timed(ctx, m.roundTrip, func(ctx context.Context) (callErr error) {
 		owners, callErr = m.group.Owners(ctx, group)
 		return callErr
--- a/internal/sharedlog/measured_test.go
+++ b/internal/sharedlog/measured_test.go
@@ -46,7 +46,7 @@
 	return nil, l.respond(ctx)
 }
 
-func appendTo(t *testing.T, log *Measured, count int) {
+func appendTo(t *testing.T, log *MeteredLog, count int) {
 	t.Helper()
 	for range count {
 		_, err := log.Append(t.Context(), Partition{}, nil)
@@ -58,20 +58,20 @@
 	synctest.Test(t, func(t *testing.T) {
 		const limit = 250 * time.Millisecond
 		slow := &slowLog{latency: 5 * time.Millisecond}
-		log := Measure(slow, slow)
-		after, responsive := log.OverdueAppend(limit)
+		log := NewMeteredLog(slow, slow)
+		after, responsive := log.AppendTimeout(limit)
 		require.False(t, responsive)
 		require.Equal(t, limit, after)
 		appendTo(t, log, 20)
-		after, responsive = log.OverdueAppend(limit)
+		after, responsive = log.AppendTimeout(limit)
 		require.True(t, responsive)
 		require.Equal(t, minTimeout, after)
 		slow.latency = limit
 		appendTo(t, log, 40)
-		after, _ = log.OverdueAppend(limit)
+		after, _ = log.AppendTimeout(limit)
 		require.Greater(t, after, limit, "appends to a slow log do not count as lost")
 		time.Sleep(recentAppendWindow + time.Millisecond)
-		_, responsive = log.OverdueAppend(limit)
+		_, responsive = log.AppendTimeout(limit)
 		require.False(t, responsive, "there was no recent response")
 	})
 }
@@ -79,7 +79,7 @@
 func TestRoundTripIsThatOfCallsAnsweredImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slow := &slowLog{latency: 94 * time.Millisecond}
-		log := Measure(slow, slow)
+		log := NewMeteredLog(slow, slow)
 		for range 60 {
 			_, err := log.Owners(t.Context(), "")
 			require.NoError(t, err)
@@ -87,10 +87,10 @@
 			_, err = log.Read(t.Context(), Partition{}, 0, pollWait)
 			require.NoError(t, err)
 		}
-		require.Equal(t, 94*time.Millisecond, log.Way().Read().Smoothed)
-		require.Less(t, log.Beyond(), 94*time.Millisecond)
-		require.Greater(t, log.Beyond(), 70*time.Millisecond)
-		require.Zero(t, log.Appends().Read().Smoothed)
+		require.Equal(t, 94*time.Millisecond, log.RoundTrip().Estimate().Smoothed)
+		require.Less(t, log.ExtraLatency(), 94*time.Millisecond)
+		require.Greater(t, log.ExtraLatency(), 70*time.Millisecond)
+		require.Zero(t, log.AppendTime().Estimate().Smoothed)
 	})
 }
 
@@ -98,18 +98,18 @@
 func TestCanceledCallDoesNotCountAsLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slow := &slowLog{unresponsive: true}
-		log := Measure(slow, slow)
-		before := log.Way().Read().Timeout
+		log := NewMeteredLog(slow, slow)
+		before := log.RoundTrip().Estimate().Timeout
 		ctx, cancel := context.WithCancel(t.Context())
 		time.AfterFunc(time.Second, cancel)
 		_, err := log.Owners(ctx, "")
 		require.Error(t, err)
-		require.Equal(t, before, log.Way().Read().Timeout)
+		require.Equal(t, before, log.RoundTrip().Estimate().Timeout)
 		ctx, cancel = context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		_, err = log.Owners(ctx, "")
 		require.Error(t, err)
-		require.Greater(t, log.Way().Read().Timeout, before)
+		require.Greater(t, log.RoundTrip().Estimate().Timeout, before)
 	})
 }
 
@@ -119,9 +119,9 @@
 func TestFollowerOfADistantLogStaysCurrent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slow := &slowLog{latency: 244 * time.Millisecond}
-		log := Measure(slow, slow)
+		log := NewMeteredLog(slow, slow)
 		ctx, cancel := context.WithCancel(t.Context())
-		follower := &Follower{Log: log, Apply: func(uint64, [][]byte) {}, Beyond: log.Beyond}
+		follower := &Follower{Log: log, Apply: func(uint64, [][]byte) {}, ExtraLatency: log.ExtraLatency}
 		ended := make(chan struct{})
 		go func() { defer close(ended); follower.Run(ctx) }()
 		for range 20 {
@@ -133,7 +133,7 @@
 			time.Sleep(time.Millisecond)
 			oldest = max(oldest, time.Since(follower.Health.CurrentAt()))
 		}
-		require.Less(t, oldest, pollWait+244*time.Millisecond+withExtraLatency(0, log.Beyond))
+		require.Less(t, oldest, pollWait+244*time.Millisecond+withExtraLatency(0, log.ExtraLatency))
 		cancel()
 		<-ended
 	})
--- a/internal/sharedlog/probe_test.go
+++ b/internal/sharedlog/probe_test.go
@@ -85,7 +85,7 @@
 		}
 	}
 	require.Equal(t, 4*(readsPerProbeCycle-1), probes)
-	health.recordSuccess(clock.Mark())
+	health.recordSuccess(clock.CurrentMoment())
 	require.False(t, health.nextIsProbe())
 }
 
--- a/internal/sharedlog/sharedlog.go
+++ b/internal/sharedlog/sharedlog.go
@@ -18,12 +18,12 @@
 
 // Batch is the result of one read.
 type Batch struct {
-	// End is the offset after the last record of the partition.
-	End uint64
-	// First is the oldest retained offset. It is also set if the read fails with
+	// EndOffset is the offset after the last record of the partition.
+	EndOffset uint64
+	// OldestOffset is the oldest retained offset. It is also set if the read fails with
 	// LogTruncated.
-	First   uint64
-	Records [][]byte
+	OldestOffset uint64
+	Records      [][]byte
 }
 
 // KeyedRecord is a record of a keyed topic. An empty value deletes the key.
@@ -38,20 +38,20 @@
 
 // KeyedBatch is the result of one read of a keyed partition.
 type KeyedBatch struct {
-	// End is the offset after the last record of the partition.
-	End     uint64
-	Records []KeyedRecord
-	// Next is the offset of the next read, 0 if there are no new records. The batch may omit
+	// EndOffset is the offset after the last record of the partition.
+	EndOffset uint64
+	Records   []KeyedRecord
+	// NextOffset is the offset of the next read, 0 if there are no new records. The batch may omit
 	// records before it that are of no use to this reader.
-	Next uint64
+	NextOffset uint64
 	// Age is the age of the batch if it comes from a cache, 0 if it comes from the log.
 	Age time.Duration
-	// Held is how long the service waited for new records, if the batch has none.
-	Held time.Duration
+	// Waited is how long the service waited for new records, if the batch has none.
+	Waited time.Duration
 }
 
 // KeyedPage is a page of the newest records of a keyed partition. The pages do not form a
-// consistent snapshot; a reader continues from the End of the first page.
+// consistent snapshot; a reader continues from the EndOffset of the first page.
 type KeyedPage struct {
 	KeyedBatch
 	// More is set if there are keys after the last one of the page.
@@ -68,20 +68,20 @@
 	// Read returns records starting at an offset. If there are none it waits up to wait for
 	// one.
 	Read(ctx context.Context, partition Partition, from uint64, wait time.Duration) (Batch, error)
-	// ReadPart returns available records starting at an offset without waiting: about
+	// ReadAvailable returns available records starting at an offset without waiting: about
 	// maxBytes bytes of them, and at least one record.
-	ReadPart(ctx context.Context, partition Partition, from uint64, maxBytes int) (Batch, error)
+	ReadAvailable(ctx context.Context, partition Partition, from uint64, maxBytes int) (Batch, error)
 	// ReadKeyed is Read for a keyed topic.
 	ReadKeyed(ctx context.Context, partition Partition, from uint64, wait time.Duration) (KeyedBatch, error)
 	// AppendKeyed is Append for a keyed topic.
 	AppendKeyed(ctx context.Context, partition Partition, records []KeyedRecord) error
-	// Newest returns a page of the newest record of each key, in the order of keys. The page
+	// ReadNewest returns a page of the newest record of each key, in the order of keys. The page
 	// starts after a given key, or at the first key if that is empty.
-	Newest(ctx context.Context, partition Partition, after string) (KeyedPage, error)
+	ReadNewest(ctx context.Context, partition Partition, after string) (KeyedPage, error)
 }
 
-// Share is the partition assignment of one group member.
-type Share struct {
+// Assignment is the partition assignment of one group member.
+type Assignment struct {
 	// Generation increases with every rebalance of the group.
 	Generation uint64
 	Partitions []Partition
@@ -92,7 +92,7 @@
 	// Join joins the group or renews the membership. generation is that of the last
 	// assignment received, 0 if there is none. The assignment is valid until ttl after the
 	// call was sent.
-	Join(ctx context.Context, group, member, topic string, ttl time.Duration, generation uint64) (Share, error)
+	Join(ctx context.Context, group, member, topic string, ttl time.Duration, generation uint64) (Assignment, error)
 	// Leave ends the membership and releases the assignment at once.
 	Leave(ctx context.Context, group, member string) error
 	// Owners returns the partitions that members hold. The caller need not be a member.
--- a/internal/simnet/network.go
+++ b/internal/simnet/network.go
@@ -14,14 +14,14 @@
 	"github.com/pathbend/pathbend/internal/network"
 )
 
-// Latency returns the one-way latency between two zones, without jitter.
-type Latency func(from, to string) time.Duration
+// LatencyFunc returns the one-way latency between two zones, without jitter.
+type LatencyFunc func(from, to string) time.Duration
 
 // Network connects hosts. It implements lab.Networks and is safe for concurrent
 // use.
 type Network struct {
 	seed    uint64
-	latency Latency
+	latency LatencyFunc
 
 	mutex sync.Mutex
 	// zones holds the zone of each host by name, connCounts the number of
@@ -41,7 +41,7 @@
 
 // linkState holds the faults of one direction.
 type linkState struct {
-	// blocks counts the calls of Hold in force, pauses those of Pause for either
+	// blocks counts the calls of Block in force, pauses those of Pause for either
 	// host. A paused host still acknowledges, so that no connection times out.
 	blocks       int
 	pauses       int
@@ -49,7 +49,7 @@
 }
 
 // New returns a network without hosts. The seed determines the jitter.
-func New(seed uint64, latency Latency) *Network {
+func New(seed uint64, latency LatencyFunc) *Network {
 	return &Network{
 		seed: seed, latency: latency, zones: make(map[string]string), listeners: make(map[string]*listener),
 		links: make(map[direction]*linkState), down: make(map[string]bool), connCounts: make(map[direction]uint64),
@@ -157,9 +157,9 @@
 	return state
 }
 
-// Hold blocks delivery in one direction until Release has been called as often. A
+// Block blocks delivery in one direction until Unblock has been called as often. A
 // connection whose bytes stay undelivered for network.UnackedTimeout is reset.
-func (n *Network) Hold(from, to string) {
+func (n *Network) Block(from, to string) {
 	d := direction{from, to}
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -190,8 +190,8 @@
 	time.AfterFunc(unackedCheckInterval, func() { n.resetUnacked(d) })
 }
 
-// Release reverts one call of Hold.
-func (n *Network) Release(from, to string) {
+// Unblock reverts one call of Block.
+func (n *Network) Unblock(from, to string) {
 	n.mutex.Lock()
 	n.link(direction{from, to}).blocks--
 	n.mutex.Unlock()
--- a/internal/simulation/crashing_test.go
+++ b/internal/simulation/crashing_test.go
@@ -58,7 +58,7 @@
 		failed, sent := 0, 0
 		callers.Go(func() { failed, sent = sendOtherRequests(ctx, cluster, network) })
 		callers.Wait()
-		runs := cluster.Truth.CrashingRuns()
+		runs := cluster.Checker.CrashingRuns()
 		t.Logf("%d crashing runs, %d late; %d of %d other requests failed", runs.Runs, runs.LateRuns, failed, sent)
 		require.GreaterOrEqual(t, runs.Runs, 3)
 		require.LessOrEqual(t, runs.LateRuns, maxLateRuns, "%d runs", runs.Runs)
@@ -131,7 +131,7 @@
 				ctx, stop := context.WithTimeout(context.Background(), crashingDuration)
 				defer stop()
 				send(ctx, cluster, network)
-				runs := cluster.Truth.CrashingRuns()
+				runs := cluster.Checker.CrashingRuns()
 				t.Logf("%d runs, %d late", runs.Runs, runs.LateRuns)
 				require.GreaterOrEqual(t, runs.Runs, 3)
 				require.LessOrEqual(t, runs.LateRuns, maxLateRuns, "%d runs", runs.Runs)
--- a/internal/simulation/mutation_test.go
+++ b/internal/simulation/mutation_test.go
@@ -23,7 +23,7 @@
 	{Promise: "whole answer to its own request", Edits: []mutation.Edit{mutation.Replace("internal/dispatch/protocol.go", "case echoed != requestID:", "case false:")}},
 	{Promise: "not run is true", Edits: []mutation.Edit{mutation.Replace("internal/result/definitions.go", `{AnswerLost, "answer_lost", http.StatusBadGateway, Unknown,`,
 		`{AnswerLost, "answer_lost", http.StatusBadGateway, NotRun,`)}},
-	{Promise: "at most once", Edits: []mutation.Edit{mutation.Replace("internal/gateway/application.go", "return g.services.Keyed", "return g.services.Dispatcher")}},
+	{Promise: "at most once", Edits: []mutation.Edit{mutation.Replace("internal/gateway/application.go", "return g.services.IdempotentDispatcher", "return g.services.Dispatcher")}},
 	{Promise: "leaving back ends get nothing new", Edits: []mutation.Edit{mutation.Replace("internal/routing/not_leaving.go", "return !endpoint.Leaving", "return true")}},
 	{Promise: "a planned stop cuts nothing", Test: "TestPlannedRestartsFailNoRequest", Edits: []mutation.Edit{
 		mutation.Replace("internal/node/node.go", "	idle := n.gateway.Drain()\n", "	idle := make(chan struct{})\n	close(idle)\n"),
@@ -35,5 +35,5 @@
 // TestEachMechanismIsNeeded disables one mechanism at a time and expects the
 // simulation to fail.
 func TestEachMechanismIsNeeded(t *testing.T) {
-	mutation.Simulation{Package: "./internal/simulation", Arguments: []string{"-seeds", "50"}}.ExpectCaught(t, mutations)
+	mutation.Simulation{Package: "./internal/simulation", Arguments: []string{"-seeds", "50"}}.RequireDetected(t, mutations)
 }
--- a/internal/simulation/propagation_test.go
+++ b/internal/simulation/propagation_test.go
@@ -65,7 +65,7 @@
 		r.crashNode(victim)
 		time.Sleep(crashDetectionLimit)
 		for _, slot := range cluster.Nodes[1:] {
-			require.Equal(t, "dead", slot.Node().Sees(id), slot.Name)
+			require.Equal(t, "dead", slot.Node().MemberStatusOf(id), slot.Name)
 		}
 		require.Zero(t, countDeadReports(cluster, id), "reports that another node is dead")
 	})
--- a/internal/simulation/revisions.go
+++ b/internal/simulation/revisions.go
@@ -31,7 +31,7 @@
 			}
 			_, revision := running.Current()
 			if revision > 0 && revision < highest[slot.Name] {
-				r.cluster.Truth.Violate("node %s reverted from revision %d to %d", slot.Name, highest[slot.Name], revision)
+				r.cluster.Checker.ReportViolation("node %s reverted from revision %d to %d", slot.Name, highest[slot.Name], revision)
 			}
 			highest[slot.Name] = max(highest[slot.Name], revision)
 		}
@@ -46,7 +46,7 @@
 	want := r.acceptedPublishes()
 	for !r.converged(want) {
 		if !wait.For(ctx, revisionCheckInterval) {
-			r.cluster.Truth.Violate("not all nodes reached revision %d within %v after the last fault", want, convergenceTimeout)
+			r.cluster.Checker.ReportViolation("not all nodes reached revision %d within %v after the last fault", want, convergenceTimeout)
 			return
 		}
 	}
--- a/internal/simulation/run.go
+++ b/internal/simulation/run.go
@@ -94,7 +94,7 @@
 	// which takes virtual time.
 	defer time.Sleep(shutdownWait)
 	defer cluster.Close()
-	cluster.Truth.TraceWriter = options.Trace
+	cluster.Checker.TraceWriter = options.Trace
 	r := &simulationRun{network: network, cluster: cluster}
 	ready, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
@@ -132,9 +132,9 @@
 
 // fillReport writes the observations of the run into a report.
 func (r *simulationRun) fillReport(report *Report, load *lab.Load) {
-	report.Violations = r.cluster.Truth.Judge()
-	report.Summary = r.cluster.Truth.Summary()
-	report.TraceHash = r.cluster.Truth.TraceHash()
+	report.Violations = r.cluster.Checker.CheckInvariants()
+	report.Summary = r.cluster.Checker.Summary()
+	report.TraceHash = r.cluster.Checker.TraceHash()
 	report.Segments = r.network.Segments()
 	for _, trainer := range load.Trainers {
 		report.Steps[trainer.Tenant] = len(trainer.Steps())
@@ -153,12 +153,12 @@
 func (r *simulationRun) inject(fault Fault) {
 	end, err := r.start(fault)
 	if err != nil {
-		r.cluster.Truth.Violate("fault %v could not be started: %v", fault, err)
+		r.cluster.Checker.ReportViolation("fault %v could not be started: %v", fault, err)
 		return
 	}
 	time.Sleep(fault.For)
 	if err := end(); err != nil {
-		r.cluster.Truth.Violate("fault %v could not be ended: %v", fault, err)
+		r.cluster.Checker.ReportViolation("fault %v could not be ended: %v", fault, err)
 	}
 }
 
@@ -264,11 +264,11 @@
 // blockLinks blocks the given directions. The returned function unblocks them.
 func (r *simulationRun) blockLinks(pairs [][2]string) func() error {
 	for _, pair := range pairs {
-		r.network.Hold(pair[0], pair[1])
+		r.network.Block(pair[0], pair[1])
 	}
 	return func() error {
 		for _, pair := range pairs {
-			r.network.Release(pair[0], pair[1])
+			r.network.Unblock(pair[0], pair[1])
 		}
 		return nil
 	}
--- a/internal/soak/mutation_test.go
+++ b/internal/soak/mutation_test.go
@@ -24,7 +24,7 @@
 		mutation.Replace("internal/routing/not_evacuated.go", "return !endpoint.Evacuated", "return true"),
 	}}},
 	{2, mutation.Mutant{Promise: "HOME: items go to samplers of their regions", Edits: []mutation.Edit{
-		mutation.Replace("internal/schedule/item.go", "if p.Regions.Bound() && !p.Regions.Allow(p.Topology.Region(sampler.Zone)) {", "if false {"),
+		mutation.Replace("internal/schedule/item.go", "if p.Regions.Restricted() && !p.Regions.Allows(p.Topology.Region(sampler.Zone)) {", "if false {"),
 	}}},
 }
 
--- a/internal/soak/processes.go
+++ b/internal/soak/processes.go
@@ -26,7 +26,7 @@
 )
 
 // environment consists of real node processes and loopback links. It implements
-// platformsim.Surroundings.
+// platformsim.Environment.
 type environment struct {
 	// program is the path of the pathbend program.
 	program string
@@ -106,10 +106,10 @@
 	machine.storeLink.update(func(state *linkState) { state.reset = false })
 }
 
-// Network implements platformsim.Surroundings.
+// Network implements platformsim.Environment.
 func (e *environment) Network(string, string) network.Network { return network.TCP{} }
 
-// Listen implements platformsim.Surroundings. Other machines connect through a proxy, whose
+// Listen implements platformsim.Environment. Other machines connect through a proxy, whose
 // address stays the same when the machine restarts.
 func (e *environment) Listen(machine, zone, _ string) (net.Listener, string, error) {
 	listener, err := network.TCP{}.Listen("127.0.0.1:0")
@@ -294,15 +294,15 @@
 	}
 }
 
-// Front implements platformsim.Surroundings.
+// Front implements platformsim.Environment.
 func (e *environment) Front(node string) string { return e.node(node).callersLink.address() }
 
-// Readiness implements platformsim.Surroundings.
+// Readiness implements platformsim.Environment.
 func (e *environment) Readiness(node string) string { return e.node(node).readiness }
 
-// StartNode implements platformsim.Surroundings.
+// StartNode implements platformsim.Environment.
 func (e *environment) StartNode(settings platform.Settings, logs io.Writer) (platformsim.NodeProcess, error) {
-	machine := e.node(settings.Node)
+	machine := e.node(settings.NodeName)
 	settings.Listen.Front, settings.Listen.Readiness = machine.front, machine.readiness
 	settings.Store.Address = machine.storeLink.address()
 	peerAddress, err := net.ResolveTCPAddr("tcp", machine.peerAddress)
@@ -314,7 +314,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "encode settings")
 	}
-	settingsPath := filepath.Join(e.directory, settings.Node+".yaml")
+	settingsPath := filepath.Join(e.directory, settings.NodeName+".yaml")
 	if err := os.WriteFile(settingsPath, content, 0o600); err != nil {
 		return nil, errors.Wrap(err, "write settings")
 	}
@@ -322,7 +322,7 @@
 	if err != nil {
 		return nil, err
 	}
-	go e.recordExit(settings.Node, process)
+	go e.recordExit(settings.NodeName, process)
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	machine.process = process
@@ -359,16 +359,16 @@
 	}
 }
 
-// Pause implements platformsim.Surroundings.
+// Pause implements platformsim.Environment.
 func (e *environment) Pause(node string) { e.signal(node, syscall.SIGSTOP) }
 
-// Resume implements platformsim.Surroundings.
+// Resume implements platformsim.Environment.
 func (e *environment) Resume(node string) { e.signal(node, syscall.SIGCONT) }
 
-// Crash implements platformsim.Surroundings.
+// Crash implements platformsim.Environment.
 func (e *environment) Crash(machine string) { e.setReset(machine, true) }
 
-// Restore implements platformsim.Surroundings.
+// Restore implements platformsim.Environment.
 func (e *environment) Restore(machine string) { e.setReset(machine, false) }
 
 // setReset resets all connections of a machine and refuses new ones, or accepts them again.
@@ -391,12 +391,12 @@
 	return nil
 }
 
-// Isolate implements platformsim.Surroundings. It blocks links of the machines inside: only
+// Isolate implements platformsim.Environment. It blocks links of the machines inside: only
 // those to the store if nothing else is outside, otherwise all of them, including links among
 // the machines inside. Links between nodes have no proxy and are not blocked.
 func (e *environment) Isolate(inside, outside []string) { e.setIsolation(inside, outside, true) }
 
-// Rejoin implements platformsim.Surroundings.
+// Rejoin implements platformsim.Environment.
 func (e *environment) Rejoin(inside, outside []string) { e.setIsolation(inside, outside, false) }
 
 // setIsolation blocks or unblocks the links that Isolate describes.
@@ -447,7 +447,7 @@
 // startProcess starts a node with a settings file. logs receives its output and may be nil.
 func startProcess(program, settingsPath string, logs io.Writer) (*nodeProcess, error) {
 	p := &nodeProcess{command: exec.Command(program, "platform", "--log-level", "INFO"), done: make(chan struct{}), outputTail: &tailWriter{}}
-	p.command.Env = append(os.Environ(), platform.SettingsVariable+"="+settingsPath)
+	p.command.Env = append(os.Environ(), platform.SettingsPathVariable+"="+settingsPath)
 	p.command.Stdout = io.Writer(p.outputTail)
 	if logs != nil {
 		p.command.Stdout = io.MultiWriter(logs, p.outputTail)
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -115,16 +115,16 @@
 	}
 	r.world = platformsim.NewWorld(platformsim.Options{
 		Seed: options.Seed, NodesPerZone: nodesPerZone, Samplers: samplerCount * multiplier, Applications: applicationCount * multiplier,
-		Models: []string{"m1", "m2"}, Logs: options.Logs, Surroundings: r.environment, Nameless: true, Regions: regions,
+		Models: []string{"m1", "m2"}, Logs: options.Logs, Environment: r.environment, NodesUnidentified: true, Regions: regions,
 	})
 	defer r.environment.close()
 	defer r.world.Close()
 	r.samplerNames = r.world.Samplers()
 	r.runRounds(ctx)
-	r.report.Counts = r.world.Truth.Counts()
+	r.report.Counts = r.world.Checker.Counts()
 	r.report.Processes = r.environment.processCount
-	r.report.Violations = r.world.Truth.Violations()
-	r.report.Causes, r.report.MaxWakeDelay = r.world.Truth.Causes(), r.world.Truth.Latest()
+	r.report.Violations = r.world.Checker.Violations()
+	r.report.Causes, r.report.MaxWakeDelay = r.world.Checker.Causes(), r.world.Checker.MaxWakeDelay()
 	for _, exit := range r.environment.listUnexpectedExits() {
 		r.report.Violations = append(r.report.Violations, "ENDED: "+exit)
 	}
@@ -135,14 +135,14 @@
 func (r *run) runRounds(ctx context.Context) {
 	background, stop := context.WithCancel(ctx)
 	var loops conc.WaitGroup
-	loops.Go(func() { r.world.Heartbeats(background) })
-	loops.Go(func() { r.world.WatchReadiness(background) })
-	loops.Go(func() { r.world.Truth.WatchLateness(background) })
+	loops.Go(func() { r.world.SendHeartbeats(background) })
+	loops.Go(func() { r.world.PollReadiness(background) })
+	loops.Go(func() { r.world.Checker.MeasureWakeDelays(background) })
 	r.world.PutConfig(0)
 	wait.For(ctx, startupDuration)
 	trafficCtx, stopTraffic := context.WithCancel(background)
 	var callers conc.WaitGroup
-	callers.Go(func() { r.world.Traffic(trafficCtx) })
+	callers.Go(func() { r.world.RunTraffic(trafficCtx) })
 	random := rand.New(rand.NewPCG(r.options.Seed, 29))
 	for startedAt := time.Now(); ctx.Err() == nil && time.Since(startedAt) < r.options.Time; {
 		r.runRound(ctx, random)
@@ -152,7 +152,7 @@
 	wait.For(ctx, completionDuration)
 	stop()
 	loops.Wait()
-	r.world.JudgeEnd(ctx)
+	r.world.CheckAcceptedJobs(ctx)
 }
 
 // runRound injects the faults of one round and waits until the system has recovered.
--- a/internal/soak/trouble.go
+++ b/internal/soak/trouble.go
@@ -52,7 +52,7 @@
 		applyToLink((*run).samplerLink, func(p *proxy, on bool) {
 			p.update(func(state *linkState) { state.delay = delayIf(on) })
 			// Data in transit arrives together with what is sent next.
-			r.world.Truth.Held("")
+			r.world.Checker.RecordHeldTraffic("")
 		})(ctx, r, target)
 	}},
 	{name: "sampler_answers_held", atSampler: true, run: applyToLink((*run).samplerLink, func(p *proxy, on bool) { p.update(func(state *linkState) { state.blockResponses = on }) })},
@@ -102,7 +102,7 @@
 		r.environment.Pause(node)
 		wait.For(ctx, quotaPeriod-quotaRunTime)
 		r.environment.Resume(node)
-		r.world.Truth.Held(node)
+		r.world.Checker.RecordHeldTraffic(node)
 	}
 }
 
@@ -120,8 +120,8 @@
 // alternatingKinds are the faults one of which every second round has. The other rounds have an
 // evacuation, whose deadline can be checked only while there are no other faults.
 var alternatingKinds = []platformsim.FaultKind{
-	platformsim.ColdReturn, platformsim.KeysTaken, platformsim.ZoneCut, platformsim.ZoneLost,
-	platformsim.SamplersTurnCold, platformsim.StoreForgets,
+	platformsim.ZoneRestartsCold, platformsim.KeysRevoked, platformsim.ZoneCut, platformsim.ZoneLost,
+	platformsim.SamplersTurnCold, platformsim.StoreDropsHistory,
 }
 
 const (
@@ -212,21 +212,21 @@
 // An environment fault records which place it affects, and that all machines are disturbed.
 func (r *run) randomFault(random *rand.Rand, startAfter, duration time.Duration, target uint64) scheduledFault {
 	if random.IntN(2) != 0 {
-		return r.simulationFault(platformsim.AnyKind(random), startAfter, duration, target)
+		return r.simulationFault(platformsim.RandomKind(random), startAfter, duration, target)
 	}
 	chosen := environmentFaults[random.IntN(len(environmentFaults))]
 	return scheduledFault{name: chosen.name, startAfter: startAfter, duration: duration, inject: func(ctx context.Context) {
-		place := platformsim.AtSamplers
+		place := platformsim.PlaceSamplers
 		if !chosen.atSampler {
 			place = r.nodeName(target)
 		}
-		recordEnd := r.world.Truth.Trouble(place, chosen.name, time.Now().Add(duration), chosen.planned)
+		recordEnd := r.world.Checker.RecordDisruption(place, chosen.name, time.Now().Add(duration), chosen.planned)
 		defer recordEnd()
-		r.world.Truth.Disturb("", time.Now().Add(duration))
+		r.world.Checker.RecordDisturbance("", time.Now().Add(duration))
 		ctx, cancel := context.WithTimeout(ctx, duration)
 		defer cancel()
 		chosen.run(ctx, r, target)
-		r.world.Healed()
+		r.world.RecordRecovery()
 	}}
 }
 
--- a/internal/state/machine.go
+++ b/internal/state/machine.go
@@ -74,7 +74,7 @@
 	rosterEpoch uint64
 	leases      *lease.Table
 	shards      *shard.Table
-	suspects    quarantine.Book
+	suspects    quarantine.Registry
 	// appliedIDs holds the latest record ids, and appliedOrder the same, oldest first.
 	appliedIDs   map[string]struct{}
 	appliedOrder []string
@@ -121,7 +121,7 @@
 func (m *Machine) Shards() *shard.Table { return m.shards }
 
 // Suspects returns the requests under which back ends crashed. The caller must not modify them.
-func (m *Machine) Suspects() *quarantine.Book { return &m.suspects }
+func (m *Machine) Suspects() *quarantine.Registry { return &m.suspects }
 
 // Apply applies one record. It skips entries below Next, so that callers may
 // pass overlapping batches, and rejects an entry beyond Next, since a gap is a
--- a/internal/state/machine_test.go
+++ b/internal/state/machine_test.go
@@ -56,11 +56,11 @@
 		require.NoError(t, outcome.Err)
 		require.Equal(t, offset < 2, outcome.Changed == PartSuspects, "a repeated record changes nothing")
 	}
-	require.Equal(t, []string{"a", "b"}, machine.Suspects().All()[0].Ended)
+	require.Equal(t, []string{"a", "b"}, machine.Suspects().All()[0].CrashedBackEnds)
 	malformed := suspect("c", 0, 1)
 	malformed.GetSuspect().Digest = nil
 	require.Error(t, machine.Apply(logstore.Entry{Offset: 3, Data: encode(t, "m", malformed)}).Err)
-	require.Len(t, machine.Suspects().All()[0].Ended, 2)
+	require.Len(t, machine.Suspects().All()[0].CrashedBackEnds, 2)
 }
 
 func TestConflictingPublishNamesTheWinner(t *testing.T) {
--- a/internal/state/snapshot.go
+++ b/internal/state/snapshot.go
@@ -77,8 +77,8 @@
 	return nil
 }
 
-func decodeSuspects(encoded []*pathbendv1.SuspectRequest) (quarantine.Book, error) {
-	var suspects quarantine.Book
+func decodeSuspects(encoded []*pathbendv1.SuspectRequest) (quarantine.Registry, error) {
+	var suspects quarantine.Registry
 	for _, suspect := range encoded {
 		record, err := quarantine.Decode(suspect)
 		if err != nil {
--- a/internal/warmup/budget.go
+++ b/internal/warmup/budget.go
@@ -19,13 +19,13 @@
 // Limits are the limits of one sender for the samplers of one service. The zero value
 // means that the samplers are never cold and have no limits.
 type Limits struct {
-	// ColdFor is how long a sampler is cold after its start.
-	ColdFor time.Duration
-	// Cold is the maximum number of requests in any second to a cold sampler. It may be 0.
-	Cold int
-	// Warm is the maximum number of requests in any second to any other sampler, which may
+	// ColdDuration is how long a sampler is cold after its start.
+	ColdDuration time.Duration
+	// ColdPerSecond is the maximum number of requests in any second to a cold sampler. It may be 0.
+	ColdPerSecond int
+	// WarmPerSecond is the maximum number of requests in any second to any other sampler, which may
 	// have restarted without this node having noticed. It may be 0.
-	Warm int
+	WarmPerSecond int
 }
 
 // NewLimits returns the limits of a service whose samplers are cold for coldFor after a
@@ -38,13 +38,13 @@
 		return Limits{}
 	}
 	share := (perSecond*overFactor + slack) / maxSenders
-	return Limits{ColdFor: coldFor, Cold: atLeastOne(min(perSecond, share)), Warm: atLeastOne(share)}
+	return Limits{ColdDuration: coldFor, ColdPerSecond: atLeastOne(min(perSecond, share)), WarmPerSecond: atLeastOne(share)}
 }
 
 func atLeastOne(requests float64) int { return max(int(requests), 1) }
 
 // limited reports whether samplers are ever cold, so that the limits apply.
-func (l Limits) limited() bool { return l.ColdFor > 0 }
+func (l Limits) limited() bool { return l.ColdDuration > 0 }
 
 // Budget counts the requests that this node sends to one sampler against the limits of its
 // service. The zero value is the budget of a warm sampler without limits. It is not safe
@@ -62,10 +62,10 @@
 // SetLimits replaces the limits. Requests already counted stay counted.
 func (b *Budget) SetLimits(limits Limits) { b.limits = limits }
 
-// Told records the remaining cold time in the sampler's list entry; it never shortens the
+// UpdateColdRemaining records the remaining cold time in the sampler's list entry; it never shortens the
 // cold time known so far. A value equal to the previous one is ignored: it belongs to the
 // same entry, which is applied repeatedly with the list, and must not keep the sampler cold.
-func (b *Budget) Told(remaining time.Duration, now time.Time) {
+func (b *Budget) UpdateColdRemaining(remaining time.Duration, now time.Time) {
 	if remaining == b.listedCold {
 		return
 	}
@@ -73,10 +73,10 @@
 	b.extendCold(remaining, now)
 }
 
-// Doubt records that the sampler may have restarted, because it is new to this node while
+// AssumeColdStart records that the sampler may have restarted, because it is new to this node while
 // there is traffic, or because it did not answer. It counts as cold for the time that
 // follows a start.
-func (b *Budget) Doubt(now time.Time) { b.extendCold(b.limits.ColdFor, now) }
+func (b *Budget) AssumeColdStart(now time.Time) { b.extendCold(b.limits.ColdDuration, now) }
 
 // extendCold makes the sampler cold for at least a duration from now on.
 func (b *Budget) extendCold(remaining time.Duration, now time.Time) {
@@ -88,8 +88,8 @@
 // Cold reports whether the sampler is cold or may be cold.
 func (b *Budget) Cold(now time.Time) bool { return b.limits.limited() && now.Before(b.coldUntil) }
 
-// Sent records a request sent to the sampler. It counts regardless of its outcome.
-func (b *Budget) Sent(now time.Time) {
+// RecordSent records a request sent to the sampler. It counts regardless of its outcome.
+func (b *Budget) RecordSent(now time.Time) {
 	if !b.limits.limited() {
 		return
 	}
@@ -97,9 +97,9 @@
 	b.sent = append(b.sent, now)
 }
 
-// Room returns the number of requests that may be sent now, Unlimited if the limits are
+// Available returns the number of requests that may be sent now, Unlimited if the limits are
 // zero.
-func (b *Budget) Room(now time.Time) int {
+func (b *Budget) Available(now time.Time) int {
 	if !b.limits.limited() {
 		return Unlimited
 	}
@@ -107,16 +107,16 @@
 	return max(b.limit(now)-len(b.sent), 0)
 }
 
-// Spent returns the number of requests sent in the last second.
-func (b *Budget) Spent(now time.Time) int {
+// SentLastSecond returns the number of requests sent in the last second.
+func (b *Budget) SentLastSecond(now time.Time) int {
 	b.dropExpired(now)
 	return len(b.sent)
 }
 
-// Next returns the earliest time at which a request may be sent; now if one may be sent
+// NextAvailable returns the earliest time at which a request may be sent; now if one may be sent
 // at once.
-func (b *Budget) Next(now time.Time) time.Time {
-	if b.Room(now) > 0 {
+func (b *Budget) NextAvailable(now time.Time) time.Time {
+	if b.Available(now) > 0 {
 		return now
 	}
 	limit := b.limit(now)
@@ -129,9 +129,9 @@
 // limit returns the number of requests allowed in a window at the time now.
 func (b *Budget) limit(now time.Time) int {
 	if b.Cold(now) {
-		return b.limits.Cold
+		return b.limits.ColdPerSecond
 	}
-	return b.limits.Warm
+	return b.limits.WarmPerSecond
 }
 
 // dropExpired removes the requests that have left the window. If the clock steps back,
--- a/internal/warmup/budget_test.go
+++ b/internal/warmup/budget_test.go
@@ -60,18 +60,18 @@
 			at += time.Duration(rapid.IntRange(0, 300).Draw(t, "pause")) * time.Millisecond
 			switch rapid.IntRange(0, 5).Draw(t, "action") {
 			case 0:
-				coldUntil = at + limits.ColdFor
+				coldUntil = at + limits.ColdDuration
 			case 1:
 				remaining := time.Duration(rapid.IntRange(0, 3000).Draw(t, "remaining")) * time.Millisecond
 				informed := rapid.IntRange(0, executors-1).Draw(t, "informed")
-				budgets[informed].Told(remaining, start.Add(at+offsets[informed]))
+				budgets[informed].UpdateColdRemaining(remaining, start.Add(at+offsets[informed]))
 			case 2:
-				budgets[0].Doubt(start.Add(at + offsets[0]))
+				budgets[0].AssumeColdStart(start.Add(at + offsets[0]))
 			default:
 				for i := range budgets {
 					now := start.Add(at + offsets[i])
-					for starts[i] <= at && budgets[i].Room(now) > 0 {
-						budgets[i].Sent(now)
+					for starts[i] <= at && budgets[i].Available(now) > 0 {
+						budgets[i].RecordSent(now)
 						arrivals = append(arrivals, arrival{at: at, cold: at < coldUntil})
 					}
 				}
@@ -86,7 +86,7 @@
 func TestClockStepsDoNotIncreaseTheBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var budget Budget
-		budget.SetLimits(Limits{ColdFor: time.Second, Cold: 3, Warm: 5})
+		budget.SetLimits(Limits{ColdDuration: time.Second, ColdPerSecond: 3, WarmPerSecond: 5})
 		now := start
 		var arrivals []arrival
 		at := time.Duration(0)
@@ -97,8 +97,8 @@
 			if rapid.IntRange(0, 9).Draw(t, "step back") == 0 {
 				now = now.Add(-time.Duration(rapid.IntRange(0, 5000).Draw(t, "by")) * time.Millisecond)
 			}
-			for budget.Room(now) > 0 {
-				budget.Sent(now)
+			for budget.Available(now) > 0 {
+				budget.RecordSent(now)
 				arrivals = append(arrivals, arrival{at: at, cold: true})
 			}
 		}
@@ -108,24 +108,24 @@
 
 func TestSendersShareTheLimit(t *testing.T) {
 	limits := NewLimits(3*time.Second, 7.8, 1.5, 5)
-	require.Equal(t, Limits{ColdFor: 3 * time.Second, Cold: 7, Warm: 8}, limits)
+	require.Equal(t, Limits{ColdDuration: 3 * time.Second, ColdPerSecond: 7, WarmPerSecond: 8}, limits)
 }
 
 func TestServiceThatIsNeverColdHasNoLimit(t *testing.T) {
 	var budget Budget
 	budget.SetLimits(NewLimits(0, 0, 1.5, 5))
-	budget.Doubt(start)
-	budget.Sent(start)
-	require.Equal(t, Unlimited, budget.Room(start))
+	budget.AssumeColdStart(start)
+	budget.RecordSent(start)
+	require.Equal(t, Unlimited, budget.Available(start))
 	require.False(t, budget.Cold(start))
 }
 
 // A list entry that is applied twice with the same remaining time does not restart it.
 func TestRepeatedEntryDoesNotProlongColdTime(t *testing.T) {
 	var budget Budget
-	budget.SetLimits(Limits{ColdFor: 3 * time.Second, Cold: 3, Warm: 5})
-	budget.Told(2*time.Second, start)
-	budget.Told(2*time.Second, start.Add(time.Second))
+	budget.SetLimits(Limits{ColdDuration: 3 * time.Second, ColdPerSecond: 3, WarmPerSecond: 5})
+	budget.UpdateColdRemaining(2*time.Second, start)
+	budget.UpdateColdRemaining(2*time.Second, start.Add(time.Second))
 	require.True(t, budget.Cold(start.Add(1900*time.Millisecond)))
 	require.False(t, budget.Cold(start.Add(2*time.Second)))
 }
@@ -133,29 +133,29 @@
 // A list entry from before a suspected restart does not end the cold time assumed for it.
 func TestStaleEntryDoesNotShortenColdTime(t *testing.T) {
 	var budget Budget
-	budget.SetLimits(Limits{ColdFor: 3 * time.Second, Cold: 3, Warm: 5})
-	budget.Doubt(start)
-	budget.Told(time.Second, start)
-	budget.Told(0, start)
+	budget.SetLimits(Limits{ColdDuration: 3 * time.Second, ColdPerSecond: 3, WarmPerSecond: 5})
+	budget.AssumeColdStart(start)
+	budget.UpdateColdRemaining(time.Second, start)
+	budget.UpdateColdRemaining(0, start)
 	require.True(t, budget.Cold(start.Add(2900*time.Millisecond)))
 }
 
 func TestSamplerBecomesColdAgain(t *testing.T) {
 	var budget Budget
-	budget.SetLimits(Limits{ColdFor: 3 * time.Second, Cold: 3, Warm: 5})
-	budget.Told(time.Second, start)
-	budget.Told(0, start.Add(2*time.Second))
-	budget.Told(time.Second, start.Add(4*time.Second))
+	budget.SetLimits(Limits{ColdDuration: 3 * time.Second, ColdPerSecond: 3, WarmPerSecond: 5})
+	budget.UpdateColdRemaining(time.Second, start)
+	budget.UpdateColdRemaining(0, start.Add(2*time.Second))
+	budget.UpdateColdRemaining(time.Second, start.Add(4*time.Second))
 	require.True(t, budget.Cold(start.Add(4500*time.Millisecond)))
 }
 
 func TestNextIsWhenTheWindowAllowsARequest(t *testing.T) {
 	var budget Budget
-	budget.SetLimits(Limits{ColdFor: 3 * time.Second, Cold: 2, Warm: 2})
-	require.Equal(t, start, budget.Next(start))
-	budget.Sent(start)
-	budget.Sent(start.Add(300 * time.Millisecond))
+	budget.SetLimits(Limits{ColdDuration: 3 * time.Second, ColdPerSecond: 2, WarmPerSecond: 2})
+	require.Equal(t, start, budget.NextAvailable(start))
+	budget.RecordSent(start)
+	budget.RecordSent(start.Add(300 * time.Millisecond))
 	later := start.Add(400 * time.Millisecond)
-	require.Zero(t, budget.Room(later))
-	require.Equal(t, start.Add(window), budget.Next(later))
+	require.Zero(t, budget.Available(later))
+	require.Equal(t, start.Add(window), budget.NextAvailable(later))
 }
--- a/internal/weights/plan.go
+++ b/internal/weights/plan.go
@@ -9,8 +9,8 @@
 	Prepared uint64
 	// Broken is set after a switch that failed half-way.
 	Broken bool
-	// Asked is set if the engine has answered its latest status request.
-	Asked bool
+	// Responding is set if the engine has answered its latest status request.
+	Responding bool
 	// HasAdapter is set if the adapter of the target is loaded.
 	HasAdapter bool
 }
@@ -20,25 +20,25 @@
 	Version           uint64
 	Adapter           string
 	MinServingPercent int
-	// Exact is set for a pinned version: engines also return to it from a newer one.
+	// Pinned is set for a pinned version: engines also return to it from a newer one.
 	// Without it, engines that serve a newer version keep it.
-	Exact bool
+	Pinned bool
 }
 
 // reached reports whether a serving version satisfies the target.
 func (t Target) reached(serving uint64) bool {
-	if t.Exact {
+	if t.Pinned {
 		return serving == t.Version
 	}
 	return serving >= t.Version
 }
 
-// Kind is the kind of an order.
-type Kind int
+// OrderKind is the kind of an order.
+type OrderKind int
 
 // Kinds of orders.
 const (
-	Load Kind = iota + 1
+	Load OrderKind = iota + 1
 	Switch
 	LoadAdapter
 )
@@ -46,34 +46,34 @@
 // Order is one operation to run on one engine.
 type Order struct {
 	EngineID string
-	Kind     Kind
+	Kind     OrderKind
 }
 
 // orderRetryDelay is how long an engine gets no order after a failed one.
 const orderRetryDelay = 500 * time.Millisecond
 
-// Plan issues orders to engines and tracks those in progress. It is not safe for concurrent
+// Planner issues orders to engines and tracks those in progress. It is not safe for concurrent
 // use.
-type Plan struct {
-	inProgress map[string]Kind
+type Planner struct {
+	inProgress map[string]OrderKind
 	notBefore  map[string]time.Time
 }
 
-// NewPlan returns a plan without orders in progress.
-func NewPlan() *Plan {
-	return &Plan{inProgress: make(map[string]Kind), notBefore: make(map[string]time.Time)}
+// NewPlanner returns a plan without orders in progress.
+func NewPlanner() *Planner {
+	return &Planner{inProgress: make(map[string]OrderKind), notBefore: make(map[string]time.Time)}
 }
 
 // Next returns the orders to issue now. Each of them is in progress until Done is called
 // for its engine.
-func (p *Plan) Next(now time.Time, engines []EngineState, target Target) []Order {
+func (p *Planner) Next(now time.Time, engines []EngineState, target Target) []Order {
 	if target.Version == 0 {
 		return nil
 	}
 	var orders []Order
 	capacity := p.switchCapacity(engines, target)
 	for _, state := range engines {
-		if _, busy := p.inProgress[state.ID]; busy || !state.Asked || now.Before(p.notBefore[state.ID]) {
+		if _, busy := p.inProgress[state.ID]; busy || !state.Responding || now.Before(p.notBefore[state.ID]) {
 			continue
 		}
 		kind, needed := nextOrder(state, target)
@@ -94,7 +94,7 @@
 	return orders
 }
 
-func nextOrder(state EngineState, target Target) (Kind, bool) {
+func nextOrder(state EngineState, target Target) (OrderKind, bool) {
 	switch {
 	case state.Broken && state.Prepared == target.Version:
 		return Switch, true
@@ -111,7 +111,7 @@
 
 // switchCapacity returns how many more engines may start to switch. At least one engine may
 // switch at a time, however small the pool.
-func (p *Plan) switchCapacity(engines []EngineState, target Target) int {
+func (p *Planner) switchCapacity(engines []EngineState, target Target) int {
 	switching := 0
 	for _, kind := range p.inProgress {
 		if kind == Switch {
@@ -123,7 +123,7 @@
 }
 
 // Done records that the order of an engine has ended.
-func (p *Plan) Done(now time.Time, engineID string, succeeded bool) {
+func (p *Planner) Done(now time.Time, engineID string, succeeded bool) {
 	delete(p.inProgress, engineID)
 	if succeeded {
 		delete(p.notBefore, engineID)
@@ -136,7 +136,7 @@
 // empty pool.
 func Reached(engines []EngineState, target Target) bool {
 	for _, state := range engines {
-		if state.Asked && (state.Broken || !target.reached(state.Serving)) {
+		if state.Responding && (state.Broken || !target.reached(state.Serving)) {
 			return false
 		}
 	}
--- a/internal/weights/plan_test.go
+++ b/internal/weights/plan_test.go
@@ -14,7 +14,7 @@
 func newEngines(count int, version uint64) []EngineState {
 	engines := make([]EngineState, count)
 	for i := range engines {
-		engines[i] = EngineState{ID: fmt.Sprint("engine-", i), Serving: version, Asked: true}
+		engines[i] = EngineState{ID: fmt.Sprint("engine-", i), Serving: version, Responding: true}
 	}
 	return engines
 }
@@ -25,13 +25,13 @@
 	require.True(t, versions.Raise(key, 3))
 	require.False(t, versions.Raise(key, 2))
 	require.False(t, versions.Raise(key, 3))
-	require.Equal(t, []Announced{{key, 3}}, versions.All())
+	require.Equal(t, []AnnouncedVersion{{key, 3}}, versions.All())
 }
 
 func TestUnresponsiveEngineDoesNotBlockTheOthers(t *testing.T) {
 	engines := newEngines(2, 1)
-	engines[0].Asked = false
-	plan := NewPlan()
+	engines[0].Responding = false
+	plan := NewPlanner()
 	require.Equal(t, []Order{{"engine-1", Load}}, plan.Next(start, engines, Target{Version: 2}))
 	engines[1].Serving = 2
 	require.True(t, Reached(engines, Target{Version: 2}))
@@ -40,7 +40,7 @@
 func TestBrokenEngineSwitchesAgain(t *testing.T) {
 	engines := newEngines(1, 1)
 	engines[0].Broken, engines[0].Prepared = true, 2
-	plan := NewPlan()
+	plan := NewPlanner()
 	require.Equal(t, []Order{{"engine-0", Switch}}, plan.Next(start, engines, Target{Version: 2}))
 	plan.Done(start, "engine-0", false)
 	require.Empty(t, plan.Next(start, engines, Target{Version: 2}), "no order during the retry delay")
@@ -56,8 +56,8 @@
 		engines := newEngines(count, 1)
 		target := Target{Version: 2, MinServingPercent: rapid.IntRange(0, 99).Draw(t, "percent")}
 		allowed := max(count*(100-target.MinServingPercent)/100, 1)
-		plan, now := NewPlan(), start
-		busy := map[int]Kind{}
+		plan, now := NewPlanner(), start
+		busy := map[int]OrderKind{}
 		for step := 0; !Reached(engines, target); step++ {
 			require.Less(t, step, 400, "the pool must reach the target")
 			now = now.Add(orderRetryDelay)
--- a/internal/weights/replicas_test.go
+++ b/internal/weights/replicas_test.go
@@ -13,7 +13,7 @@
 
 // assignOneByOne is the reference for addReplicas and dropReplicas: it adds or drops one
 // replica at a time, each time the best of all remaining samplers.
-func assignOneByOne(r *Roll, model string, hosts []string, eligible map[string]Member, target uint64, replicaCount int) {
+func assignOneByOne(r *RollingUpdate, model string, hosts []string, eligible map[string]Member, target uint64, replicaCount int) {
 	isReplica := func(id string) bool { return r.isReplica(id, model) }
 	for r.count(model) < replicaCount {
 		candidates := slices.DeleteFunc(slices.Clone(hosts), isReplica)
@@ -36,7 +36,7 @@
 	}
 }
 
-func replicasOf(r *Roll) map[string][]string {
+func replicasOf(r *RollingUpdate) map[string][]string {
 	replicas := make(map[string][]string)
 	for id, models := range r.replicas {
 		if len(models) > 0 {
@@ -65,7 +65,7 @@
 		for _, id := range hosts {
 			members = append(members, eligible[id])
 		}
-		batched, sequential := NewRoll(1), NewRoll(1)
+		batched, sequential := NewRollingUpdate(1), NewRollingUpdate(1)
 		for range rapid.IntRange(1, 6).Draw(t, "rounds") {
 			model := rapid.SampledFrom(models).Draw(t, "model")
 			replicaCount := rapid.IntRange(0, len(hosts)).Draw(t, "replicas")
@@ -78,7 +78,7 @@
 }
 
 // nextUpdateByScan is the reference for nextUpdate: it looks at all pending updates.
-func nextUpdateByScan(r *Roll, pending []Step, upToDate map[string]int, lag func(Step) uint64) (best Step, found bool) {
+func nextUpdateByScan(r *RollingUpdate, pending []Update, upToDate map[string]int, lag func(Update) uint64) (best Update, found bool) {
 	for _, update := range pending {
 		_, inProgress := r.inProgress[update.SamplerID]
 		if inProgress || upToDate[update.Model] >= r.replicasPerVersion[update.Model] && !r.isTooOld(update, lag(update)) {
@@ -93,18 +93,18 @@
 
 func TestNextUpdateMatchesAScanOfAllUpdates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := NewRoll(1)
-		upToDate, lags := make(map[string]int), make(map[Step]uint64)
+		r := NewRollingUpdate(1)
+		upToDate, lags := make(map[string]int), make(map[Update]uint64)
 		for _, model := range []string{"a", "b", "c"} {
 			r.replicasPerVersion[model] = rapid.IntRange(0, 3).Draw(t, "replicas per version")
 			r.allowedLag[model] = rapid.Uint64Range(0, 2).Draw(t, "allowed lag")
 			upToDate[model] = rapid.IntRange(0, 3).Draw(t, "up to date")
 			for i := range rapid.IntRange(0, 5).Draw(t, "updates") {
-				lags[Step{SamplerID: fmt.Sprint(i), Model: model}] = rapid.Uint64Range(1, 3).Draw(t, "lag")
+				lags[Update{SamplerID: fmt.Sprint(i), Model: model}] = rapid.Uint64Range(1, 3).Draw(t, "lag")
 			}
 		}
-		lag := func(update Step) uint64 { return lags[update] }
-		pending := slices.SortedFunc(maps.Keys(lags), func(a, b Step) int {
+		lag := func(update Update) uint64 { return lags[update] }
+		pending := slices.SortedFunc(maps.Keys(lags), func(a, b Update) int {
 			return cmp.Or(cmp.Compare(lag(b), lag(a)), cmp.Compare(a.SamplerID, b.SamplerID), cmp.Compare(a.Model, b.Model))
 		})
 		queues := newUpdateQueues(pending)
@@ -117,7 +117,7 @@
 			}
 			require.Equal(t, want, update)
 			upToDate[update.Model]++
-			r.inProgress[update.SamplerID] = Step{SamplerID: update.SamplerID, Model: update.Model, Version: 1}
+			r.inProgress[update.SamplerID] = Update{SamplerID: update.SamplerID, Model: update.Model, Version: 1}
 		}
 	})
 }
