--- a/internal/weights/rolling_update.go
+++ b/internal/weights/rolling_update.go
@@ -11,9 +11,9 @@
 // Member is one sampler that takes part in a rolling update.
 type Member struct {
 	ID string
-	// Born is the start time of the sampler's incarnation. It tells incarnations of one id
+	// StartedAtMs is the start time of the sampler's incarnation. It tells incarnations of one id
 	// apart.
-	Born int64
+	StartedAtMs int64
 	// Versions maps each model of the sampler to the version it serves, as last known.
 	Versions map[string]uint64
 	// Running is the number of work items in progress and Slots the number that can run at
@@ -21,8 +21,8 @@
 	Running int
 	Slots   int
 	Leaving bool
-	// Wait is set while an order from another executor may still be in force.
-	Wait bool
+	// OrderPending is set while an order from another executor may still be in force.
+	OrderPending bool
 }
 
 // Fleet is the set of samplers that a rolling update covers.
@@ -34,17 +34,17 @@
 	Member(id string) (Member, bool)
 }
 
-// Listed is a fleet in a slice ordered by id. It implements Fleet with a linear search.
-type Listed []Member
+// MemberList is a fleet in a slice ordered by id. It implements Fleet with a linear search.
+type MemberList []Member
 
 // Size implements Fleet.
-func (l Listed) Size() int { return len(l) }
+func (l MemberList) Size() int { return len(l) }
 
 // Members implements Fleet.
-func (l Listed) Members() []Member { return l }
+func (l MemberList) Members() []Member { return l }
 
 // Member implements Fleet.
-func (l Listed) Member(id string) (Member, bool) {
+func (l MemberList) Member(id string) (Member, bool) {
 	index := slices.IndexFunc(l, func(member Member) bool { return member.ID == id })
 	if index < 0 {
 		return Member{}, false
@@ -52,16 +52,16 @@
 	return l[index], true
 }
 
-// Step is an order to load one version of a model on one sampler.
-type Step struct {
+// Update is an order to load one version of a model on one sampler.
+type Update struct {
 	SamplerID string
-	// Born is the start time of the incarnation that the order is for.
-	Born    int64
-	Model   string
-	Version uint64
+	// StartedAtMs is the start time of the incarnation that the order is for.
+	StartedAtMs int64
+	Model       string
+	Version     uint64
 }
 
-// Roll decides which samplers load new weights, and when.
+// RollingUpdate decides which samplers load new weights, and when.
 //
 // Only part of the fleet loads at a time, since concurrent loads slow each other down,
 // while a new version of each model arrives every few seconds. So each model is assigned a
@@ -73,7 +73,7 @@
 // no work is wasted.
 //
 // A Roll is pure. It is not safe for concurrent use.
-type Roll struct {
+type RollingUpdate struct {
 	// MinConcurrent is the limit of updates in progress in a small fleet. The limit of a
 	// large fleet is higher and grows with its size.
 	MinConcurrent int
@@ -85,9 +85,9 @@
 	allowedLag map[string]uint64
 	// demand is the recent peak of concurrently requested work per model.
 	demand map[string]int
-	// latestStep is the latest training step of a model passed to Allow.
+	// latestStep is the latest training step of a model passed to SetAllowedLag.
 	latestStep map[string]uint64
-	inProgress map[string]Step
+	inProgress map[string]Update
 	notBefore  map[string]time.Time
 	failures   map[string]int
 	// incarnations holds the last known start time of each sampler.
@@ -134,11 +134,11 @@
 	rotationGroups = 2
 )
 
-// NewRoll returns a rolling update without replicas. The limit of updates in progress is
+// NewRollingUpdate returns a rolling update without replicas. The limit of updates in progress is
 // minConcurrent or a fraction of the fleet, whichever is larger.
-func NewRoll(minConcurrent int) *Roll {
-	roll := &Roll{MinConcurrent: minConcurrent}
-	roll.Forget()
+func NewRollingUpdate(minConcurrent int) *RollingUpdate {
+	roll := &RollingUpdate{MinConcurrent: minConcurrent}
+	roll.Reset()
 	return roll
 }
 
@@ -147,11 +147,13 @@
 const concurrencyDivisor = 5
 
 // maxConcurrent returns the limit of updates in progress.
-func (r *Roll) maxConcurrent() int { return max(r.updatable/concurrencyDivisor, r.MinConcurrent) }
+func (r *RollingUpdate) maxConcurrent() int {
+	return max(r.updatable/concurrencyDivisor, r.MinConcurrent)
+}
 
 // assignmentDue reports whether replicas must be reassigned now, and if so records the
 // inputs.
-func (r *Roll) assignmentDue(now time.Time, fleet Fleet, targets map[string]uint64) bool {
+func (r *RollingUpdate) assignmentDue(now time.Time, fleet Fleet, targets map[string]uint64) bool {
 	models := strings.Join(slices.Sorted(maps.Keys(targets)), " ")
 	next := assignmentInputs{at: now, models: models, demand: r.demand, allowedLag: maps.Clone(r.allowedLag)}
 	last := r.lastAssignment
@@ -165,14 +167,14 @@
 
 // Next returns the updates to start now towards the newest version of each model. Samplers
 // that are furthest behind come first, then those with the least work in progress.
-func (r *Roll) Next(now time.Time, fleet Fleet, targets map[string]uint64) []Step {
+func (r *RollingUpdate) Next(now time.Time, fleet Fleet, targets map[string]uint64) []Update {
 	if r.assignmentDue(now, fleet, targets) {
 		members := fleet.Members()
 		r.resetRestarted(members)
 		r.assignReplicas(now, members, targets)
 	}
 	byID := make(map[string]Member, len(r.replicas))
-	var pending []Step
+	var pending []Update
 	for id := range r.replicas {
 		member, known := fleet.Member(id)
 		if !known {
@@ -181,8 +183,8 @@
 		byID[id] = member
 		pending = append(pending, r.updatesFor(now, member, targets)...)
 	}
-	lag := func(update Step) uint64 { return update.Version - byID[update.SamplerID].Versions[update.Model] }
-	slices.SortFunc(pending, func(a, b Step) int {
+	lag := func(update Update) uint64 { return update.Version - byID[update.SamplerID].Versions[update.Model] }
+	slices.SortFunc(pending, func(a, b Update) int {
 		return cmp.Or(
 			cmp.Compare(lag(b), lag(a)),
 			cmp.Compare(byID[a.SamplerID].Running, byID[b.SamplerID].Running),
@@ -191,7 +193,7 @@
 		)
 	})
 	upToDate, queues := r.countUpToDate(byID, targets), newUpdateQueues(pending)
-	var updates []Step
+	var updates []Update
 	for capacity := r.maxConcurrent() - len(r.inProgress); capacity > 0; capacity-- {
 		update, ok := r.nextUpdate(queues, upToDate, lag)
 		if !ok {
@@ -206,12 +208,12 @@
 
 // updateQueues holds the pending updates by model, each queue in the order of Next.
 type updateQueues struct {
-	updates []Step
+	updates []Update
 	// byModel holds the indexes of a model's remaining updates.
 	byModel map[string][]int
 }
 
-func newUpdateQueues(pending []Step) updateQueues {
+func newUpdateQueues(pending []Update) updateQueues {
 	q := updateQueues{updates: pending, byModel: make(map[string][]int)}
 	for index, update := range pending {
 		q.byModel[update.Model] = append(q.byModel[update.Model], index)
@@ -221,7 +223,7 @@
 
 // head returns the index of a model's first update whose sampler has none in progress. It
 // drops the updates before it.
-func (q updateQueues) head(model string, inProgress map[string]Step) (index int, ok bool) {
+func (q updateQueues) head(model string, inProgress map[string]Update) (index int, ok bool) {
 	indexes := q.byModel[model]
 	for len(indexes) > 0 {
 		if _, busy := inProgress[q.updates[indexes[0]].SamplerID]; !busy {
@@ -240,7 +242,7 @@
 // among the models below replicasPerVersion. A sampler beyond the allowed lag is updated
 // regardless of that limit: after an outage more replicas than one rotation group may be
 // that old. The first update of a model is the one that is furthest behind.
-func (r *Roll) nextUpdate(queues updateQueues, upToDate map[string]int, lag func(Step) uint64) (Step, bool) {
+func (r *RollingUpdate) nextUpdate(queues updateQueues, upToDate map[string]int, lag func(Update) uint64) (Update, bool) {
 	best, found := 0, false
 	for model := range queues.byModel {
 		index, ok := queues.head(model, r.inProgress)
@@ -253,18 +255,20 @@
 		}
 	}
 	if !found {
-		return Step{}, false
+		return Update{}, false
 	}
 	return queues.updates[best], true
 }
 
 // isTooOld reports whether a sampler with the given lag can serve no future job of the
 // model.
-func (r *Roll) isTooOld(update Step, lag uint64) bool { return lag > r.allowedLag[update.Model] }
+func (r *RollingUpdate) isTooOld(update Update, lag uint64) bool {
+	return lag > r.allowedLag[update.Model]
+}
 
 // countUpToDate counts, for each model, the replicas that serve the newest version or are
 // loading it.
-func (r *Roll) countUpToDate(replicas map[string]Member, targets map[string]uint64) map[string]int {
+func (r *RollingUpdate) countUpToDate(replicas map[string]Member, targets map[string]uint64) map[string]int {
 	upToDate := make(map[string]int)
 	for _, member := range replicas {
 		inProgress := r.inProgress[member.ID]
@@ -277,28 +281,28 @@
 	return upToDate
 }
 
-// Allow records how many versions behind the newest a job of a model accepts. The job with
+// SetAllowedLag records how many versions behind the newest a job of a model accepts. The job with
 // the latest training step decides: adopted jobs may arrive in any order, and the allowed
 // lag of older ones has grown since.
-func (r *Roll) Allow(model string, step, allowedLag uint64) {
+func (r *RollingUpdate) SetAllowedLag(model string, step, allowedLag uint64) {
 	if step < r.latestStep[model] {
 		return
 	}
 	r.latestStep[model], r.allowedLag[model] = step, allowedLag
 }
 
-// Want records the recent peak of concurrently requested work of each model. A model
+// SetDemand records the recent peak of concurrently requested work of each model. A model
 // without an entry gets its even share of the fleet.
-func (r *Roll) Want(demand map[string]int) { r.demand = demand }
+func (r *RollingUpdate) SetDemand(demand map[string]int) { r.demand = demand }
 
 // isEligible reports whether a sampler can be a replica: it is not leaving, and not waiting
 // for its recovery after too many failures.
-func (r *Roll) isEligible(now time.Time, member Member) bool {
+func (r *RollingUpdate) isEligible(now time.Time, member Member) bool {
 	return !member.Leaving && (r.failures[member.ID] < maxFailures || !now.Before(r.notBefore[member.ID]))
 }
 
 // assignReplicas balances the replicas of all models with as few changes as possible.
-func (r *Roll) assignReplicas(now time.Time, members []Member, targets map[string]uint64) {
+func (r *RollingUpdate) assignReplicas(now time.Time, members []Member, targets map[string]uint64) {
 	eligible := make([]Member, 0, len(members))
 	keptIDs := make(map[string]struct{}, len(r.replicas))
 	r.updatable = 0
@@ -329,7 +333,7 @@
 	}
 }
 
-func (r *Roll) assignModelReplicas(model string, eligible []Member, target uint64, models int) {
+func (r *RollingUpdate) assignModelReplicas(model string, eligible []Member, target uint64, models int) {
 	hosts := make([]Member, 0, len(eligible))
 	for _, member := range eligible {
 		if _, serves := member.Versions[model]; serves {
@@ -365,7 +369,7 @@
 
 // addReplicas adds replicas up to replicaCount. It prefers samplers with the fewest models,
 // then those with the newest version.
-func (r *Roll) addReplicas(model string, hosts []Member, target uint64, replicaCount int) {
+func (r *RollingUpdate) addReplicas(model string, hosts []Member, target uint64, replicaCount int) {
 	missing := replicaCount - r.count(model)
 	if missing <= 0 {
 		return
@@ -388,7 +392,7 @@
 
 // dropReplicas removes replicas beyond replicaCount. It starts with samplers with the most
 // models, then those with the oldest version.
-func (r *Roll) dropReplicas(model string, hosts []Member, replicaCount int) {
+func (r *RollingUpdate) dropReplicas(model string, hosts []Member, replicaCount int) {
 	excess := r.count(model) - replicaCount
 	if excess <= 0 {
 		return
@@ -407,7 +411,7 @@
 }
 
 // count returns the number of replicas of a model.
-func (r *Roll) count(model string) int {
+func (r *RollingUpdate) count(model string) int {
 	count := 0
 	for _, models := range r.replicas {
 		if _, replica := models[model]; replica {
@@ -417,43 +421,43 @@
 	return count
 }
 
-func (r *Roll) isReplica(samplerID, model string) bool {
+func (r *RollingUpdate) isReplica(samplerID, model string) bool {
 	_, replica := r.replicas[samplerID][model]
 	return replica
 }
 
 // updatesFor returns the updates that a member needs. It returns none while the member has
 // an update in progress, is leaving, or waits for a retry.
-func (r *Roll) updatesFor(now time.Time, member Member, targets map[string]uint64) []Step {
-	if _, inProgress := r.inProgress[member.ID]; inProgress || member.Leaving || member.Wait || now.Before(r.notBefore[member.ID]) {
+func (r *RollingUpdate) updatesFor(now time.Time, member Member, targets map[string]uint64) []Update {
+	if _, inProgress := r.inProgress[member.ID]; inProgress || member.Leaving || member.OrderPending || now.Before(r.notBefore[member.ID]) {
 		return nil
 	}
-	var updates []Step
+	var updates []Update
 	for model := range r.replicas[member.ID] {
 		if member.Versions[model] < targets[model] {
-			updates = append(updates, Step{SamplerID: member.ID, Born: member.Born, Model: model, Version: targets[model]})
+			updates = append(updates, Update{SamplerID: member.ID, StartedAtMs: member.StartedAtMs, Model: model, Version: targets[model]})
 		}
 	}
 	return updates
 }
 
 // resetRestarted drops the updates and failures of samplers that have restarted.
-func (r *Roll) resetRestarted(members []Member) {
+func (r *RollingUpdate) resetRestarted(members []Member) {
 	for _, member := range members {
-		if before, known := r.incarnations[member.ID]; known && before != member.Born {
+		if before, known := r.incarnations[member.ID]; known && before != member.StartedAtMs {
 			delete(r.inProgress, member.ID)
 			delete(r.failures, member.ID)
 			delete(r.notBefore, member.ID)
 		}
-		r.incarnations[member.ID] = member.Born
+		r.incarnations[member.ID] = member.StartedAtMs
 	}
 }
 
 // Done records that an update has ended. reached is set if the sampler was seen to serve
 // the version. Updates of an earlier incarnation are ignored.
-func (r *Roll) Done(update Step, reached bool, now time.Time) {
+func (r *RollingUpdate) Done(update Update, reached bool, now time.Time) {
 	samplerID := update.SamplerID
-	if r.incarnations[samplerID] != update.Born {
+	if r.incarnations[samplerID] != update.StartedAtMs {
 		return
 	}
 	delete(r.inProgress, samplerID)
@@ -469,17 +473,17 @@
 	r.notBefore[samplerID] = now.Add(pause)
 }
 
-// Moving returns the number of updates in progress.
-func (r *Roll) Moving() int { return len(r.inProgress) }
+// InProgress returns the number of updates in progress.
+func (r *RollingUpdate) InProgress() int { return len(r.inProgress) }
 
-// Forget resets the state when another node takes over.
-func (r *Roll) Forget() {
+// Reset resets the state when another node takes over.
+func (r *RollingUpdate) Reset() {
 	r.replicas = make(map[string]map[string]struct{})
 	r.replicasPerVersion = make(map[string]int)
 	r.allowedLag = make(map[string]uint64)
 	r.latestStep = make(map[string]uint64)
 	r.demand = nil
-	r.inProgress = make(map[string]Step)
+	r.inProgress = make(map[string]Update)
 	r.notBefore = make(map[string]time.Time)
 	r.failures = make(map[string]int)
 	r.incarnations = make(map[string]int64)
--- a/internal/weights/rolling_update_benchmark_test.go
+++ b/internal/weights/rolling_update_benchmark_test.go
@@ -14,15 +14,15 @@
 			for i := range members {
 				members[i].Slots = 8
 			}
-			fleet := indexedFleet{Listed: members, byID: make(map[string]Member)}
+			fleet := indexedFleet{MemberList: members, byID: make(map[string]Member)}
 			for _, member := range members {
 				fleet.byID[member.ID] = member
 			}
 			targets := map[string]uint64{"k": 2, "l": 2, "m": 2, "n": 2}
 			for b.Loop() {
-				roll := NewRoll(9)
+				roll := NewRollingUpdate(9)
 				for model := range targets {
-					roll.Allow(model, 1, 1)
+					roll.SetAllowedLag(model, 1, 1)
 				}
 				roll.Next(time.Unix(100, 0), fleet, targets)
 			}
@@ -32,7 +32,7 @@
 
 // indexedFleet looks members up in a map by id, as the executor does.
 type indexedFleet struct {
-	Listed
+	MemberList
 	byID map[string]Member
 }
 
@@ -52,17 +52,17 @@
 				versions[name], targets[name], demand[name] = 1, 2, 128
 			}
 			members := newMembers(count, versions)
-			fleet := indexedFleet{Listed: members, byID: make(map[string]Member)}
+			fleet := indexedFleet{MemberList: members, byID: make(map[string]Member)}
 			for i := range members {
 				members[i].Slots = 6
 				fleet.byID[members[i].ID] = members[i]
 			}
 			now := time.Unix(100, 0)
-			roll := NewRoll(2)
+			roll := NewRollingUpdate(2)
 			for model := range targets {
-				roll.Allow(model, 1, 1)
+				roll.SetAllowedLag(model, 1, 1)
 			}
-			roll.Want(demand)
+			roll.SetDemand(demand)
 			roll.Next(now, fleet, targets)
 			for b.Loop() {
 				now = now.Add(50 * time.Millisecond)
--- a/internal/weights/rolling_update_test.go
+++ b/internal/weights/rolling_update_test.go
@@ -21,10 +21,10 @@
 }
 
 // applyAll completes all updates at once until none is left, and returns their number.
-func applyAll(r *Roll, now time.Time, members []Member, targets map[string]uint64) int {
+func applyAll(r *RollingUpdate, now time.Time, members []Member, targets map[string]uint64) int {
 	orders := 0
 	for {
-		updates := r.Next(now, Listed(members), targets)
+		updates := r.Next(now, MemberList(members), targets)
 		if len(updates) == 0 {
 			return orders
 		}
@@ -42,11 +42,11 @@
 
 func TestAllSamplersFollowASingleModelInSmallBatches(t *testing.T) {
 	now := time.Unix(100, 0)
-	roll := NewRoll(2)
+	roll := NewRollingUpdate(2)
 	members := newMembers(8, map[string]uint64{"m": 1})
-	require.Len(t, roll.Next(now, Listed(members), map[string]uint64{"m": 2}), 2)
-	require.Empty(t, roll.Next(now, Listed(members), map[string]uint64{"m": 2}), "two updates are in progress")
-	roll.Forget()
+	require.Len(t, roll.Next(now, MemberList(members), map[string]uint64{"m": 2}), 2)
+	require.Empty(t, roll.Next(now, MemberList(members), map[string]uint64{"m": 2}), "two updates are in progress")
+	roll.Reset()
 	require.Equal(t, 8, applyAll(roll, now, members, map[string]uint64{"m": 2}))
 }
 
@@ -55,7 +55,7 @@
 // wait for a sampler of their version until their deadline.
 func TestModelsShareTheSamplersEvenly(t *testing.T) {
 	now := time.Unix(100, 0)
-	roll := NewRoll(2)
+	roll := NewRollingUpdate(2)
 	members := newMembers(9, map[string]uint64{"a": 1, "b": 1, "c": 1})
 	for version := uint64(2); version < 6; version++ {
 		targets := map[string]uint64{"a": version, "b": version, "c": version}
@@ -74,7 +74,7 @@
 
 func TestLostSamplersAreReplacedWithFewChanges(t *testing.T) {
 	now := time.Unix(100, 0)
-	roll := NewRoll(2)
+	roll := NewRollingUpdate(2)
 	members := newMembers(9, map[string]uint64{"a": 1, "b": 1, "c": 1})
 	targets := map[string]uint64{"a": 2, "b": 2, "c": 2}
 	applyAll(roll, now, members, targets)
@@ -86,14 +86,14 @@
 
 func TestFailingSamplerIsReplacedUntilItsRecoveryDelayIsOver(t *testing.T) {
 	now := time.Unix(100, 0)
-	roll := NewRoll(1)
+	roll := NewRollingUpdate(1)
 	members := newMembers(4, map[string]uint64{"a": 1, "b": 1})
 	targets := map[string]uint64{"a": 2, "b": 1}
-	first := roll.Next(now, Listed(members), targets)[0]
+	first := roll.Next(now, MemberList(members), targets)[0]
 	roll.Done(first, false, now)
 	now = now.Add(updateRetryDelay)
 	for range 2 {
-		update := roll.Next(now, Listed(members), targets)[0]
+		update := roll.Next(now, MemberList(members), targets)[0]
 		roll.Done(update, update.SamplerID != first.SamplerID, now)
 		if update.SamplerID != first.SamplerID {
 			for i := range members {
@@ -103,14 +103,14 @@
 			}
 		}
 	}
-	newUpdates := roll.Next(now, Listed(members), targets)
+	newUpdates := roll.Next(now, MemberList(members), targets)
 	require.Len(t, newUpdates, 1)
 	require.NotEqual(t, first.SamplerID, newUpdates[0].SamplerID)
 }
 
 func TestEachModelHasTwoReplicasWithFewerSamplersThanModels(t *testing.T) {
 	now := time.Unix(100, 0)
-	roll := NewRoll(2)
+	roll := NewRollingUpdate(2)
 	versions, targets := map[string]uint64{}, map[string]uint64{}
 	for i := range 6 {
 		versions[fmt.Sprint(i)], targets[fmt.Sprint(i)] = 1, 2
@@ -120,13 +120,13 @@
 
 func TestSamplerWithAPendingOrderIsSkippedAndKeepsItsModels(t *testing.T) {
 	now := time.Unix(100, 0)
-	roll := NewRoll(2)
+	roll := NewRollingUpdate(2)
 	members := newMembers(2, map[string]uint64{"a": 1})
-	members[0].Wait = true
+	members[0].OrderPending = true
 	targets := map[string]uint64{"a": 2}
-	require.Equal(t, []Step{{SamplerID: "s1", Model: "a", Version: 2}}, roll.Next(now, Listed(members), targets))
-	members[0].Wait = false
-	require.Equal(t, []Step{{SamplerID: "s0", Model: "a", Version: 2}}, roll.Next(now, Listed(members), targets))
+	require.Equal(t, []Update{{SamplerID: "s1", Model: "a", Version: 2}}, roll.Next(now, MemberList(members), targets))
+	members[0].OrderPending = false
+	require.Equal(t, []Update{{SamplerID: "s0", Model: "a", Version: 2}}, roll.Next(now, MemberList(members), targets))
 }
 
 // Guards against a fixed limit of concurrent updates: with two at a time in a fleet of 35
@@ -134,10 +134,10 @@
 // version came every four.
 func TestConcurrentUpdatesGrowWithTheFleet(t *testing.T) {
 	now := time.Unix(100, 0)
-	roll := NewRoll(2)
+	roll := NewRollingUpdate(2)
 	members := append(newMembers(35, map[string]uint64{"a": 1}), Member{ID: "no-model"})
-	require.Len(t, roll.Next(now, Listed(members), map[string]uint64{"a": 2}), 7)
-	require.Len(t, NewRoll(2).Next(now, Listed(newMembers(9, map[string]uint64{"a": 1})), map[string]uint64{"a": 2}), 2)
+	require.Len(t, roll.Next(now, MemberList(members), map[string]uint64{"a": 2}), 7)
+	require.Len(t, NewRollingUpdate(2).Next(now, MemberList(newMembers(9, map[string]uint64{"a": 1})), map[string]uint64{"a": 2}), 2)
 }
 
 // Guards against idle samplers beside a model whose replicas have a queue: jobs accept the
@@ -145,11 +145,11 @@
 // of loads.
 func TestReplicasAlternateVersionsWhenJobsAllowAVersionLag(t *testing.T) {
 	now := time.Unix(100, 0)
-	roll := NewRoll(2)
+	roll := NewRollingUpdate(2)
 	members := newMembers(9, map[string]uint64{"a": 1, "b": 1, "c": 1})
 	for version := uint64(2); version < 12; version++ {
 		for _, model := range []string{"a", "b", "c"} {
-			roll.Allow(model, version, 1)
+			roll.SetAllowedLag(model, version, 1)
 		}
 		targets := map[string]uint64{"a": version, "b": version, "c": version}
 		require.Equal(t, 9, applyAll(roll, now, members, targets), "three loads per version of each model")
@@ -173,8 +173,8 @@
 // loading, and those two versions behind served nothing.
 func TestReplicasOfASingleModelAlternateVersions(t *testing.T) {
 	now := time.Unix(100, 0)
-	roll := NewRoll(2)
-	roll.Allow("a", 1, 1)
+	roll := NewRollingUpdate(2)
+	roll.SetAllowedLag("a", 1, 1)
 	members := newMembers(8, map[string]uint64{"a": 1})
 	for version := uint64(2); version < 6; version++ {
 		require.Equal(t, 4, applyAll(roll, now, members, map[string]uint64{"a": version}))
@@ -187,16 +187,16 @@
 // An executor may adopt two jobs, the later one first. It must not apply the lag of the
 // older one, which by then accepts one version more.
 func TestAllowedLagIsThatOfTheLatestStep(t *testing.T) {
-	roll := NewRoll(2)
-	roll.Allow("a", 4, 1)
-	roll.Allow("a", 3, 2)
+	roll := NewRollingUpdate(2)
+	roll.SetAllowedLag("a", 4, 1)
+	roll.SetAllowedLag("a", 3, 2)
 	require.EqualValues(t, 1, roll.allowedLag["a"])
 }
 
 func TestSamplersBeyondTheAllowedLagAreAllUpdated(t *testing.T) {
 	now := time.Unix(100, 0)
-	roll := NewRoll(2)
-	roll.Allow("a", 1, 1)
+	roll := NewRollingUpdate(2)
+	roll.SetAllowedLag("a", 1, 1)
 	members := newMembers(8, map[string]uint64{"a": 1})
 	require.Equal(t, 8, applyAll(roll, now, members, map[string]uint64{"a": 3}))
 }
@@ -205,12 +205,12 @@
 // sampler for five seconds while the other models had nine each.
 func TestModelWithTheFewestUpToDateReplicasIsUpdatedFirst(t *testing.T) {
 	now := time.Unix(100, 0)
-	roll := NewRoll(2)
+	roll := NewRollingUpdate(2)
 	members := newMembers(12, map[string]uint64{"a": 1, "b": 1, "z": 1})
 	targets := map[string]uint64{"a": 2, "b": 2, "z": 2}
 	var models []string
 	for range 6 {
-		for _, update := range roll.Next(now, Listed(members), targets) {
+		for _, update := range roll.Next(now, MemberList(members), targets) {
 			models = append(models, update.Model)
 			for i := range members {
 				if members[i].ID == update.SamplerID {
@@ -231,18 +231,18 @@
 // samplers.
 func TestReplicasOfAModelAreLimitedByItsDemand(t *testing.T) {
 	now := time.Unix(100, 0)
-	roll := NewRoll(2)
+	roll := NewRollingUpdate(2)
 	members := newMembers(300, map[string]uint64{"a": 1, "b": 1})
 	for i := range members {
 		members[i].Slots = 6
 	}
 	targets := map[string]uint64{"a": 2, "b": 1}
-	roll.Want(map[string]int{"a": 40})
+	roll.SetDemand(map[string]int{"a": 40})
 	require.Equal(t, 14, applyAll(roll, now, members, targets), "84 slots for 40 items")
-	roll.Want(map[string]int{"a": 1})
+	roll.SetDemand(map[string]int{"a": 1})
 	targets["a"] = 3
 	require.Equal(t, minReplicas, applyAll(roll, now, members, targets))
-	roll.Want(map[string]int{"a": 4000})
+	roll.SetDemand(map[string]int{"a": 4000})
 	targets["a"] = 4
 	require.Equal(t, 150, applyAll(roll, now, members, targets), "the even share is the upper limit")
 }
@@ -250,20 +250,20 @@
 // Updates and failures end with an incarnation, and the end of an update of the old
 // incarnation does not affect one of the new.
 func TestUpdatesEndWithTheIncarnation(t *testing.T) {
-	roll := NewRoll(1)
+	roll := NewRollingUpdate(1)
 	now := time.Unix(100, 0)
 	targets := map[string]uint64{"m": 2}
 	member := func(incarnation int64) []Member {
-		return []Member{{ID: "s", Born: incarnation, Versions: map[string]uint64{"m": 1}, Slots: 4}}
+		return []Member{{ID: "s", StartedAtMs: incarnation, Versions: map[string]uint64{"m": 1}, Slots: 4}}
 	}
-	formerUpdates := roll.Next(now, Listed(member(10)), targets)
+	formerUpdates := roll.Next(now, MemberList(member(10)), targets)
 	require.Len(t, formerUpdates, 1)
-	require.EqualValues(t, 10, formerUpdates[0].Born)
-	newUpdates := roll.Next(now, Listed(member(20)), targets)
+	require.EqualValues(t, 10, formerUpdates[0].StartedAtMs)
+	newUpdates := roll.Next(now, MemberList(member(20)), targets)
 	require.Len(t, newUpdates, 1, "the update in progress was for the old incarnation")
 	roll.Done(formerUpdates[0], false, now)
-	require.Equal(t, 1, roll.Moving())
+	require.Equal(t, 1, roll.InProgress())
 	require.Empty(t, roll.failures)
 	roll.Done(newUpdates[0], true, now)
-	require.Zero(t, roll.Moving())
+	require.Zero(t, roll.InProgress())
 }
--- a/internal/weights/versions.go
+++ b/internal/weights/versions.go
@@ -33,17 +33,17 @@
 // Get returns the highest version of a model, or 0 if none was announced.
 func (v *Versions) Get(key ModelKey) uint64 { return v.highest[key] }
 
-// Announced is one entry of the register.
-type Announced struct {
+// AnnouncedVersion is one entry of the register.
+type AnnouncedVersion struct {
 	ModelKey
 	Version uint64
 }
 
 // All returns every entry, ordered by tenant and model.
-func (v *Versions) All() []Announced {
-	all := make([]Announced, 0, len(v.highest))
+func (v *Versions) All() []AnnouncedVersion {
+	all := make([]AnnouncedVersion, 0, len(v.highest))
 	for _, key := range slices.SortedFunc(maps.Keys(v.highest), compareKeys) {
-		all = append(all, Announced{ModelKey: key, Version: v.highest[key]})
+		all = append(all, AnnouncedVersion{ModelKey: key, Version: v.highest[key]})
 	}
 	return all
 }
