--- a/Makefile
+++ b/Makefile
@@ -58,7 +58,7 @@
 fuzz:
 	$(GO) test ./internal/peer -run '^$$' -fuzz FuzzReadEnvelope -fuzztime $(FUZZTIME)
 	$(GO) test ./internal/config -run '^$$' -fuzz FuzzDecode -fuzztime $(FUZZTIME)
-	$(GO) test ./internal/state -run '^$$' -fuzz FuzzApply -fuzztime $(FUZZTIME)
+	$(GO) test ./internal/controlstate -run '^$$' -fuzz FuzzApply -fuzztime $(FUZZTIME)
 	$(GO) test ./internal/metering -run '^$$' -fuzz FuzzBook -fuzztime $(FUZZTIME)
 	$(GO) test ./internal/ledger -run '^$$' -fuzz FuzzApply -fuzztime $(FUZZTIME)
 	$(GO) test ./platform -run '^$$' -fuzz FuzzEvents -fuzztime $(FUZZTIME)
--- a/internal/content/store.go
+++ b/internal/blobstore/store.go
@@ -1,7 +1,7 @@
-// Package content stores payloads of any size as blobs in a topic of the log that no node
+// Package blobstore stores payloads of any size as blobs in a topic of the log that no node
 // consumes continuously: the items of jobs, and the texts of results. Ledger entries refer to
 // blobs, which are read on demand.
-package content
+package blobstore
 
 import (
 	"context"
--- a/internal/content/store_test.go
+++ b/internal/blobstore/store_test.go
@@ -1,4 +1,4 @@
-package content
+package blobstore
 
 import (
 	"bytes"
--- a/internal/warmup/budget_test.go
+++ b/internal/coldlimit/budget_test.go
@@ -1,4 +1,4 @@
-package warmup
+package coldlimit
 
 import (
 	"testing"
--- a/internal/warmup/doc.go
+++ b/internal/coldlimit/doc.go
@@ -1,4 +1,4 @@
-// Package warmup limits the requests per second that are sent to a sampler while it is
+// Package coldlimit limits the requests per second that are sent to a sampler while it is
 // cold, or while it may be cold without this node having learned of it.
 //
 // A cold sampler that gets far more requests than it can handle fails, so the limit holds
@@ -7,4 +7,4 @@
 // yet, and the executor that took over. A Budget therefore uses at most half of the limit.
 // This needs no messages between nodes, and the new executor need not know what the former
 // one sent in the last second.
-package warmup
+package coldlimit
--- a/internal/command/config.go
+++ b/internal/command/config.go
@@ -14,10 +14,10 @@
 	"github.com/spf13/cobra"
 
 	"github.com/pathbend/pathbend/internal/config"
+	"github.com/pathbend/pathbend/internal/controlstate"
 	"github.com/pathbend/pathbend/internal/logstore"
 	"github.com/pathbend/pathbend/internal/network"
-	"github.com/pathbend/pathbend/internal/operator"
-	"github.com/pathbend/pathbend/internal/state"
+	"github.com/pathbend/pathbend/internal/publish"
 )
 
 // logOperationTimeout is the timeout for reading or publishing configuration on the log.
@@ -122,7 +122,7 @@
 			return err
 		}
 		return withLog(command, *address, func(ctx context.Context, log *logstore.Client) error {
-			machine, err := operator.Load(ctx, log)
+			machine, err := publish.Load(ctx, log)
 			if err != nil {
 				return err
 			}
@@ -178,11 +178,11 @@
 			return err
 		}
 		return withLog(command, *address, func(ctx context.Context, log *logstore.Client) error {
-			request := operator.PublishRequest{Document: document, Author: *author, Message: *message}
+			request := publish.PublishRequest{Document: document, Author: *author, Message: *message}
 			if request.BaseRevision, err = resolveBaseRevision(ctx, log, *base); err != nil {
 				return err
 			}
-			revision, err := operator.Publish(ctx, log, request)
+			revision, err := publish.Publish(ctx, log, request)
 			return printPublishResult(command, revision, err)
 		})
 	}
@@ -201,7 +201,7 @@
 // revision at the end of the log.
 func resolveBaseRevision(ctx context.Context, log logstore.Reader, text string) (uint64, error) {
 	if text == "current" {
-		machine, err := operator.Load(ctx, log)
+		machine, err := publish.Load(ctx, log)
 		if err != nil {
 			return 0, err
 		}
@@ -216,8 +216,8 @@
 
 // printPublishResult prints the published revision, or the differences if err is a
 // conflict. It returns err, or the error of writing the differences.
-func printPublishResult(command *cobra.Command, revision state.Revision, err error) error {
-	var conflict *operator.ConflictError
+func printPublishResult(command *cobra.Command, revision controlstate.Revision, err error) error {
+	var conflict *publish.ConflictError
 	if errors.As(err, &conflict) {
 		fmt.Fprintf(command.ErrOrStderr(), "revision %d by %s (%q) was published at %s; differences:\n",
 			conflict.Current.Number, conflict.Current.Author, conflict.Current.Message, conflict.Current.Published.UTC().Format(time.RFC3339))
@@ -244,7 +244,7 @@
 			return err
 		}
 		return withLog(command, *address, func(ctx context.Context, log *logstore.Client) error {
-			machine, err := operator.Load(ctx, log)
+			machine, err := publish.Load(ctx, log)
 			if err != nil {
 				return err
 			}
@@ -262,7 +262,7 @@
 	Published time.Time `json:"published"`
 }
 
-func printHistory(command *cobra.Command, format string, revisions []state.Revision) error {
+func printHistory(command *cobra.Command, format string, revisions []controlstate.Revision) error {
 	entries := make([]historyEntry, 0, len(revisions))
 	rows := [][]string{{"REVISION", "PUBLISHED", "AUTHOR", "MESSAGE"}}
 	for _, revision := range revisions {
--- a/internal/state/doc.go
+++ b/internal/controlstate/doc.go
@@ -1,4 +1,4 @@
-// Package state implements the replicated state machine of the control stream.
+// Package controlstate implements the replicated state machine of the control stream.
 // Its state, which all nodes share, is the configuration revisions, the roster
 // of nodes and their replica groups, the leases, and the requests suspected of
 // crashing back ends.
@@ -14,4 +14,4 @@
 //   - a record id takes effect at most once;
 //   - restoring a snapshot and applying the records after it gives the same state
 //     as applying all records.
-package state
+package controlstate
--- a/internal/state/machine_test.go
+++ b/internal/controlstate/machine_test.go
@@ -1,4 +1,4 @@
-package state
+package controlstate
 
 import (
 	"fmt"
--- a/internal/control/control_test.go
+++ b/internal/controlstream/control_test.go
@@ -1,4 +1,4 @@
-package control
+package controlstream
 
 import (
 	"context"
@@ -13,10 +13,10 @@
 	"google.golang.org/protobuf/proto"
 
 	pathbendv1 "github.com/pathbend/pathbend/api/pathbend/v1"
+	"github.com/pathbend/pathbend/internal/controlstate"
 	"github.com/pathbend/pathbend/internal/event"
 	"github.com/pathbend/pathbend/internal/logstore"
 	"github.com/pathbend/pathbend/internal/result"
-	"github.com/pathbend/pathbend/internal/state"
 )
 
 // memoryLog is a log in memory. Its reads fail while down is set.
@@ -67,7 +67,7 @@
 
 func follow(t *testing.T, source Source) *Follower {
 	t.Helper()
-	follower := NewFollower(source, func(state.Part, *state.Machine) {}, event.Discard())
+	follower := NewFollower(source, func(controlstate.Part, *controlstate.Machine) {}, event.Discard())
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -83,7 +83,7 @@
 
 func revisionOf(follower *Follower) uint64 {
 	var number uint64
-	follower.View(func(machine *state.Machine) { number = machine.Revision().Number })
+	follower.View(func(machine *controlstate.Machine) { number = machine.Revision().Number })
 	return number
 }
 
@@ -167,8 +167,8 @@
 		time.Sleep(time.Second)
 		require.Equal(t, uint64(records), revisionOf(second))
 		var want, got *pathbendv1.Snapshot
-		full.View(func(machine *state.Machine) { want = machine.Snapshot() })
-		second.View(func(machine *state.Machine) { got = machine.Snapshot() })
+		full.View(func(machine *controlstate.Machine) { want = machine.Snapshot() })
+		second.View(func(machine *controlstate.Machine) { got = machine.Snapshot() })
 		require.True(t, proto.Equal(want, got))
 		third := follow(t, LogSource{Reader: log})
 		time.Sleep(time.Second)
--- a/internal/control/follower.go
+++ b/internal/controlstream/follower.go
@@ -1,4 +1,4 @@
-package control
+package controlstream
 
 import (
 	"context"
@@ -9,10 +9,10 @@
 	"google.golang.org/protobuf/proto"
 
 	pathbendv1 "github.com/pathbend/pathbend/api/pathbend/v1"
+	"github.com/pathbend/pathbend/internal/controlstate"
 	"github.com/pathbend/pathbend/internal/event"
 	"github.com/pathbend/pathbend/internal/logstore"
 	"github.com/pathbend/pathbend/internal/result"
-	"github.com/pathbend/pathbend/internal/state"
 	"github.com/pathbend/pathbend/internal/wait"
 )
 
@@ -45,7 +45,7 @@
 
 // Listener is called for each change of the state, in order. The follower's mutex is held during
 // the call, so it must neither block nor call the follower.
-type Listener func(part state.Part, machine *state.Machine)
+type Listener func(part controlstate.Part, machine *controlstate.Machine)
 
 // Follower keeps the state machine of one node up to date. It is safe for concurrent use.
 type Follower struct {
@@ -54,7 +54,7 @@
 	listener Listener
 
 	mutex   sync.Mutex
-	machine *state.Machine
+	machine *controlstate.Machine
 	// cache holds the latest applied records; the last one precedes machine.Next.
 	cache    []logstore.Entry
 	caughtUp bool
@@ -73,12 +73,12 @@
 func NewFollower(source Source, listener Listener, logger *event.Logger) *Follower {
 	return &Follower{
 		source: source, listener: listener, logger: logger,
-		machine: state.NewMachine(), changed: make(chan struct{}),
+		machine: controlstate.NewMachine(), changed: make(chan struct{}),
 	}
 }
 
 // View calls read with the current state, which read must neither retain nor modify.
-func (f *Follower) View(read func(machine *state.Machine)) {
+func (f *Follower) View(read func(machine *controlstate.Machine)) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	read(f.machine)
@@ -191,7 +191,7 @@
 	}
 	f.cache = nil
 	f.lastSnapshot = snapshot.Covers
-	for _, part := range []state.Part{state.PartRoster, state.PartLease, state.PartSuspects, state.PartConfig} {
+	for _, part := range []controlstate.Part{controlstate.PartRoster, controlstate.PartLease, controlstate.PartSuspects, controlstate.PartConfig} {
 		f.listener(part, f.machine)
 	}
 	return nil
@@ -209,7 +209,7 @@
 	}
 	f.recordSnapshot(entry)
 	f.logOutcome(entry, outcome)
-	if outcome.Changed != state.PartNone {
+	if outcome.Changed != controlstate.PartNone {
 		f.listener(outcome.Changed, f.machine)
 	}
 }
@@ -230,7 +230,7 @@
 	return record.GetSnapshot()
 }
 
-func (f *Follower) logOutcome(entry logstore.Entry, outcome state.Outcome) {
+func (f *Follower) logOutcome(entry logstore.Entry, outcome controlstate.Outcome) {
 	switch {
 	case result.Is(outcome.Err, result.RecordMalformed):
 		f.logger.Log(event.RecordSkipped, "offset", entry.Offset, "error", outcome.Err.Error())
@@ -238,7 +238,7 @@
 		f.logger.Log(event.LeaseClaimLost, "offset", entry.Offset, "error", outcome.Err.Error())
 	case outcome.Err != nil:
 		f.logger.Log(event.ConfigRejected, "offset", entry.Offset, "error", outcome.Err.Error())
-	case outcome.Changed == state.PartConfig:
+	case outcome.Changed == controlstate.PartConfig:
 		f.logger.Log(event.ConfigApplied, "offset", entry.Offset, "revision", f.machine.Revision().Number)
 	}
 }
--- a/internal/control/logsource.go
+++ b/internal/controlstream/logsource.go
@@ -1,4 +1,4 @@
-package control
+package controlstream
 
 import (
 	"context"
--- a/internal/election/candidate.go
+++ b/internal/election/candidate.go
@@ -26,7 +26,7 @@
 	// FarFromLog is set if the log service is far away from this node.
 	FarFromLog bool
 	// Standby is set if other nodes are better prepared to execute: this node then joins
-	// only under the conditions of a small one. Unready is set while this node could not
+	// only under the conditions of a small one. NotReady is set while this node could not
 	// execute: it does not join.
 	Standby  bool
 	NotReady bool
--- a/internal/duty/duty.go
+++ b/internal/exclusive/duty.go
@@ -1,9 +1,9 @@
-// Package duty declares the interface for calls that only one node at a time may make on
+// Package exclusive declares the interface for calls that only one node at a time may make on
 // behalf of all nodes: calls to the platform and to samplers that carry the name of the node
-// that holds the right and its fencing token. Package hosted decides which node holds the
+// that holds the right and its fencing token. Package platformnode decides which node holds the
 // right, and which of two nodes that both consider themselves the holder may make a call; the
 // loops that make such calls depend on this package only.
-package duty
+package exclusive
 
 import (
 	"context"
--- a/internal/fanout/plan.go
+++ b/internal/fanout/plan.go
@@ -58,7 +58,7 @@
 	// Readers is the number of nodes that read the log.
 	Readers int
 	// Parents are the readers that this node asks, in order of preference. It is empty if
-	// Reads is set.
+	// ReadsLog is set.
 	Parents []Node
 }
 
--- a/internal/fleet/machines.go
+++ b/internal/fleet/machines.go
@@ -10,8 +10,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"github.com/pathbend/pathbend/internal/coldlimit"
 	"github.com/pathbend/pathbend/internal/network"
-	"github.com/pathbend/pathbend/internal/warmup"
 )
 
 // Role is the role of a machine in the platform's list.
@@ -40,8 +40,8 @@
 	StartedAtMs int64 `json:"-"`
 	// ColdRemaining is the remaining warm-up time that the machine reported, and Limits is
 	// what this node may send to it until then. The platform's list contains neither.
-	ColdRemaining time.Duration `json:"-"`
-	Limits        warmup.Limits `json:"-"`
+	ColdRemaining time.Duration    `json:"-"`
+	Limits        coldlimit.Limits `json:"-"`
 }
 
 const (
--- a/internal/knownred/list.go
+++ b/internal/knownfailures/list.go
@@ -1,4 +1,4 @@
-package knownred
+package knownfailures
 
 import (
 	"bufio"
--- a/internal/labcommand/judgetests.go
+++ b/internal/labcommand/judgetests.go
@@ -6,7 +6,7 @@
 	"github.com/cockroachdb/errors"
 	"github.com/spf13/cobra"
 
-	"github.com/pathbend/pathbend/internal/knownred"
+	"github.com/pathbend/pathbend/internal/knownfailures"
 )
 
 // modulePath is the module path, which prefixes the packages in test events.
@@ -25,7 +25,7 @@
 			if err != nil {
 				return err
 			}
-			verdict, err := knownred.Evaluate(command.InOrStdin(), command.OutOrStdout(), modulePath, entries)
+			verdict, err := knownfailures.Evaluate(command.InOrStdin(), command.OutOrStdout(), modulePath, entries)
 			if err != nil {
 				return err
 			}
@@ -41,7 +41,7 @@
 }
 
 // readKnownFailures reads the list at path. A missing file is an empty list.
-func readKnownFailures(path string) ([]knownred.Entry, error) {
+func readKnownFailures(path string) ([]knownfailures.Entry, error) {
 	file, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
@@ -50,5 +50,5 @@
 		return nil, errors.Wrap(err, "open the list of known failures")
 	}
 	defer file.Close()
-	return knownred.Parse(file)
+	return knownfailures.Parse(file)
 }
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -126,7 +126,7 @@
 	Kind ChangeKind
 	// Job is the job that changed, nil for NoChange and RequestSuspected.
 	Job *Job
-	// NewResults are the new results of a Listed change.
+	// NewResults are the new results of a ResultsAdded change.
 	NewResults []Result
 	// ResultCount is the number of all results of the job; Complete is set if every item has
 	// one.
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -1,6 +1,6 @@
 // Package membership maintains each node's view of the other nodes with a gossip protocol.
 //
-// Machine is a pure state machine without goroutines, sockets or clocks. The driver calls
+// StateMachine is a pure state machine without goroutines, sockets or clocks. The driver calls
 // Tick at every interval and sends the heartbeats it returns. It passes in heartbeats,
 // acknowledgements and misses along with the time of each.
 //
--- a/internal/metering/reporter.go
+++ b/internal/metering/reporter.go
@@ -6,8 +6,8 @@
 	"time"
 
 	pathbendv1 "github.com/pathbend/pathbend/api/pathbend/v1"
-	"github.com/pathbend/pathbend/internal/duty"
 	"github.com/pathbend/pathbend/internal/event"
+	"github.com/pathbend/pathbend/internal/exclusive"
 	"github.com/pathbend/pathbend/internal/sharedlog"
 	"github.com/pathbend/pathbend/internal/wait"
 )
@@ -38,7 +38,7 @@
 type Sender interface {
 	// ReportUsage sends a report under a permit and returns nil once the platform accepted
 	// the report. It is idempotent.
-	ReportUsage(ctx context.Context, permit duty.Permit, report *pathbendv1.UsageReport) error
+	ReportUsage(ctx context.Context, permit exclusive.Permit, report *pathbendv1.UsageReport) error
 }
 
 // Reporter reports the usage of windows to the platform while this node holds the duty.
@@ -46,11 +46,11 @@
 	Log       sharedlog.Log
 	Partition sharedlog.Partition
 	Observer  sharedlog.Observer
-	Holder    duty.Holder
+	Holder    exclusive.Holder
 	Sender    Sender
 	Clock     *Clock
 	Logger    *event.Logger
-	// WindowLength is the length of a window; Late is how long after the end of a window its report
+	// WindowLength is the length of a window; ReportDueAfter is how long after the end of a window its report
 	// is due.
 	WindowLength, ReportDueAfter time.Duration
 	// GatherInterval returns the time for which recorders gather counts before they append them.
--- a/internal/metering/reporter_test.go
+++ b/internal/metering/reporter_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 
 	pathbendv1 "github.com/pathbend/pathbend/api/pathbend/v1"
-	"github.com/pathbend/pathbend/internal/duty"
 	"github.com/pathbend/pathbend/internal/event"
+	"github.com/pathbend/pathbend/internal/exclusive"
 	"github.com/pathbend/pathbend/internal/sharedlog"
 )
 
@@ -61,7 +61,7 @@
 // fakeHolder is a duty holder whose state is set by the test.
 type fakeHolder struct {
 	mutex  sync.Mutex
-	permit duty.Permit
+	permit exclusive.Permit
 	held   bool
 }
 
@@ -71,7 +71,7 @@
 	return h.held
 }
 
-func (h *fakeHolder) AcquirePermit(context.Context, string) (duty.Permit, bool) {
+func (h *fakeHolder) AcquirePermit(context.Context, string) (exclusive.Permit, bool) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return h.permit, h.held
@@ -91,7 +91,7 @@
 	failing    bool
 }
 
-func (p *fakePlatform) ReportUsage(_ context.Context, _ duty.Permit, report *pathbendv1.UsageReport) error {
+func (p *fakePlatform) ReportUsage(_ context.Context, _ exclusive.Permit, report *pathbendv1.UsageReport) error {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.failing {
@@ -130,7 +130,7 @@
 	clock := &Clock{Now: time.Now}
 	recorder := NewRecorder(NewCounter(name, fencingToken, length, clock.Read()))
 	recorder.Log, recorder.Clock, recorder.GatherInterval, recorder.Logger = c.log, clock, gatherInterval, event.Discard()
-	holder := &fakeHolder{permit: duty.Permit{Holder: name, Fence: fencingToken}}
+	holder := &fakeHolder{permit: exclusive.Permit{Holder: name, Fence: fencingToken}}
 	reporter := &Reporter{
 		Log: c.log, Observer: c.log, Holder: holder, Sender: c.platform, Clock: clock, Logger: event.Discard(),
 		WindowLength: length, ReportDueAfter: reportDueAfter, GatherInterval: gatherInterval,
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -11,10 +11,10 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
 	"github.com/pathbend/pathbend/internal/admission"
+	"github.com/pathbend/pathbend/internal/controlstate"
 	"github.com/pathbend/pathbend/internal/fleet"
 	"github.com/pathbend/pathbend/internal/lease"
 	"github.com/pathbend/pathbend/internal/rollout"
-	"github.com/pathbend/pathbend/internal/state"
 )
 
 // adminHeaderTimeout bounds the read of a request's header by the admin server.
@@ -70,7 +70,7 @@
 		Revision: revision, LogLastRead: lastRead, Endpoints: n.fleet.Status(), Jobs: n.manager.Status(),
 		Admission: n.gate.Occupancy(), Keys: n.replicas.keys(),
 	}
-	n.follower.View(func(stateMachine *state.Machine) {
+	n.follower.View(func(stateMachine *controlstate.Machine) {
 		status.LogOffset = stateMachine.Next()
 		_, status.RosterEpoch = stateMachine.Roster()
 		status.Leases = stateMachine.Leases().All()
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -10,11 +10,11 @@
 	"github.com/cespare/xxhash/v2"
 
 	pathbendv1 "github.com/pathbend/pathbend/api/pathbend/v1"
-	"github.com/pathbend/pathbend/internal/control"
+	"github.com/pathbend/pathbend/internal/controlstate"
+	"github.com/pathbend/pathbend/internal/controlstream"
 	"github.com/pathbend/pathbend/internal/logstore"
 	"github.com/pathbend/pathbend/internal/membership"
 	"github.com/pathbend/pathbend/internal/result"
-	"github.com/pathbend/pathbend/internal/state"
 )
 
 const (
@@ -76,11 +76,11 @@
 	return slices.ContainsFunc(n.zoneReaders(), func(member membership.Member) bool { return member.ID == n.id })
 }
 
-// Fetch implements control.Source. The zone's readers read from the log and fall back to
+// Fetch implements controlstream.Source. The zone's readers read from the log and fall back to
 // peers; other nodes read from the zone's readers and fall back to the log. A read from
 // offset 0 always tries the log first.
-func (n *Node) Fetch(ctx context.Context, from uint64, limit int, wait time.Duration) (control.Update, error) {
-	log := control.LogSource{Reader: n.log}
+func (n *Node) Fetch(ctx context.Context, from uint64, limit int, wait time.Duration) (controlstream.Update, error) {
+	log := controlstream.LogSource{Reader: n.log}
 	if from == 0 || n.isZoneReader() {
 		update, err := log.Fetch(ctx, from, limit, wait)
 		if err == nil {
@@ -100,7 +100,7 @@
 
 // fetchFromPeers fetches from the first candidate that answers. cause is returned if there
 // is no candidate to ask; nil stands for a default error.
-func (n *Node) fetchFromPeers(ctx context.Context, candidates []membership.Member, from uint64, limit int, wait time.Duration, cause error) (control.Update, error) {
+func (n *Node) fetchFromPeers(ctx context.Context, candidates []membership.Member, from uint64, limit int, wait time.Duration, cause error) (controlstream.Update, error) {
 	lastErr := cause
 	asked := 0
 	for _, member := range rank(n.id, candidates) {
@@ -117,11 +117,11 @@
 	if lastErr == nil {
 		lastErr = result.New(result.PeerUnreached, "no peer to read from")
 	}
-	return control.Update{}, lastErr
+	return controlstream.Update{}, lastErr
 }
 
 // fetchFromPeer fetches the control records that a peer has applied.
-func (n *Node) fetchFromPeer(ctx context.Context, member membership.Member, from uint64, limit int, wait time.Duration) (control.Update, error) {
+func (n *Node) fetchFromPeer(ctx context.Context, member membership.Member, from uint64, limit int, wait time.Duration) (controlstream.Update, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+peerReadMargin)
 	defer cancel()
 	reply, err := n.peers.Call(ctx, member.Address, &pathbendv1.Envelope{Body: &pathbendv1.Envelope_ReadRecords{
@@ -130,25 +130,25 @@
 		},
 	}})
 	if err != nil {
-		return control.Update{}, err
+		return controlstream.Update{}, err
 	}
-	return control.DecodeUpdate(reply.GetRecordBatch())
+	return controlstream.DecodeUpdate(reply.GetRecordBatch())
 }
 
 // onStateChange applies a change of the shared state to this node. The caller holds the
 // follower's mutex.
-func (n *Node) onStateChange(part state.Part, stateMachine *state.Machine) {
+func (n *Node) onStateChange(part controlstate.Part, stateMachine *controlstate.Machine) {
 	switch part {
-	case state.PartConfig:
+	case controlstate.PartConfig:
 		revision := stateMachine.Revision()
 		if revision.Document == nil {
 			return
 		}
 		n.current.Store(&revision)
 		n.quotas.apply(revision.Document)
-	case state.PartRoster:
+	case controlstate.PartRoster:
 		n.replicas.applyRoster(stateMachine.Shards())
-	case state.PartSuspects:
+	case controlstate.PartSuspects:
 		n.suspects.merge(stateMachine.Suspects())
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -16,7 +16,8 @@
 
 	"github.com/pathbend/pathbend/internal/admission"
 	"github.com/pathbend/pathbend/internal/config"
-	"github.com/pathbend/pathbend/internal/control"
+	"github.com/pathbend/pathbend/internal/controlstate"
+	"github.com/pathbend/pathbend/internal/controlstream"
 	"github.com/pathbend/pathbend/internal/dispatch"
 	"github.com/pathbend/pathbend/internal/engine"
 	"github.com/pathbend/pathbend/internal/event"
@@ -28,7 +29,6 @@
 	"github.com/pathbend/pathbend/internal/peer"
 	"github.com/pathbend/pathbend/internal/result"
 	"github.com/pathbend/pathbend/internal/rollout"
-	"github.com/pathbend/pathbend/internal/state"
 )
 
 // Node is one pathbend process. Its methods are safe for concurrent use, except that Start
@@ -43,7 +43,7 @@
 	log           *logstore.Client
 	machineClient *fleet.ListClient
 	machines      machineCache
-	follower      *control.Follower
+	follower      *controlstream.Follower
 	members       *members
 	fleet         *fleet.Fleet
 	engines       *engine.Client
@@ -63,7 +63,7 @@
 	peerServer *peer.Server
 
 	// current is the configuration revision in effect. It is replaced as a whole.
-	current atomic.Pointer[state.Revision]
+	current atomic.Pointer[controlstate.Revision]
 
 	idMutex  sync.Mutex
 	idRandom *rand.Rand
@@ -112,7 +112,7 @@
 	n.gate = admission.NewGate()
 	n.quotas = newQuotas(n)
 	n.weights = newWeightUpdater(n)
-	n.follower = control.NewFollower(n, n.onStateChange, logger)
+	n.follower = controlstream.NewFollower(n, n.onStateChange, logger)
 	n.exchanger = dispatch.NewExchanger(transport)
 	n.suspects = newSuspects(n)
 	dispatcher := dispatch.NewDispatcher(n.exchanger, dispatch.NativeProtocol{}, n.fleet, n.suspects.guard, settings.Zone, n.NewID, logger)
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -5,7 +5,7 @@
 	"time"
 
 	pathbendv1 "github.com/pathbend/pathbend/api/pathbend/v1"
-	"github.com/pathbend/pathbend/internal/control"
+	"github.com/pathbend/pathbend/internal/controlstream"
 	"github.com/pathbend/pathbend/internal/logstore"
 	"github.com/pathbend/pathbend/internal/result"
 )
@@ -53,7 +53,7 @@
 	if err != nil {
 		return nil, err
 	}
-	batch, err := control.EncodeUpdate(update)
+	batch, err := controlstream.EncodeUpdate(update)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/node/replicas.go
+++ b/internal/node/replicas.go
@@ -10,13 +10,13 @@
 	"github.com/sourcegraph/conc"
 
 	pathbendv1 "github.com/pathbend/pathbend/api/pathbend/v1"
+	"github.com/pathbend/pathbend/internal/controlstate"
 	"github.com/pathbend/pathbend/internal/idempotency"
 	"github.com/pathbend/pathbend/internal/keyed"
 	"github.com/pathbend/pathbend/internal/membership"
 	"github.com/pathbend/pathbend/internal/peer"
 	"github.com/pathbend/pathbend/internal/result"
 	"github.com/pathbend/pathbend/internal/shard"
-	"github.com/pathbend/pathbend/internal/state"
 )
 
 const (
@@ -67,7 +67,7 @@
 // Group implements keyed.Replicas.
 func (r *replicas) Group(index int) shard.Group {
 	var group shard.Group
-	r.node.follower.View(func(stateMachine *state.Machine) { group = stateMachine.Shards().Group(index) })
+	r.node.follower.View(func(stateMachine *controlstate.Machine) { group = stateMachine.Shards().Group(index) })
 	return group
 }
 
--- a/internal/node/roster.go
+++ b/internal/node/roster.go
@@ -5,10 +5,10 @@
 	"time"
 
 	pathbendv1 "github.com/pathbend/pathbend/api/pathbend/v1"
+	"github.com/pathbend/pathbend/internal/controlstate"
 	"github.com/pathbend/pathbend/internal/event"
 	"github.com/pathbend/pathbend/internal/logstore"
 	"github.com/pathbend/pathbend/internal/membership"
-	"github.com/pathbend/pathbend/internal/state"
 	"github.com/pathbend/pathbend/internal/wait"
 )
 
@@ -47,9 +47,9 @@
 }
 
 // roster returns the members of the roster by id.
-func (n *Node) roster() map[string]state.RosterMember {
-	roster := make(map[string]state.RosterMember)
-	n.follower.View(func(stateMachine *state.Machine) {
+func (n *Node) roster() map[string]controlstate.RosterMember {
+	roster := make(map[string]controlstate.RosterMember)
+	n.follower.View(func(stateMachine *controlstate.Machine) {
 		members, _ := stateMachine.Roster()
 		for _, member := range members {
 			roster[member.ID] = member
@@ -67,7 +67,7 @@
 // removeDead removes members from the roster that have been dead or unknown for
 // deadMemberGracePeriod. deadSince holds the time at which each was first seen so, and is
 // kept between calls.
-func (n *Node) removeDead(ctx context.Context, roster map[string]state.RosterMember, deadSince map[string]time.Time) {
+func (n *Node) removeDead(ctx context.Context, roster map[string]controlstate.RosterMember, deadSince map[string]time.Time) {
 	now := time.Now()
 	for id := range roster {
 		if member, ok := n.members.get(id); ok && member.Status != membership.Dead {
@@ -117,7 +117,7 @@
 	defer ticker.Stop()
 	for {
 		var next uint64
-		n.follower.View(func(stateMachine *state.Machine) { next = stateMachine.Next() })
+		n.follower.View(func(stateMachine *controlstate.Machine) { next = stateMachine.Next() })
 		if next > offset {
 			return
 		}
--- a/internal/node/weights.go
+++ b/internal/node/weights.go
@@ -10,12 +10,12 @@
 
 	pathbendv1 "github.com/pathbend/pathbend/api/pathbend/v1"
 	"github.com/pathbend/pathbend/internal/config"
+	"github.com/pathbend/pathbend/internal/controlstate"
 	"github.com/pathbend/pathbend/internal/engine"
 	"github.com/pathbend/pathbend/internal/event"
 	"github.com/pathbend/pathbend/internal/fleet"
 	"github.com/pathbend/pathbend/internal/lease"
 	"github.com/pathbend/pathbend/internal/membership"
-	"github.com/pathbend/pathbend/internal/state"
 	"github.com/pathbend/pathbend/internal/weights"
 )
 
@@ -131,7 +131,7 @@
 // lease returns a lease by the state that this node has applied.
 func (n *Node) lease(name string) lease.Lease {
 	var held lease.Lease
-	n.follower.View(func(stateMachine *state.Machine) { held = stateMachine.Leases().Get(name) })
+	n.follower.View(func(stateMachine *controlstate.Machine) { held = stateMachine.Leases().Get(name) })
 	return held
 }
 
--- a/internal/directory/directory.go
+++ b/internal/nodedirectory/directory.go
@@ -1,4 +1,4 @@
-package directory
+package nodedirectory
 
 import (
 	"context"
@@ -8,12 +8,12 @@
 	"google.golang.org/protobuf/proto"
 
 	pathbendv1 "github.com/pathbend/pathbend/api/pathbend/v1"
-	"github.com/pathbend/pathbend/internal/carry"
 	"github.com/pathbend/pathbend/internal/election"
 	"github.com/pathbend/pathbend/internal/event"
 	"github.com/pathbend/pathbend/internal/fanout"
 	"github.com/pathbend/pathbend/internal/ownership"
 	"github.com/pathbend/pathbend/internal/relay"
+	"github.com/pathbend/pathbend/internal/remoterun"
 	"github.com/pathbend/pathbend/internal/sharedlog"
 )
 
@@ -223,14 +223,14 @@
 }
 
 // Workers returns the nodes that execute runs for other nodes.
-func (d *Directory) Workers() []carry.Node {
+func (d *Directory) Workers() []remoterun.Node {
 	now := time.Now()
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	var workers []carry.Node
+	var workers []remoterun.Node
 	for name, node := range d.nodes {
 		if node.WorkerAddress != "" && now.Sub(node.readAt) <= entryTTL {
-			workers = append(workers, carry.Node{Name: name, Zone: node.Zone, Address: node.WorkerAddress, Millicores: node.Millicores})
+			workers = append(workers, remoterun.Node{Name: name, Zone: node.Zone, Address: node.WorkerAddress, Millicores: node.Millicores})
 		}
 	}
 	return workers
--- a/internal/directory/directory_test.go
+++ b/internal/nodedirectory/directory_test.go
@@ -1,4 +1,4 @@
-package directory
+package nodedirectory
 
 import (
 	"context"
--- a/internal/hosted/announce.go
+++ b/internal/platformnode/announce.go
@@ -1,4 +1,4 @@
-package hosted
+package platformnode
 
 import (
 	"context"
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"github.com/pathbend/pathbend/internal/directory"
 	"github.com/pathbend/pathbend/internal/event"
+	"github.com/pathbend/pathbend/internal/nodedirectory"
 	"github.com/pathbend/pathbend/internal/relay"
 	"github.com/pathbend/pathbend/internal/wait"
 )
@@ -67,10 +67,10 @@
 	for n.settings.acceptsPeerCalls() && n.peerAddress.Load() == nil && wait.For(ctx, readPollInterval) {
 	}
 	if n.directory.HasEntry(n.settings.Name, n.directoryEntry()) {
-		wait.For(ctx, minReannounceDelay+rand.N(directory.AnnounceInterval-minReannounceDelay))
+		wait.For(ctx, minReannounceDelay+rand.N(nodedirectory.AnnounceInterval-minReannounceDelay))
 	}
 	for ctx.Err() == nil {
-		pause := directory.AnnounceInterval + rand.N(directory.AnnounceJitter)
+		pause := nodedirectory.AnnounceInterval + rand.N(nodedirectory.AnnounceJitter)
 		if err := n.announceOnce(ctx); err != nil {
 			n.logger.Log(event.LogAppendRetried, "topic", n.settings.NodesTopic, "detail", err.Error())
 			pause = announceRetryPause + rand.N(announceRetryPause)
@@ -93,8 +93,8 @@
 }
 
 // directoryEntry returns the directory entry of this node.
-func (n *Node) directoryEntry() directory.Entry {
-	return directory.Entry{
+func (n *Node) directoryEntry() nodedirectory.Entry {
+	return nodedirectory.Entry{
 		Millicores: n.settings.Millicores, Zone: n.settings.Zone, RelayAddress: n.settings.PeerAddress(), WorkerAddress: n.callAddress(),
 	}
 }
--- a/internal/hosted/claims.go
+++ b/internal/platformnode/claims.go
@@ -1,4 +1,4 @@
-package hosted
+package platformnode
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 
 	pathbendv1 "github.com/pathbend/pathbend/api/pathbend/v1"
 	"github.com/pathbend/pathbend/internal/clock"
-	"github.com/pathbend/pathbend/internal/duty"
+	"github.com/pathbend/pathbend/internal/exclusive"
 	"github.com/pathbend/pathbend/internal/ledger"
 	"github.com/pathbend/pathbend/internal/ownership"
 )
@@ -30,18 +30,18 @@
 	node *Node
 }
 
-// IsHolder implements duty.Holder.
+// IsHolder implements exclusive.Holder.
 func (c *claims) IsHolder(now time.Time) bool {
 	_, ok := c.node.ownership.OrderFencingToken(jobPartition, now)
 	return ok
 }
 
-// AcquirePermit implements duty.Holder.
-func (c *claims) AcquirePermit(ctx context.Context, subject string) (duty.Permit, bool) {
+// AcquirePermit implements exclusive.Holder.
+func (c *claims) AcquirePermit(ctx context.Context, subject string) (exclusive.Permit, bool) {
 	holder := c.node.settings.Name
 	fence, ok := c.node.ownership.OrderFencingToken(jobPartition, time.Now())
 	if !ok {
-		return duty.Permit{}, false
+		return exclusive.Permit{}, false
 	}
 	began := clock.CurrentMoment()
 	serial := rand.Uint64()
@@ -54,17 +54,17 @@
 	}
 	timeout := claimTimeout + c.node.log.ExtraLatency()
 	if err := c.node.jobs.record(ctx, timeout, readBack, entry); err != nil {
-		return duty.Permit{}, false
+		return exclusive.Permit{}, false
 	}
 	if !c.node.jobs.awaitReadBack(ctx, timeout, readBack) || began.Age() > maxClaimAge {
-		return duty.Permit{}, false
+		return exclusive.Permit{}, false
 	}
 	if c.superseded(fence) || c.claimedRecently(subject, time.Now()) {
-		return duty.Permit{}, false
+		return exclusive.Permit{}, false
 	}
 	// The node may have lost the partition while the log was slow.
 	fence, ok = c.node.ownership.OrderFencingToken(jobPartition, time.Now())
-	return duty.Permit{Holder: holder, Fence: fence}, ok
+	return exclusive.Permit{Holder: holder, Fence: fence}, ok
 }
 
 // superseded reports whether another node made a claim with a higher fencing token.
--- a/internal/hosted/cold.go
+++ b/internal/platformnode/cold.go
@@ -1,39 +1,39 @@
-package hosted
+package platformnode
 
 import (
 	"math"
 	"time"
 
 	"github.com/pathbend/pathbend/internal/catalog"
+	"github.com/pathbend/pathbend/internal/coldlimit"
 	"github.com/pathbend/pathbend/internal/event"
 	"github.com/pathbend/pathbend/internal/routing"
 	"github.com/pathbend/pathbend/internal/schedule"
-	"github.com/pathbend/pathbend/internal/warmup"
 )
 
 // coldLimits returns the limits of cold samplers by service, nil without a configuration.
-func (n *Node) coldLimits() map[string]warmup.Limits {
+func (n *Node) coldLimits() map[string]coldlimit.Limits {
 	current := n.Catalog()
 	if current == nil {
 		return nil
 	}
-	limits := make(map[string]warmup.Limits, len(current.Services))
+	limits := make(map[string]coldlimit.Limits, len(current.Services))
 	for name := range current.Services {
 		limits[name] = n.limitsOf(current, name)
 	}
 	return limits
 }
 
-func (n *Node) limitsOf(current *catalog.Catalog, service string) warmup.Limits {
+func (n *Node) limitsOf(current *catalog.Catalog, service string) coldlimit.Limits {
 	declared := current.Services[service]
-	return warmup.NewLimits(declared.ColdDuration, declared.ColdRequestsPerSecond, n.settings.ColdFactor, n.settings.ColdSlack)
+	return coldlimit.NewLimits(declared.ColdDuration, declared.ColdRequestsPerSecond, n.settings.ColdFactor, n.settings.ColdSlack)
 }
 
 // requestLimits returns the limits of the requests of clients and reward calls that this node
 // may send to a sampler. Warm samplers have no limit: they get requests from all nodes, and a
 // single node cannot tell its own share. Cold samplers of models get none, as their budget
 // belongs to the executor. Other cold samplers get this node's share of their limit.
-func (n *Node) requestLimits(current *catalog.Catalog, sampler schedule.Sampler, nodes []string) warmup.Limits {
+func (n *Node) requestLimits(current *catalog.Catalog, sampler schedule.Sampler, nodes []string) coldlimit.Limits {
 	limits := n.limitsOf(current, sampler.Service)
 	limits.WarmPerSecond = math.MaxInt
 	if len(current.Services[sampler.Service].Models) > 0 {
--- a/internal/hosted/directory_test.go
+++ b/internal/platformnode/directory_test.go
@@ -1,4 +1,4 @@
-package hosted
+package platformnode
 
 import (
 	"context"
@@ -12,9 +12,9 @@
 	"google.golang.org/protobuf/proto"
 
 	pathbendv1 "github.com/pathbend/pathbend/api/pathbend/v1"
-	"github.com/pathbend/pathbend/internal/directory"
 	"github.com/pathbend/pathbend/internal/event"
 	"github.com/pathbend/pathbend/internal/network"
+	"github.com/pathbend/pathbend/internal/nodedirectory"
 	"github.com/pathbend/pathbend/internal/ownership"
 	"github.com/pathbend/pathbend/internal/ownership/ownershiptest"
 	"github.com/pathbend/pathbend/internal/schedule"
@@ -23,7 +23,7 @@
 )
 
 // readDirectory runs a directory until it has read its topic once.
-func readDirectory(t *testing.T, d *directory.Directory) {
+func readDirectory(t *testing.T, d *nodedirectory.Directory) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -45,7 +45,7 @@
 	return sharedlog.KeyedRecord{Key: node, Value: value}
 }
 
-func announceAs(t *testing.T, d *directory.Directory, node string, millicores uint64) {
+func announceAs(t *testing.T, d *nodedirectory.Directory, node string, millicores uint64) {
 	t.Helper()
 	d.Apply([]sharedlog.KeyedRecord{entryOf(t, node, millicores)}, 1)
 }
@@ -128,7 +128,7 @@
 		synctest.Wait()
 		reads, _ = log.counts()
 		require.Positive(t, reads)
-		time.Sleep(directory.AnnounceInterval + directory.AnnounceJitter)
+		time.Sleep(nodedirectory.AnnounceInterval + nodedirectory.AnnounceJitter)
 		_, writes = log.counts()
 		require.Positive(t, writes, "entries are repeated before they expire")
 		cancel()
--- a/internal/hosted/doc.go
+++ b/internal/platformnode/doc.go
@@ -1,4 +1,4 @@
-// Package hosted implements a node that keeps its shared state in a log service
+// Package platformnode implements a node that keeps its shared state in a log service
 // run by the platform, rather than in streams and replicas of its own.
 //
 // Every node forwards requests, accepts batch jobs and serves reads of them: it
@@ -11,4 +11,4 @@
 //
 // The package contains the decisions and control loops; the platform's protocols
 // are behind the interfaces of ports.go.
-package hosted
+package platformnode
--- a/internal/hosted/jobs.go
+++ b/internal/platformnode/jobs.go
@@ -1,4 +1,4 @@
-package hosted
+package platformnode
 
 import (
 	"cmp"
@@ -9,7 +9,7 @@
 	"time"
 
 	pathbendv1 "github.com/pathbend/pathbend/api/pathbend/v1"
-	"github.com/pathbend/pathbend/internal/content"
+	"github.com/pathbend/pathbend/internal/blobstore"
 	"github.com/pathbend/pathbend/internal/event"
 	"github.com/pathbend/pathbend/internal/ledger"
 	"github.com/pathbend/pathbend/internal/result"
@@ -56,7 +56,7 @@
 	node     *Node
 	follower *sharedlog.Follower
 	appender *sharedlog.Appender
-	contents *content.Store
+	contents *blobstore.Store
 	// following is set once the node follows the log continuously; before that it reads the
 	// log on demand.
 	following atomic.Bool
@@ -70,7 +70,7 @@
 func newJobStore(n *Node) *jobStore {
 	book := &jobStore{
 		node: n, ledger: ledger.New(), changed: make(chan struct{}),
-		contents: content.New(n.log, content.Limits{
+		contents: blobstore.New(n.log, blobstore.Limits{
 			MaxRecordBytes: n.settings.MaxRecordBytes, MaxCallBytes: n.settings.MaxCallBytes, Partitions: n.settings.Partitions,
 		}, n.metrics.recordAppend),
 	}
--- a/internal/hosted/metrics.go
+++ b/internal/platformnode/metrics.go
@@ -1,4 +1,4 @@
-package hosted
+package platformnode
 
 import (
 	"net/http"
@@ -9,11 +9,11 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
 	"github.com/pathbend/pathbend/internal/dispatch"
-	"github.com/pathbend/pathbend/internal/feed"
 	"github.com/pathbend/pathbend/internal/quarantine"
 	"github.com/pathbend/pathbend/internal/result"
 	"github.com/pathbend/pathbend/internal/roundtrip"
 	"github.com/pathbend/pathbend/internal/schedule"
+	"github.com/pathbend/pathbend/internal/topicreader"
 )
 
 // Metrics are the node's counters and latency histograms.
@@ -53,12 +53,12 @@
 	entriesServed prometheus.Counter
 }
 
-// EntriesRead implements feed.Counter.
-func (m *Metrics) EntriesRead(source feed.Source, answered bool) {
+// EntriesRead implements topicreader.Counter.
+func (m *Metrics) EntriesRead(source topicreader.Source, answered bool) {
 	m.entriesRead.WithLabelValues(string(source), strconv.FormatBool(answered)).Inc()
 }
 
-// EntriesServed implements feed.Counter.
+// EntriesServed implements topicreader.Counter.
 func (m *Metrics) EntriesServed(bytes int) { m.entriesServed.Add(float64(bytes)) }
 
 // PeerCallAsked counts a call to the log that this node asked a peer to make, and whether the
--- a/internal/hosted/node.go
+++ b/internal/platformnode/node.go
@@ -1,4 +1,4 @@
-package hosted
+package platformnode
 
 import (
 	"context"
@@ -10,19 +10,19 @@
 	"github.com/sourcegraph/conc"
 
 	"github.com/pathbend/pathbend/internal/catalog"
-	"github.com/pathbend/pathbend/internal/directory"
 	"github.com/pathbend/pathbend/internal/dispatch"
 	"github.com/pathbend/pathbend/internal/election"
 	"github.com/pathbend/pathbend/internal/evacuation"
 	"github.com/pathbend/pathbend/internal/event"
-	"github.com/pathbend/pathbend/internal/feed"
 	"github.com/pathbend/pathbend/internal/fleet"
 	"github.com/pathbend/pathbend/internal/metering"
 	"github.com/pathbend/pathbend/internal/network"
+	"github.com/pathbend/pathbend/internal/nodedirectory"
 	"github.com/pathbend/pathbend/internal/ownership"
 	"github.com/pathbend/pathbend/internal/peer"
 	"github.com/pathbend/pathbend/internal/schedule"
 	"github.com/pathbend/pathbend/internal/sharedlog"
+	"github.com/pathbend/pathbend/internal/topicreader"
 	"github.com/pathbend/pathbend/internal/wait"
 )
 
@@ -55,7 +55,7 @@
 	fleet      *fleet.Fleet
 	exchanger  *dispatch.Exchanger
 	dispatcher *dispatch.Dispatcher
-	directory  *directory.Directory
+	directory  *nodedirectory.Directory
 	jobs       *jobStore
 	ownership  *ownership.Holder
 	executor   *executor
@@ -68,9 +68,9 @@
 	// readers determines which nodes read the keyed topics on behalf of others. The feeds
 	// deliver the topics to this node, entries serves them to other nodes.
 	readers      *readers
-	samplerFeed  *feed.Feed
-	operatorFeed *feed.Feed
-	entries      *feed.Server
+	samplerFeed  *topicreader.Feed
+	operatorFeed *topicreader.Feed
+	entries      *topicreader.Server
 
 	// rejectionLimiter limits the rate of log lines about malformed records.
 	rejectionLimiter event.Limiter
@@ -126,7 +126,7 @@
 	n.suspects = newSuspects(n)
 	n.metrics = newMetrics(n)
 	n.dispatcher = dispatch.NewDispatcher(n.exchanger, ports.Protocol, n.fleet, n.suspects.requests, settings.Zone, newID, logger)
-	n.directory = directory.New(n.log, settings.NodesTopic, settings.Name, n, logger)
+	n.directory = nodedirectory.New(n.log, settings.NodesTopic, settings.Name, n, logger)
 	n.jobs = newJobStore(n)
 	n.executor = newExecutor(n)
 	n.worker = newWorker(n)
--- a/internal/hosted/ports.go
+++ b/internal/platformnode/ports.go
@@ -1,4 +1,4 @@
-package hosted
+package platformnode
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"time"
 
 	pathbendv1 "github.com/pathbend/pathbend/api/pathbend/v1"
-	"github.com/pathbend/pathbend/internal/duty"
+	"github.com/pathbend/pathbend/internal/exclusive"
 	"github.com/pathbend/pathbend/internal/fanout"
 	"github.com/pathbend/pathbend/internal/locality"
 	"github.com/pathbend/pathbend/internal/ownership"
@@ -108,7 +108,7 @@
 // Scaler orders samplers from the platform.
 type Scaler interface {
 	// OrderSamplers returns nil once the platform accepted the order. It is idempotent.
-	OrderSamplers(ctx context.Context, right duty.Permit, order SamplerOrder) error
+	OrderSamplers(ctx context.Context, right exclusive.Permit, order SamplerOrder) error
 }
 
 // Scored is the content of an answer to a reward call.
@@ -117,7 +117,7 @@
 	Stamp string
 }
 
-// Settings are the settings of a hosted node.
+// Settings are the settings of a platform node.
 type Settings struct {
 	// Name is the name of the machine. A restarted process keeps it, and with it the
 	// partitions that the group assigned to the machine.
--- a/internal/hosted/readers.go
+++ b/internal/platformnode/readers.go
@@ -1,4 +1,4 @@
-package hosted
+package platformnode
 
 import (
 	"context"
@@ -7,8 +7,8 @@
 
 	pathbendv1 "github.com/pathbend/pathbend/api/pathbend/v1"
 	"github.com/pathbend/pathbend/internal/fanout"
-	"github.com/pathbend/pathbend/internal/feed"
 	"github.com/pathbend/pathbend/internal/sharedlog"
+	"github.com/pathbend/pathbend/internal/topicreader"
 	"github.com/pathbend/pathbend/internal/wait"
 )
 
@@ -95,7 +95,7 @@
 // createFeeds creates the feeds through which this node reads the topics, and the server that
 // passes their entries to other nodes.
 func (n *Node) createFeeds(topics Topics) {
-	shared := feed.Config{
+	shared := topicreader.Config{
 		Log: n.log, Plan: n.readers.Plan, Caller: n.peers, Counter: n.metrics, Logger: n.logger,
 	}
 	samplers, operator := shared, shared
@@ -103,8 +103,8 @@
 	operator.Topic, operator.GroupOf, operator.RequiredGroups = topics.Operator, ungrouped, fanout.All
 	// Routes are small, and no request can be served without them.
 	operator.SkipReaderWait = true
-	n.samplerFeed, n.operatorFeed = feed.New(samplers), feed.New(operator)
-	n.entries = feed.NewServer(n.samplerFeed, n.operatorFeed)
+	n.samplerFeed, n.operatorFeed = topicreader.New(samplers), topicreader.New(operator)
+	n.entries = topicreader.NewServer(n.samplerFeed, n.operatorFeed)
 }
 
 // serviceOf calls ServiceOf if it is set; otherwise entries have no service.
@@ -131,10 +131,10 @@
 func ungrouped(sharedlog.KeyedRecord) string { return "" }
 
 // SamplerFeed returns the feed of the samplers' entries.
-func (n *Node) SamplerFeed() *feed.Feed { return n.samplerFeed }
+func (n *Node) SamplerFeed() *topicreader.Feed { return n.samplerFeed }
 
 // OperatorFeed returns the feed of the operator's documents.
-func (n *Node) OperatorFeed() *feed.Feed { return n.operatorFeed }
+func (n *Node) OperatorFeed() *topicreader.Feed { return n.operatorFeed }
 
 // peerHandler dispatches calls of other nodes: reads of entries to the feeds' server, all
 // others to the worker.
--- a/internal/hosted/regions_test.go
+++ b/internal/platformnode/regions_test.go
@@ -1,4 +1,4 @@
-package hosted
+package platformnode
 
 import (
 	"testing"
--- a/internal/hosted/remote.go
+++ b/internal/platformnode/remote.go
@@ -1,4 +1,4 @@
-package hosted
+package platformnode
 
 import (
 	"context"
@@ -6,11 +6,11 @@
 	"time"
 
 	pathbendv1 "github.com/pathbend/pathbend/api/pathbend/v1"
-	"github.com/pathbend/pathbend/internal/carry"
 	"github.com/pathbend/pathbend/internal/clock"
 	"github.com/pathbend/pathbend/internal/event"
 	"github.com/pathbend/pathbend/internal/ledger"
 	"github.com/pathbend/pathbend/internal/locality"
+	"github.com/pathbend/pathbend/internal/remoterun"
 	"github.com/pathbend/pathbend/internal/result"
 	"github.com/pathbend/pathbend/internal/schedule"
 	"github.com/pathbend/pathbend/internal/wait"
@@ -63,8 +63,8 @@
 // orders, another polls it for reports.
 type workerLink struct {
 	executor     *executor
-	worker       carry.Node
-	session      carry.Session
+	worker       remoterun.Node
+	session      remoterun.Session
 	cancel       context.CancelFunc
 	sessionStart clock.Moment
 	wakeup       chan struct{}
@@ -83,7 +83,7 @@
 // returns nil if there is no eligible node. The caller holds the lock.
 func (e *executor) openLink(regions locality.Regions) *workerLink {
 	now := time.Now()
-	chosen, found := carry.ChooseWorker(e.node.directory.Workers(), e.node.settings.Topology, regions, func(name string) bool {
+	chosen, found := remoterun.ChooseWorker(e.node.directory.Workers(), e.node.settings.Topology, regions, func(name string) bool {
 		return now.Before(e.remote.avoidedUntil[name])
 	})
 	if !found {
@@ -95,7 +95,7 @@
 	ctx, cancel := context.WithCancel(e.session)
 	created := &workerLink{
 		executor: e, worker: chosen, cancel: cancel, closed: ctx.Done(), sessionStart: e.sessionStartedAt, wakeup: make(chan struct{}, 1),
-		session: carry.Session{
+		session: remoterun.Session{
 			Executor: e.node.settings.Name, Generation: e.node.ownership.Generation(), ID: e.sessionID,
 		},
 		outlineWaiters: make(map[string][]chan *pathbendv1.JobOutline), runs: make(map[uint64]schedule.Start),
--- a/internal/hosted/remote_test.go
+++ b/internal/platformnode/remote_test.go
@@ -1,4 +1,4 @@
-package hosted
+package platformnode
 
 import (
 	"context"
@@ -11,11 +11,11 @@
 	"google.golang.org/protobuf/proto"
 
 	pathbendv1 "github.com/pathbend/pathbend/api/pathbend/v1"
-	"github.com/pathbend/pathbend/internal/carry"
 	"github.com/pathbend/pathbend/internal/catalog"
 	"github.com/pathbend/pathbend/internal/event"
 	"github.com/pathbend/pathbend/internal/ledger"
 	"github.com/pathbend/pathbend/internal/locality"
+	"github.com/pathbend/pathbend/internal/remoterun"
 	"github.com/pathbend/pathbend/internal/sharedlog"
 )
 
@@ -68,7 +68,7 @@
 // delayed, and the worker would execute no start.
 func TestSendTimesContinueAcrossLinksOfASession(t *testing.T) {
 	runWithExecutor(t, locality.Only("south"), func(t *testing.T, e *executor) {
-		var way carry.DelayEstimator
+		var way remoterun.DelayEstimator
 		heldUp := func(l *workerLink) time.Duration { return way.Delay(time.Now(), l.sessionTime()) }
 		first := e.lockedLinkTo(locality.Only("south"))
 		require.Zero(t, heldUp(first))
--- a/internal/hosted/lister.go
+++ b/internal/platformnode/result_writer.go
@@ -1,4 +1,4 @@
-package hosted
+package platformnode
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"github.com/sourcegraph/conc"
 
 	pathbendv1 "github.com/pathbend/pathbend/api/pathbend/v1"
-	"github.com/pathbend/pathbend/internal/content"
+	"github.com/pathbend/pathbend/internal/blobstore"
 	"github.com/pathbend/pathbend/internal/event"
 	"github.com/pathbend/pathbend/internal/ledger"
 	"github.com/pathbend/pathbend/internal/schedule"
@@ -198,7 +198,7 @@
 			}
 		}
 	}
-	return l.storeTexts(ctx, content.Texts, texts, func(i int, blob *pathbendv1.Blob) { unstored[i].Text = blob })
+	return l.storeTexts(ctx, blobstore.Texts, texts, func(i int, blob *pathbendv1.Blob) { unstored[i].Text = blob })
 }
 
 func (l *resultWriter) storeProgressTexts(ctx context.Context, progress partsByJob) error {
@@ -209,12 +209,12 @@
 			unstored, texts = append(unstored, part.Progress), append(texts, part.Text)
 		}
 	}
-	return l.storeTexts(ctx, content.TextParts, texts, func(i int, blob *pathbendv1.Blob) { unstored[i].Text = blob })
+	return l.storeTexts(ctx, blobstore.TextParts, texts, func(i int, blob *pathbendv1.Blob) { unstored[i].Text = blob })
 }
 
 // storeTexts stores texts as blobs and calls name with the reference of each that was stored,
 // even if it returns an error because others were not.
-func (l *resultWriter) storeTexts(ctx context.Context, kind content.Kind, texts [][]byte, name func(i int, blob *pathbendv1.Blob)) error {
+func (l *resultWriter) storeTexts(ctx context.Context, kind blobstore.Kind, texts [][]byte, name func(i int, blob *pathbendv1.Blob)) error {
 	blobs, err := l.node.jobs.contents.Put(ctx, kind, storeTimeout, texts)
 	for i, blob := range blobs {
 		name(i, blob)
--- a/internal/hosted/worker.go
+++ b/internal/platformnode/worker.go
@@ -1,4 +1,4 @@
-package hosted
+package platformnode
 
 import (
 	"context"
@@ -10,10 +10,10 @@
 	"github.com/sourcegraph/conc"
 
 	pathbendv1 "github.com/pathbend/pathbend/api/pathbend/v1"
-	"github.com/pathbend/pathbend/internal/carry"
 	"github.com/pathbend/pathbend/internal/clock"
 	"github.com/pathbend/pathbend/internal/event"
 	"github.com/pathbend/pathbend/internal/ledger"
+	"github.com/pathbend/pathbend/internal/remoterun"
 	"github.com/pathbend/pathbend/internal/result"
 	"github.com/pathbend/pathbend/internal/schedule"
 	"github.com/pathbend/pathbend/internal/wait"
@@ -57,12 +57,12 @@
 	changes      []ledger.Change
 
 	mutex   sync.Mutex
-	session carry.Session
+	session remoterun.Session
 	// lastCallAt is when the last call of the session arrived.
 	lastCallAt clock.Moment
 	// callDelays detects calls that arrive late.
-	callDelays carry.DelayEstimator
-	reports    carry.Reports
+	callDelays remoterun.DelayEstimator
+	reports    remoterun.Reports
 	// reported is closed and replaced whenever a report is added.
 	reported        chan struct{}
 	lastRun         uint64
@@ -292,7 +292,7 @@
 
 // addReport queues a report for the executor unless its session has been replaced. The
 // caller holds the lock.
-func (w *worker) addReport(session carry.Session, report *pathbendv1.CarryReport) {
+func (w *worker) addReport(session remoterun.Session, report *pathbendv1.CarryReport) {
 	if w.session != session {
 		return
 	}
@@ -316,7 +316,7 @@
 // handleCall applies the orders of a call and returns the pending reports, after a long poll
 // if the call asks for one.
 func (w *worker) handleCall(ctx context.Context, call *pathbendv1.CarryCall) (*pathbendv1.CarryReply, error) {
-	session := carry.Session{Executor: call.Decider, Generation: call.Generation, ID: call.Session}
+	session := remoterun.Session{Executor: call.Decider, Generation: call.Generation, ID: call.Session}
 	reported, err := w.applyCall(session, call)
 	if err != nil {
 		return nil, err
@@ -338,7 +338,7 @@
 
 // applyCall applies the orders of a call. It returns a channel that is closed at the next
 // report, nil if reports are pending already.
-func (w *worker) applyCall(session carry.Session, call *pathbendv1.CarryCall) (<-chan struct{}, error) {
+func (w *worker) applyCall(session remoterun.Session, call *pathbendv1.CarryCall) (<-chan struct{}, error) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if w.lifetime.Err() != nil {
@@ -366,13 +366,13 @@
 
 // startSession switches to another session. It stops the runs of the previous session and
 // keeps their texts, which runs of the new session continue. The caller holds the lock.
-func (w *worker) startSession(session carry.Session) {
+func (w *worker) startSession(session remoterun.Session) {
 	w.active.Store(true)
 	w.wake()
 	w.stopRuns(func(*workerRun) bool { return true })
 	w.node.logger.Log(event.WorkerServes, "decider", session.Executor, "generation", session.Generation,
 		"former", w.session.Executor, "texts", len(w.texts))
-	w.session, w.reports, w.callDelays, w.lastRun = session, carry.Reports{}, carry.DelayEstimator{}, 0
+	w.session, w.reports, w.callDelays, w.lastRun = session, remoterun.Reports{}, remoterun.DelayEstimator{}, 0
 }
 
 // awaitReports waits until reported is closed, at most for timeout, and then for
@@ -395,7 +395,7 @@
 // applyOrder applies one order. Duplicate orders have no effect: runs are numbered in the
 // order of their starts. A delayed start is reported as stopped and not executed. The caller
 // holds the lock.
-func (w *worker) applyOrder(session carry.Session, order *pathbendv1.CarryOrder, delayed bool) {
+func (w *worker) applyOrder(session remoterun.Session, order *pathbendv1.CarryOrder, delayed bool) {
 	switch typed := order.Order.(type) {
 	case *pathbendv1.CarryOrder_Open:
 		w.work.Go(func() { w.reportOutline(session, typed.Open) })
--- a/internal/hosted/worker_runs.go
+++ b/internal/platformnode/worker_runs.go
@@ -1,4 +1,4 @@
-package hosted
+package platformnode
 
 import (
 	"bytes"
@@ -6,9 +6,9 @@
 	"time"
 
 	pathbendv1 "github.com/pathbend/pathbend/api/pathbend/v1"
-	"github.com/pathbend/pathbend/internal/carry"
 	"github.com/pathbend/pathbend/internal/clock"
 	"github.com/pathbend/pathbend/internal/ledger"
+	"github.com/pathbend/pathbend/internal/remoterun"
 	"github.com/pathbend/pathbend/internal/result"
 	"github.com/pathbend/pathbend/internal/schedule"
 )
@@ -102,7 +102,7 @@
 }
 
 // reportOutline reports the items of a job without their bodies.
-func (w *worker) reportOutline(session carry.Session, jobID string) {
+func (w *worker) reportOutline(session remoterun.Session, jobID string) {
 	outline := &pathbendv1.JobOutline{JobId: jobID}
 	job, err := w.loadJob(w.lifetime, jobID)
 	if err != nil {
@@ -138,7 +138,7 @@
 }
 
 // startRun starts a run in its own goroutine and reports its end. The caller holds the lock.
-func (w *worker) startRun(session carry.Session, start *pathbendv1.StartRun) {
+func (w *worker) startRun(session remoterun.Session, start *pathbendv1.StartRun) {
 	ctx, stop := context.WithCancel(w.lifetime)
 	run := &workerRun{number: start.Run, key: schedule.Key{Job: start.JobId, Item: start.ItemId, Speculative: start.Ahead}, stop: stop, receivedAt: clock.CurrentMoment()}
 	w.runs[start.Run] = run
@@ -159,12 +159,12 @@
 }
 
 // addRunReport queues the state of a run for the executor. The caller holds the lock.
-func (w *worker) addRunReport(session carry.Session, state *pathbendv1.RunState) {
+func (w *worker) addRunReport(session remoterun.Session, state *pathbendv1.RunState) {
 	w.addReport(session, &pathbendv1.CarryReport{Report: &pathbendv1.CarryReport_Run{Run: state}})
 }
 
 // executeRun executes a run to its end and returns its final state.
-func (w *worker) executeRun(ctx context.Context, session carry.Session, current *workerRun, start *pathbendv1.StartRun) *pathbendv1.RunState {
+func (w *worker) executeRun(ctx context.Context, session remoterun.Session, current *workerRun, start *pathbendv1.StartRun) *pathbendv1.RunState {
 	stoppedState := func(unserved bool, err error) *pathbendv1.RunState {
 		return &pathbendv1.RunState{Run: start.Run, Ending: uint32(schedule.Stopped), Unserved: unserved, Detail: err.Error()}
 	}
@@ -229,7 +229,7 @@
 // selectText returns the text that a run continues: the longest acceptable one of the texts
 // in memory and the one in the log. It makes run the only one that may append to it and
 // reports its length to the executor.
-func (w *worker) selectText(ctx context.Context, session carry.Session, run *workerRun, acceptance schedule.VersionConstraint) *heldText {
+func (w *worker) selectText(ctx context.Context, session remoterun.Session, run *workerRun, acceptance schedule.VersionConstraint) *heldText {
 	key := run.key
 	logged := w.loggedText(ctx, key, acceptance)
 	w.mutex.Lock()
@@ -275,7 +275,7 @@
 }
 
 // finishCompletedRun finishes the item of a run that this worker completed.
-func (w *worker) finishCompletedRun(session carry.Session, key schedule.Key, start *pathbendv1.StartRun) {
+func (w *worker) finishCompletedRun(session remoterun.Session, key schedule.Key, start *pathbendv1.StartRun) {
 	w.finishItem(session, &pathbendv1.FinishItem{
 		JobId: key.Job, ItemId: key.Item, MinVersion: start.MinVersion, SingleVersion: start.SingleVersion,
 	})
@@ -283,7 +283,7 @@
 
 // finishItem scores a complete text, from the log or from memory, and writes the item's
 // result. It reports the item as lost if the text or the item is not available.
-func (w *worker) finishItem(session carry.Session, order *pathbendv1.FinishItem) {
+func (w *worker) finishItem(session remoterun.Session, order *pathbendv1.FinishItem) {
 	key := schedule.Key{Job: order.JobId, Item: order.ItemId}
 	job, err := w.loadJob(w.lifetime, key.Job)
 	completed := schedule.Finished{Key: key, StoredText: order.Text, Versions: order.Versions}
--- a/internal/platformsim/mutants_test.go
+++ b/internal/platformsim/mutants_test.go
@@ -26,20 +26,20 @@
 	{Promise: "TWICE: the first result counts", Edits: []mutation.Edit{
 		mutation.Replace("internal/ledger/ledger.go", "if !job.HasItem(itemResult.ItemId) || job.HasResult(itemResult.ItemId) {\n\t\treturn\n\t}\n\tadded", "if !job.HasItem(itemResult.ItemId) {\n\t\treturn\n\t}\n\tadded"),
 	}},
-	{Promise: "UNASKED: an ended job stops", Test: "TestEndedJobIsStopped", Package: "./internal/hosted", Edits: []mutation.Edit{
-		mutation.Replace("internal/hosted/executor.go", "stopped := e.scheduler.DropJob(change.Job.ID, time.Now())", "var stopped []schedule.Key"),
+	{Promise: "UNASKED: an ended job stops", Test: "TestEndedJobIsStopped", Package: "./internal/platformnode", Edits: []mutation.Edit{
+		mutation.Replace("internal/platformnode/executor.go", "stopped := e.scheduler.DropJob(change.Job.ID, time.Now())", "var stopped []schedule.Key"),
 	}},
 	{Promise: "ONE: orders of two nodes lie apart", Edits: []mutation.Edit{
-		mutation.Replace("internal/hosted/claims.go", "recent = !last.IsZero() &&", "recent = false &&"),
+		mutation.Replace("internal/platformnode/claims.go", "recent = !last.IsZero() &&", "recent = false &&"),
 	}},
-	{Promise: "ONE: a former holder finds the new one in the log", Test: "TestFormerHolderFindsTheNewOneInTheLog", Package: "./internal/hosted", Edits: []mutation.Edit{
-		mutation.Replace("internal/hosted/claims.go", "superseded = newest.FencingToken > fence &&", "superseded = false &&"),
+	{Promise: "ONE: a former holder finds the new one in the log", Test: "TestFormerHolderFindsTheNewOneInTheLog", Package: "./internal/platformnode", Edits: []mutation.Edit{
+		mutation.Replace("internal/platformnode/claims.go", "superseded = newest.FencingToken > fence &&", "superseded = false &&"),
 	}},
-	{Promise: "REFUSED: items without their job never run", Test: "TestRefusalBeforeTheJobIsStoredGuaranteesThatItNeverRuns", Package: "./internal/hosted", Edits: []mutation.Edit{
-		mutation.Replace("internal/hosted/batch.go", "if result.Is(err, result.LogUnknown) || result.Is(err, result.LogUnavailable) {", "if false {"),
+	{Promise: "REFUSED: items without their job never run", Test: "TestRefusalBeforeTheJobIsStoredGuaranteesThatItNeverRuns", Package: "./internal/platformnode", Edits: []mutation.Edit{
+		mutation.Replace("internal/platformnode/batch.go", "if result.Is(err, result.LogUnknown) || result.Is(err, result.LogUnavailable) {", "if false {"),
 	}},
 	{Promise: "LOST: a 404 needs a look at the log", Edits: []mutation.Edit{
-		mutation.Replace("internal/hosted/jobs.go", "if err := b.follower.CatchUp(ctx); err != nil {", "if err := ctx.Err(); err != nil {"),
+		mutation.Replace("internal/platformnode/jobs.go", "if err := b.follower.CatchUp(ctx); err != nil {", "if err := ctx.Err(); err != nil {"),
 	}},
 	{Promise: "MIXED: an answer belongs to its request", Edits: []mutation.Edit{
 		mutation.Replace("platform/protocol.go", "echoed != \"\" && echoed != requestID {", "false && echoed != requestID {"),
@@ -51,8 +51,8 @@
 		mutation.Replace("internal/routing/not_leaving.go", "return !endpoint.Leaving", "return true"),
 		mutation.Replace("internal/schedule/sampler.go", "if s.Leaving || s.evacuated || now.Before(s.notBefore) {", "if s.evacuated || now.Before(s.notBefore) {"),
 	}},
-	{Promise: "DRAIN: a former incarnation's entry replaces none", Test: "TestEntryOfAFormerIncarnationNeverReplacesANewer", Package: "./internal/registry", Edits: []mutation.Edit{
-		mutation.Replace("internal/registry/registry.go", "if sampler.StartedAtMs < r.newestStart(sampler.ID) {", "if false {"),
+	{Promise: "DRAIN: a former incarnation's entry replaces none", Test: "TestEntryOfAFormerIncarnationNeverReplacesANewer", Package: "./internal/samplerregistry", Edits: []mutation.Edit{
+		mutation.Replace("internal/samplerregistry/registry.go", "if sampler.StartedAtMs < r.newestStart(sampler.ID) {", "if false {"),
 	}},
 	{Promise: "LOST: runs end with the incarnation", Test: "TestRunsOfAPreviousIncarnationMoveAtOnce", Package: "./internal/schedule", Edits: []mutation.Edit{
 		mutation.Replace("internal/schedule/samplers.go", "case known && sampler.StartedAtMs > state.StartedAtMs:", "case false:"),
@@ -69,8 +69,8 @@
 	{Promise: "EVAC: evacuated samplers get no item", Edits: []mutation.Edit{
 		mutation.Replace("internal/schedule/sampler.go", "if s.Leaving || s.evacuated ||", "if s.Leaving ||"),
 	}},
-	{Promise: "EVAC: evacuated samplers get no order", Test: "TestEvacuatedSamplersGetNoWeightOrders", Package: "./internal/hosted", Edits: []mutation.Edit{
-		mutation.Replace("internal/hosted/weights.go", "if !load.Evacuated {", "if true {"),
+	{Promise: "EVAC: evacuated samplers get no order", Test: "TestEvacuatedSamplersGetNoWeightOrders", Package: "./internal/platformnode", Edits: []mutation.Edit{
+		mutation.Replace("internal/platformnode/weights.go", "if !load.Evacuated {", "if true {"),
 	}},
 	{Promise: "EVAC: evacuations are known before routes", Test: "TestEvacuationsAreAppliedBeforeTheRoutes", Package: "./platform", Edits: []mutation.Edit{
 		mutation.Replace("platform/follow.go", "\t\tnode.ApplyEvacuations(evacuated.sorted())\n\t\tfor _, record := range documents {\n\t\t\tapplyDocument(node, record)\n\t\t}\n", "\t\tfor _, record := range documents {\n\t\t\tapplyDocument(node, record)\n\t\t}\n\t\tnode.ApplyEvacuations(evacuated.sorted())\n"),
@@ -78,17 +78,17 @@
 	{Promise: "ROUTE: only keys of tenants are admitted", Test: "TestOnlyKeysOfTenantsAreAdmitted", Package: "./internal/catalog", Edits: []mutation.Edit{
 		mutation.Replace("internal/catalog/admission.go", "if err != nil && route.Public {", "if err != nil {"),
 	}},
-	{Promise: "CONFIG: a key is asked about before every attempt", Test: "TestRevokedKeyIsDeniedBeforeTheNextAttempt", Package: "./internal/hosted", Edits: []mutation.Edit{
-		mutation.Replace("internal/hosted/admission.go", "tenant, err := current.Authenticate(admitted.Route, key)\n\t\tif err != nil {\n\t\t\treturn n.deny(err)", "tenant, err := current.Authenticate(admitted.Route, key)\n\t\tif err != nil {\n\t\t\treturn nil"),
+	{Promise: "CONFIG: a key is asked about before every attempt", Test: "TestRevokedKeyIsDeniedBeforeTheNextAttempt", Package: "./internal/platformnode", Edits: []mutation.Edit{
+		mutation.Replace("internal/platformnode/admission.go", "tenant, err := current.Authenticate(admitted.Route, key)\n\t\tif err != nil {\n\t\t\treturn n.deny(err)", "tenant, err := current.Authenticate(admitted.Route, key)\n\t\tif err != nil {\n\t\t\treturn nil"),
 	}},
 	{Promise: "HOME: the tenant's regions bind beside the route's", Test: "TestCalmDayOfTwoRegions", Package: "./internal/platformsim", Edits: []mutation.Edit{
-		mutation.Replace("internal/hosted/regions.go", "return route.Regions.Intersect(tenant.Regions)", "_ = tenant\n\treturn route.Regions"),
+		mutation.Replace("internal/platformnode/regions.go", "return route.Regions.Intersect(tenant.Regions)", "_ = tenant\n\treturn route.Regions"),
 	}},
 	{Promise: "HOME: regions bind every attempt", Test: "TestRegionsBindEveryAttempt", Package: "./internal/dispatch", Edits: []mutation.Edit{
 		mutation.Replace("internal/dispatch/dispatcher.go", "route.Excluded = append(route.Excluded, failed.endpoint.ID)", "route.Excluded, route.Regions = append(route.Excluded, failed.endpoint.ID), locality.Regions{}"),
 	}},
 	{Promise: "HOME: a node elsewhere reads no body", Test: "TestCalmDayOfTwoRegions", Package: "./internal/platformsim", Edits: []mutation.Edit{
-		mutation.Replace("internal/hosted/regions.go", "return regions.Restricted() && !regions.Allows(n.settings.Topology.Region(n.settings.Zone))", "return false && regions.Restricted()"),
+		mutation.Replace("internal/platformnode/regions.go", "return regions.Restricted() && !regions.Allows(n.settings.Topology.Region(n.settings.Zone))", "return false && regions.Restricted()"),
 	}},
 	{Promise: "HOME: items go to samplers of their regions", Test: "TestItemsStayInTheirRegions", Package: "./internal/schedule", Edits: []mutation.Edit{
 		mutation.Replace("internal/schedule/item.go", "if p.Regions.Restricted() && !p.Regions.Allows(p.Topology.Region(sampler.Zone)) {", "if false {"),
@@ -103,13 +103,13 @@
 		mutation.Replace("internal/metering/aggregator.go", "if state.decided == nil {", "if true {"),
 	}},
 	{Promise: "FAILBACK: a cold sampler gets its budget", Test: "TestColdSamplersAreSpared", Edits: []mutation.Edit{
-		mutation.Replace("internal/warmup/budget.go", "return max(b.limit(now)-len(b.sent), 0)", "return Unlimited"),
+		mutation.Replace("internal/coldlimit/budget.go", "return max(b.limit(now)-len(b.sent), 0)", "return Unlimited"),
 	}},
 	{Promise: "FAILBACK: nodes share what a cold back end bears", Test: "TestColdSharesAddUpToTheBudget", Package: "./internal/routing", Edits: []mutation.Edit{
 		mutation.Replace("internal/routing/cold_share.go", "recipients := min(len(nodes), requests)", "recipients := min(1, requests)\n\trank = 0"),
 	}},
-	{Promise: "FAILBACK: a former executor's requests count", Test: "TestTwoSendersStayWithinTheLimitDuringATakeover", Package: "./internal/warmup", Edits: []mutation.Edit{
-		mutation.Replace("internal/warmup/budget.go", "maxSenders = 2", "maxSenders = 1"),
+	{Promise: "FAILBACK: a former executor's requests count", Test: "TestTwoSendersStayWithinTheLimitDuringATakeover", Package: "./internal/coldlimit", Edits: []mutation.Edit{
+		mutation.Replace("internal/coldlimit/budget.go", "maxSenders = 2", "maxSenders = 1"),
 	}},
 	{Promise: "BUDGET: a request that is held goes nowhere", Test: "TestRequestThatCrashesItsSamplersIsHeldBack", Edits: []mutation.Edit{
 		mutation.Replace("internal/quarantine/guard.go", "\tcase Quarantined:\n\t\treturn nil, g.refuse(digest, time.Until(until))\n", "\tcase Quarantined:\n\t\t_ = until\n"),
@@ -118,7 +118,7 @@
 		mutation.Replace("internal/schedule/placement.go", " && !s.quarantined(entry, now)", ""),
 	}},
 	{Promise: "BUDGET: nodes hear of the ends that others saw", Test: "TestRequestThatCrashesItsSamplersIsHeldBack", Edits: []mutation.Edit{
-		mutation.Replace("internal/hosted/suspects.go", "\ts.guard(entry.Item).Merge(record)\n", "\t_ = record\n"),
+		mutation.Replace("internal/platformnode/suspects.go", "\ts.guard(entry.Item).Merge(record)\n", "\t_ = record\n"),
 	}},
 	{Promise: "BUDGET: one node makes a trial", Test: "TestFirstOfConcurrentClaimsInTheLogWins", Package: "./internal/quarantine", Edits: []mutation.Edit{
 		mutation.Replace("internal/quarantine/guard.go", "won := g.registry.OwnsTrial(digest, claimant)", "won := true"),
@@ -126,7 +126,7 @@
 	{Promise: "BUDGET: what stood beside is not held", Test: "TestRequestRunningBesideTheCauseIsNotQuarantined", Package: "./internal/quarantine", Edits: []mutation.Edit{
 		mutation.Replace("internal/quarantine/registry.go", "if len(other.CrashedBackEnds) > crashes && other.reachedLimit(policy)", "if false && other.reachedLimit(policy)"),
 	}},
-	{Promise: "In touch: suspension counts", Test: "TestSuspendedNodeHasNoCurrentLog", Package: "./internal/hosted", Edits: []mutation.Edit{
+	{Promise: "In touch: suspension counts", Test: "TestSuspendedNodeHasNoCurrentLog", Package: "./internal/platformnode", Edits: []mutation.Edit{
 		mutation.Replace("internal/clock/clock.go", "return now.Sub(m.at) + m.SuspendedTime()", "return now.Sub(m.at)"),
 	}},
 	{Promise: "MIXED: a cut event is no event", Edits: []mutation.Edit{
--- a/internal/platformsim/store.go
+++ b/internal/platformsim/store.go
@@ -24,11 +24,11 @@
 
 // StoreFaults are the faults injected into the store. The zero value injects none.
 type StoreFaults struct {
-	// Down refuses every call with status 503; Silent leaves every new call unanswered.
+	// Down refuses every call with status 503; Unresponsive leaves every new call unanswered.
 	Down, Unresponsive bool
 	// SlowdownFactor multiplies the response time; values below 1 have no effect.
 	SlowdownFactor float64
-	// LostWriteRate is the fraction of writes that are executed but not answered; Late delays their
+	// LostWriteRate is the fraction of writes that are executed but not answered; DelayWrites delays their
 	// execution by up to maxAppendDelay.
 	LostWriteRate float64
 	DelayWrites   bool
--- a/internal/operator/operator.go
+++ b/internal/publish/operator.go
@@ -1,10 +1,10 @@
-// Package operator reads and publishes configuration revisions in the control stream of
+// Package publish reads and publishes configuration revisions in the control stream of
 // the platform's log, for the command line.
 //
 // It applies the records of the control stream just as nodes do. The outcome of a
 // publish therefore follows from the log itself, even if the response to the append was
 // lost.
-package operator
+package publish
 
 import (
 	"context"
@@ -14,10 +14,10 @@
 
 	pathbendv1 "github.com/pathbend/pathbend/api/pathbend/v1"
 	"github.com/pathbend/pathbend/internal/config"
-	"github.com/pathbend/pathbend/internal/control"
+	"github.com/pathbend/pathbend/internal/controlstate"
+	"github.com/pathbend/pathbend/internal/controlstream"
 	"github.com/pathbend/pathbend/internal/logstore"
 	"github.com/pathbend/pathbend/internal/result"
-	"github.com/pathbend/pathbend/internal/state"
 )
 
 // Log is access to the platform's log.
@@ -30,8 +30,8 @@
 const maxRecordsPerRead = 1000
 
 // Load returns the state of the control stream at its current end.
-func Load(ctx context.Context, log logstore.Reader) (*state.Machine, error) {
-	machine := state.NewMachine()
+func Load(ctx context.Context, log logstore.Reader) (*controlstate.Machine, error) {
+	machine := controlstate.NewMachine()
 	_, err := applyUntil(ctx, log, machine, 0)
 	return machine, err
 }
@@ -39,9 +39,9 @@
 // applyUntil applies records to machine until the record before the offset end, or the
 // last one of the stream. It returns the outcome of the last record that it applied. If
 // end is 0, it applies the whole stream.
-func applyUntil(ctx context.Context, log logstore.Reader, machine *state.Machine, end uint64) (state.Outcome, error) {
-	source := control.LogSource{Reader: log}
-	var last state.Outcome
+func applyUntil(ctx context.Context, log logstore.Reader, machine *controlstate.Machine, end uint64) (controlstate.Outcome, error) {
+	source := controlstream.LogSource{Reader: log}
+	var last controlstate.Outcome
 	for {
 		update, err := source.Fetch(ctx, machine.Next(), maxRecordsPerRead, 0)
 		if err != nil {
@@ -78,7 +78,7 @@
 // it.
 type ConflictError struct {
 	// Current is the current revision, and Changes the differences that lead to it.
-	Current state.Revision
+	Current controlstate.Revision
 	Changes []config.Change
 	cause   error
 }
@@ -92,17 +92,17 @@
 // Publish appends a configuration and reads the log until the outcome is known. The error
 // is a *ConflictError if another revision was published first. An append whose response
 // was lost is retried with the same record id.
-func Publish(ctx context.Context, log Log, request PublishRequest) (state.Revision, error) {
+func Publish(ctx context.Context, log Log, request PublishRequest) (controlstate.Revision, error) {
 	machine, err := Load(ctx, log)
 	if err != nil {
-		return state.Revision{}, err
+		return controlstate.Revision{}, err
 	}
 	if err := checkBaseRevision(machine, request); err != nil {
-		return state.Revision{}, err
+		return controlstate.Revision{}, err
 	}
 	content, err := config.Encode(request.Document)
 	if err != nil {
-		return state.Revision{}, result.Wrap(result.ConfigInvalid, err, "encode configuration")
+		return controlstate.Revision{}, result.Wrap(result.ConfigInvalid, err, "encode configuration")
 	}
 	offset, err := logstore.AppendRecord(ctx, log, &pathbendv1.Record{
 		Id: uuid.NewString(),
@@ -112,29 +112,29 @@
 		}},
 	})
 	if err != nil {
-		return state.Revision{}, err
+		return controlstate.Revision{}, err
 	}
 	before := machine.Revision()
 	outcome, err := applyUntil(ctx, log, machine, offset+1)
 	if err != nil {
-		return state.Revision{}, err
+		return controlstate.Revision{}, err
 	}
 	// A duplicate means that an earlier append of the same record determined the outcome.
-	accepted := outcome.Changed == state.PartConfig || outcome.Duplicate && matchesRequest(machine.Revision(), request)
+	accepted := outcome.Changed == controlstate.PartConfig || outcome.Duplicate && matchesRequest(machine.Revision(), request)
 	if accepted {
 		return machine.Revision(), nil
 	}
-	return state.Revision{}, newConflictError(outcome.Err, before, machine.Revision())
+	return controlstate.Revision{}, newConflictError(outcome.Err, before, machine.Revision())
 }
 
 // matchesRequest reports whether a revision can be the one that the request published.
-func matchesRequest(revision state.Revision, request PublishRequest) bool {
+func matchesRequest(revision controlstate.Revision, request PublishRequest) bool {
 	return revision.Number == request.BaseRevision+1 && revision.Author == request.Author && revision.Message == request.Message
 }
 
 // checkBaseRevision returns a *ConflictError if the base revision is not the current one,
 // so that a publish that must fail is not appended.
-func checkBaseRevision(machine *state.Machine, request PublishRequest) error {
+func checkBaseRevision(machine *controlstate.Machine, request PublishRequest) error {
 	current := machine.Revision()
 	if current.Number == request.BaseRevision {
 		return nil
@@ -146,7 +146,7 @@
 
 // newConflictError describes the difference between the revision before the publish and
 // the current one. If cause is nil, it creates an error with the code ConfigConflict.
-func newConflictError(cause error, before, current state.Revision) error {
+func newConflictError(cause error, before, current controlstate.Revision) error {
 	if cause == nil {
 		cause = result.New(result.ConfigConflict, "revision %d by %s was published first", current.Number, current.Author)
 	}
--- a/internal/operator/operator_test.go
+++ b/internal/publish/operator_test.go
@@ -1,4 +1,4 @@
-package operator
+package publish
 
 import (
 	"context"
--- a/internal/quarantine/doc.go
+++ b/internal/quarantine/doc.go
@@ -8,7 +8,7 @@
 // by a single node: these restore requests that merely ran beside the one that caused the
 // crashes. A request that a back end completes is cleared.
 //
-// Book is the state: one record per digest, and a merge that is commutative and idempotent
+// Registry is the state: one record per digest, and a merge that is commutative and idempotent
 // except for the winner of a trial, which is the first claim in the log and otherwise the
 // first to arrive. So records may be repeated, delayed and reordered. Guard applies the
 // state to the requests of one node.
--- a/internal/quarantine/guard.go
+++ b/internal/quarantine/guard.go
@@ -58,7 +58,7 @@
 // Counts are the counters of a guard since the start of the node.
 type Counts struct {
 	// Crashes counts back ends that crashed while running requests of this node, and Refused
-	// the requests that were not let through. Held is the number of digests that are
+	// the requests that were not let through. Quarantined is the number of digests that are
 	// quarantined now.
 	Crashes     int
 	Refused     int
--- a/internal/carry/choose.go
+++ b/internal/remoterun/choose.go
@@ -1,4 +1,4 @@
-package carry
+package remoterun
 
 import (
 	"github.com/cespare/xxhash/v2"
--- a/internal/carry/session.go
+++ b/internal/remoterun/session.go
@@ -1,4 +1,4 @@
-package carry
+package remoterun
 
 import (
 	"time"
--- a/internal/routing/cold_test.go
+++ b/internal/routing/cold_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"github.com/pathbend/pathbend/internal/warmup"
+	"github.com/pathbend/pathbend/internal/coldlimit"
 )
 
 func nodeNames(count int) []string {
@@ -64,7 +64,7 @@
 		machine := Machine{ID: id, Pool: "p", Address: id}
 		if cold[id] {
 			machine.ColdRemaining = 3 * time.Second
-			machine.Limits = warmup.Limits{ColdDuration: 3 * time.Second, ColdPerSecond: share, WarmPerSecond: math.MaxInt}
+			machine.Limits = coldlimit.Limits{ColdDuration: 3 * time.Second, ColdPerSecond: share, WarmPerSecond: math.MaxInt}
 		}
 		machines = append(machines, machine)
 	}
--- a/internal/routing/endpoint.go
+++ b/internal/routing/endpoint.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/pathbend/pathbend/internal/warmup"
+	"github.com/pathbend/pathbend/internal/coldlimit"
 )
 
 // Endpoint is an engine or a back end, as seen by this node.
@@ -30,7 +30,7 @@
 	// Latency is an exponential moving average of the time to a complete answer.
 	Latency time.Duration
 	// Warmup limits the requests that this node sends while the endpoint is cold.
-	Warmup warmup.Budget
+	Warmup coldlimit.Budget
 
 	// observedVersions are the weight versions last observed in answer streams, by model.
 	observedVersions map[string]observedVersion
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -8,8 +8,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"github.com/pathbend/pathbend/internal/coldlimit"
 	"github.com/pathbend/pathbend/internal/evacuation"
-	"github.com/pathbend/pathbend/internal/warmup"
 )
 
 // Machine is an entry for an engine or back end in the platform's machine list.
@@ -26,7 +26,7 @@
 	// ColdRemaining is how much longer the machine expects to be cold.
 	ColdRemaining time.Duration
 	// Limits bound the requests that this node may send while the machine is cold.
-	Limits warmup.Limits
+	Limits coldlimit.Limits
 }
 
 // Table holds the endpoints of all pools. It is not safe for concurrent use.
@@ -121,7 +121,7 @@
 func (t *Table) UpdateColdState(machines []Machine, now time.Time) {
 	for _, machine := range machines {
 		endpoint := t.byID[machine.ID]
-		if machine.Limits != (warmup.Limits{}) {
+		if machine.Limits != (coldlimit.Limits{}) {
 			endpoint.Warmup.SetLimits(machine.Limits)
 		}
 		endpoint.Warmup.UpdateColdRemaining(machine.ColdRemaining, now)
--- a/internal/registry/registry.go
+++ b/internal/samplerregistry/registry.go
@@ -1,4 +1,4 @@
-// Package registry is the registry of samplers. It holds the newest entry of each sampler id
+// Package samplerregistry is the registry of samplers. It holds the newest entry of each sampler id
 // from the keyed topic in which samplers register themselves.
 //
 // A sampler may be restarted under the same id. Its start time, in Unix milliseconds,
@@ -8,7 +8,7 @@
 // id cannot be decoded, the id has no usable sampler, even if an earlier entry was valid.
 //
 // The package does no I/O and takes the time as an argument.
-package registry
+package samplerregistry
 
 import (
 	"slices"
--- a/internal/registry/registry_test.go
+++ b/internal/samplerregistry/registry_test.go
@@ -1,4 +1,4 @@
-package registry
+package samplerregistry
 
 import (
 	"testing"
--- a/internal/schedule/cold_test.go
+++ b/internal/schedule/cold_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/pathbend/pathbend/internal/warmup"
+	"github.com/pathbend/pathbend/internal/coldlimit"
 )
 
 const (
@@ -15,7 +15,7 @@
 	warmLimit = 12
 )
 
-var testLimits = map[string]warmup.Limits{"llm": {ColdDuration: 3 * time.Second, ColdPerSecond: coldLimit, WarmPerSecond: warmLimit}}
+var testLimits = map[string]coldlimit.Limits{"llm": {ColdDuration: 3 * time.Second, ColdPerSecond: coldLimit, WarmPerSecond: warmLimit}}
 
 func coldSampler(id string, coldFor time.Duration) Sampler {
 	cold := sampler(id, 8, 1)
@@ -99,7 +99,7 @@
 // must stay within the limit.
 func TestTakeoverStaysWithinTheRequestLimit(t *testing.T) {
 	const perSecond, overshoot, burst = 7.8, 1.5, 5.0
-	limits := map[string]warmup.Limits{"llm": warmup.NewLimits(3*time.Second, perSecond, overshoot, burst)}
+	limits := map[string]coldlimit.Limits{"llm": coldlimit.NewLimits(3*time.Second, perSecond, overshoot, burst)}
 	sent := 0
 	for range 2 {
 		h := newColdHarness(t, coldSampler("s", 0))
--- a/internal/schedule/item.go
+++ b/internal/schedule/item.go
@@ -120,7 +120,7 @@
 	// Runs counts the runs of the item.
 	Runs int
 	// Group is the item's group, GroupOpen the number of its other items whose results are
-	// not in the log yet. Carried is set if an earlier job already submitted the group.
+	// not in the log yet. Resubmitted is set if an earlier job already submitted the group.
 	Group       string
 	GroupOpen   int
 	Resubmitted bool
--- a/internal/schedule/sampler.go
+++ b/internal/schedule/sampler.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/pathbend/pathbend/internal/warmup"
+	"github.com/pathbend/pathbend/internal/coldlimit"
 )
 
 // Sampler describes a sampler by its entry in service discovery and its load reports.
@@ -70,7 +70,7 @@
 	// failureRate is a moving average of the share of runs that ended as Failed.
 	failureRate float64
 	// budget limits the requests sent to the sampler while it is, or may be, cold.
-	budget warmup.Budget
+	budget coldlimit.Budget
 	// promptReadAt maps a group to the last time that its prompt was sent to the sampler.
 	promptReadAt map[string]time.Time
 }
--- a/internal/schedule/samplers.go
+++ b/internal/schedule/samplers.go
@@ -6,13 +6,13 @@
 	"slices"
 	"time"
 
+	"github.com/pathbend/pathbend/internal/coldlimit"
 	"github.com/pathbend/pathbend/internal/evacuation"
-	"github.com/pathbend/pathbend/internal/warmup"
 )
 
 // SetLimits sets the request limits of cold samplers by service. Services that are absent
 // from the map have no limit.
-func (s *Scheduler) SetLimits(limits map[string]warmup.Limits) {
+func (s *Scheduler) SetLimits(limits map[string]coldlimit.Limits) {
 	s.limits = limits
 	for _, state := range s.samplers {
 		state.budget.SetLimits(limits[state.Service])
--- a/internal/schedule/scheduler.go
+++ b/internal/schedule/scheduler.go
@@ -7,9 +7,9 @@
 	"time"
 
 	pathbendv1 "github.com/pathbend/pathbend/api/pathbend/v1"
+	"github.com/pathbend/pathbend/internal/coldlimit"
 	"github.com/pathbend/pathbend/internal/evacuation"
 	"github.com/pathbend/pathbend/internal/ledger"
-	"github.com/pathbend/pathbend/internal/warmup"
 )
 
 // Scheduler assigns the items of the open jobs to samplers. It is not safe for
@@ -19,7 +19,7 @@
 	items    map[Key]*item
 	samplers map[string]*samplerState
 	// limits are the request limits of cold samplers, by service.
-	limits map[string]warmup.Limits
+	limits map[string]coldlimit.Limits
 	// ordered lists the samplers by id. nextIndex is reset when ordered changes; selections
 	// use servingIndex.nextIndex.
 	ordered   []*samplerState
--- a/internal/schedule/scheduler_test.go
+++ b/internal/schedule/scheduler_test.go
@@ -16,7 +16,7 @@
 
 var startTime = time.Unix(1_000_000, 0)
 
-// storedTexts implements Kept with texts of earlier runs.
+// storedTexts implements StoredTextSource with texts of earlier runs.
 type storedTexts struct {
 	partial  map[string]PartialText
 	finished map[string]ledger.Result
--- a/internal/simulation/mutation_test.go
+++ b/internal/simulation/mutation_test.go
@@ -29,7 +29,7 @@
 		mutation.Replace("internal/node/node.go", "	idle := n.gateway.Drain()\n", "	idle := make(chan struct{})\n	close(idle)\n"),
 		mutation.Replace("internal/node/node.go", "	n.gate.Close(result.New(result.Draining, \"this node is leaving\"))\n", "	_ = result.Draining\n"),
 	}},
-	{Promise: "an accepted configuration never reverts", Edits: []mutation.Edit{mutation.Replace("internal/state/machine.go", "if publish.BaseRevision != current.Number {", "if false {")}},
+	{Promise: "an accepted configuration never reverts", Edits: []mutation.Edit{mutation.Replace("internal/controlstate/machine.go", "if publish.BaseRevision != current.Number {", "if false {")}},
 }
 
 // TestEachMechanismIsNeeded disables one mechanism at a time and expects the
--- a/internal/feed/doc.go
+++ b/internal/topicreader/doc.go
@@ -1,4 +1,4 @@
-// Package feed reads a keyed topic either from the log itself or through another node that
+// Package topicreader reads a keyed topic either from the log itself or through another node that
 // reads the log (a reader). Package fanout decides which.
 //
 // Feed is a sharedlog.Log whose keyed reads use either source, so that the topic's follower
@@ -6,4 +6,4 @@
 // the groups that the follower has loaded, and the readers that failed recently. It starts
 // no goroutines; it calls the log, calls other nodes through a Caller, and serves their
 // read requests.
-package feed
+package topicreader
--- a/internal/feed/pack.go
+++ b/internal/topicreader/pack.go
@@ -1,4 +1,4 @@
-package feed
+package topicreader
 
 import (
 	"bytes"
--- a/internal/weights/rolling_update.go
+++ b/internal/weights/rolling_update.go
@@ -72,7 +72,7 @@
 // a model are also limited by its demand, since loading weights on a sampler that then has
 // no work is wasted.
 //
-// A Roll is pure. It is not safe for concurrent use.
+// A RollingUpdate is pure. It is not safe for concurrent use.
 type RollingUpdate struct {
 	// MinConcurrent is the limit of updates in progress in a small fleet. The limit of a
 	// large fleet is higher and grows with its size.
