--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -16,7 +16,8 @@
 
 	"github.com/pathbend/pathbend/internal/admission"
 	"github.com/pathbend/pathbend/internal/config"
-	"github.com/pathbend/pathbend/internal/control"
+	"github.com/pathbend/pathbend/internal/controlstate"
+	"github.com/pathbend/pathbend/internal/controlstream"
 	"github.com/pathbend/pathbend/internal/dispatch"
 	"github.com/pathbend/pathbend/internal/engine"
 	"github.com/pathbend/pathbend/internal/event"
@@ -28,7 +29,6 @@
 	"github.com/pathbend/pathbend/internal/peer"
 	"github.com/pathbend/pathbend/internal/result"
 	"github.com/pathbend/pathbend/internal/rollout"
-	"github.com/pathbend/pathbend/internal/state"
 )
 
 // Node is one pathbend process. Its methods are safe for concurrent use, except that Start
@@ -43,7 +43,7 @@
 	log           *logstore.Client
 	machineClient *fleet.ListClient
 	machines      machineCache
-	follower      *control.Follower
+	follower      *controlstream.Follower
 	members       *members
 	fleet         *fleet.Fleet
 	engines       *engine.Client
@@ -63,7 +63,7 @@
 	peerServer *peer.Server
 
 	// current is the configuration revision in effect. It is replaced as a whole.
-	current atomic.Pointer[state.Revision]
+	current atomic.Pointer[controlstate.Revision]
 
 	idMutex  sync.Mutex
 	idRandom *rand.Rand
@@ -112,16 +112,16 @@
 	n.gate = admission.NewGate()
 	n.quotas = newQuotas(n)
 	n.weights = newWeightUpdater(n)
-	n.follower = control.NewFollower(n, n.onStateChange, logger)
+	n.follower = controlstream.NewFollower(n, n.onStateChange, logger)
 	n.exchanger = dispatch.NewExchanger(transport)
 	n.suspects = newSuspects(n)
-	dispatcher := dispatch.NewDispatcher(n.exchanger, dispatch.OwnProtocol{}, n.fleet, n.suspects.guard, settings.Zone, n.NewID, logger)
+	dispatcher := dispatch.NewDispatcher(n.exchanger, dispatch.NativeProtocol{}, n.fleet, n.suspects.guard, settings.Zone, n.NewID, logger)
 	n.keyed = keyed.NewExecutor(n.id, n.replicas, dispatcher, n.NewID)
 	generator := &generator{node: n}
 	n.manager = rollout.NewManager(generator, logger)
 	n.jobs = &jobs{node: n}
 	n.gateway = gateway.New(gateway.Services{
-		Configuration: n, Admission: n.gate, Dispatcher: dispatcher, Keyed: n.keyed,
+		Configuration: n, Admission: n.gate, Dispatcher: dispatcher, IdempotentDispatcher: n.keyed,
 		Completer: generator, Jobs: n.jobs, Recorder: n.metrics, Logger: logger, NewID: n.NewID, NodeID: n.id,
 	})
 	return n, nil
@@ -227,7 +227,7 @@
 }
 
 func (n *Node) drain() {
-	n.logger.Log(event.NodeDraining, "active", n.gateway.Active())
+	n.logger.Log(event.NodeDraining, "active", n.gateway.ActiveRequests())
 	n.draining.Store(true)
 	n.members.leave()
 	n.gate.Close(result.New(result.Draining, "this node is leaving"))
@@ -238,7 +238,7 @@
 	select {
 	case <-idle:
 	case <-timer.C:
-		n.logger.Log(event.DrainTimedOut, "active", n.gateway.Active())
+		n.logger.Log(event.DrainTimedOut, "active", n.gateway.ActiveRequests())
 	}
 	n.leaveRoster()
 }
--- a/internal/node/replicas.go
+++ b/internal/node/replicas.go
@@ -10,13 +10,13 @@
 	"github.com/sourcegraph/conc"
 
 	pathbendv1 "github.com/pathbend/pathbend/api/pathbend/v1"
+	"github.com/pathbend/pathbend/internal/controlstate"
 	"github.com/pathbend/pathbend/internal/idempotency"
 	"github.com/pathbend/pathbend/internal/keyed"
 	"github.com/pathbend/pathbend/internal/membership"
 	"github.com/pathbend/pathbend/internal/peer"
 	"github.com/pathbend/pathbend/internal/result"
 	"github.com/pathbend/pathbend/internal/shard"
-	"github.com/pathbend/pathbend/internal/state"
 )
 
 const (
@@ -67,7 +67,7 @@
 // Group implements keyed.Replicas.
 func (r *replicas) Group(index int) shard.Group {
 	var group shard.Group
-	r.node.follower.View(func(stateMachine *state.Machine) { group = stateMachine.Shards().Group(index) })
+	r.node.follower.View(func(stateMachine *controlstate.Machine) { group = stateMachine.Shards().Group(index) })
 	return group
 }
 
@@ -294,7 +294,7 @@
 		outcome.Header.Add(header.Name, header.Value)
 	}
 	if encoded.Failure != nil {
-		outcome.Err = peer.ErrorOf(encoded.Failure)
+		outcome.Err = peer.ErrorFromFailure(encoded.Failure)
 	}
 	return outcome, true, nil
 }
@@ -315,7 +315,7 @@
 		}
 	}
 	if outcome.Err != nil {
-		encoded.Failure = peer.FailureOf(outcome.Err)
+		encoded.Failure = peer.NewFailure(outcome.Err)
 	}
 	return encoded
 }
--- a/internal/hosted/readers.go
+++ b/internal/platformnode/readers.go
@@ -1,4 +1,4 @@
-package hosted
+package platformnode
 
 import (
 	"context"
@@ -7,8 +7,8 @@
 
 	pathbendv1 "github.com/pathbend/pathbend/api/pathbend/v1"
 	"github.com/pathbend/pathbend/internal/fanout"
-	"github.com/pathbend/pathbend/internal/feed"
 	"github.com/pathbend/pathbend/internal/sharedlog"
+	"github.com/pathbend/pathbend/internal/topicreader"
 	"github.com/pathbend/pathbend/internal/wait"
 )
 
@@ -34,12 +34,12 @@
 // whom it gets entries otherwise.
 func (r *readers) Plan() fanout.Plan {
 	now := time.Now()
-	changes := r.node.directory.Changes()
+	changes := r.node.directory.ChangeCount()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if changes != r.changes || now.Sub(r.plannedAt) > maxPlanAge {
 		settings := &r.node.settings
-		r.plan = fanout.Make(settings.Sharing, settings.Name, settings.Zone, r.node.directory.Answering())
+		r.plan = fanout.NewPlan(settings.Sharing, settings.Name, settings.Zone, r.node.directory.Responders())
 		r.changes, r.plannedAt = changes, now
 	}
 	return r.plan
@@ -66,18 +66,18 @@
 	return fanout.Only(current.RequestServices()...)
 }
 
-// Candidate implements ownership.Candidacy: if some nodes read for the others, these are the
+// IsCandidate implements ownership.Preparation: if some nodes read for the others, these are the
 // candidates for the jobs, as they already have the list of samplers.
-func (r *readers) Candidate() (stands bool, candidates int) {
+func (r *readers) IsCandidate() (stands bool, candidates int) {
 	plan := r.Plan()
-	return plan.Reads, plan.Readers
+	return plan.ReadsLog, plan.Readers
 }
 
-// Able implements ownership.Candidacy: it returns false while this node has the entries of
+// Ready implements ownership.Preparation: it returns false while this node has the entries of
 // some services only.
-func (r *readers) Able() bool { return !r.node.samplerFeed.Partial() }
+func (r *readers) Ready() bool { return !r.node.samplerFeed.Partial() }
 
-// Prepare and Release implement ownership.Candidacy: the executor needs the entries of all
+// Prepare and Release implement ownership.Preparation: the executor needs the entries of all
 // services.
 func (r *readers) Prepare() { r.SetReadAll(true) }
 func (r *readers) Release() { r.SetReadAll(false) }
@@ -95,16 +95,16 @@
 // createFeeds creates the feeds through which this node reads the topics, and the server that
 // passes their entries to other nodes.
 func (n *Node) createFeeds(topics Topics) {
-	shared := feed.Config{
-		Log: n.log, Plan: n.readers.Plan, Caller: n.peers, Counts: n.metrics, Logger: n.logger,
+	shared := topicreader.Config{
+		Log: n.log, Plan: n.readers.Plan, Caller: n.peers, Counter: n.metrics, Logger: n.logger,
 	}
 	samplers, operator := shared, shared
-	samplers.Topic, samplers.GroupOf, samplers.Wanted = topics.Samplers, topics.serviceOf, n.readers.wanted
-	operator.Topic, operator.GroupOf, operator.Wanted = topics.Operator, ungrouped, fanout.All
+	samplers.Topic, samplers.GroupOf, samplers.RequiredGroups = topics.Samplers, topics.serviceOf, n.readers.wanted
+	operator.Topic, operator.GroupOf, operator.RequiredGroups = topics.Operator, ungrouped, fanout.All
 	// Routes are small, and no request can be served without them.
-	operator.Hurried = true
-	n.samplerFeed, n.operatorFeed = feed.New(samplers), feed.New(operator)
-	n.entries = feed.NewServer(n.samplerFeed, n.operatorFeed)
+	operator.SkipReaderWait = true
+	n.samplerFeed, n.operatorFeed = topicreader.New(samplers), topicreader.New(operator)
+	n.entries = topicreader.NewServer(n.samplerFeed, n.operatorFeed)
 }
 
 // serviceOf calls ServiceOf if it is set; otherwise entries have no service.
@@ -123,7 +123,7 @@
 // many nodes start at once, each would otherwise read all samplers itself before it knows of
 // the others: 246 nodes that did so kept the log busy for 8 s.
 func (n *Node) AwaitNodes(ctx context.Context) {
-	for n.settings.takesCalls() && !n.directory.Settled() && wait.For(ctx, nodesPollInterval) {
+	for n.settings.acceptsPeerCalls() && !n.directory.LikelyComplete() && wait.For(ctx, nodesPollInterval) {
 	}
 }
 
@@ -131,10 +131,10 @@
 func ungrouped(sharedlog.KeyedRecord) string { return "" }
 
 // SamplerFeed returns the feed of the samplers' entries.
-func (n *Node) SamplerFeed() *feed.Feed { return n.samplerFeed }
+func (n *Node) SamplerFeed() *topicreader.Feed { return n.samplerFeed }
 
 // OperatorFeed returns the feed of the operator's documents.
-func (n *Node) OperatorFeed() *feed.Feed { return n.operatorFeed }
+func (n *Node) OperatorFeed() *topicreader.Feed { return n.operatorFeed }
 
 // peerHandler dispatches calls of other nodes: reads of entries to the feeds' server, all
 // others to the worker.
@@ -146,7 +146,7 @@
 	if request == nil {
 		return c.node.worker.HandlePeer(ctx, call)
 	}
-	answer, err := c.node.entries.Answer(ctx, request)
+	answer, err := c.node.entries.Serve(ctx, request)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/hosted/lister_test.go
+++ b/internal/platformnode/result_writer_test.go
@@ -1,4 +1,4 @@
-package hosted
+package platformnode
 
 import (
 	"context"
@@ -56,14 +56,14 @@
 		require.NoError(t, err)
 		require.NoError(t, node.jobs.refresh(ctx))
 		done := make(chan struct{})
-		go func() { defer close(done); node.executor.lister.run(ctx) }()
-		node.executor.lister.addResult("j", &pathbendv1.BatchResult{ItemId: "first"}, []byte("text"))
+		go func() { defer close(done); node.executor.resultWriter.run(ctx) }()
+		node.executor.resultWriter.addResult("j", &pathbendv1.BatchResult{ItemId: "first"}, []byte("text"))
 		time.Sleep(resultLinger + time.Millisecond)
 		log.set(false)
-		node.executor.lister.addResult("j", &pathbendv1.BatchResult{ItemId: "second"}, []byte("text"))
+		node.executor.resultWriter.addResult("j", &pathbendv1.BatchResult{ItemId: "second"}, []byte("text"))
 		time.Sleep(roundOverlapDelay + 100*time.Millisecond)
 		require.NoError(t, node.jobs.refresh(ctx))
-		node.jobs.withLedger(func(state *ledger.Ledger) { require.True(t, state.Job("j").Listed("second")) })
+		node.jobs.withLedger(func(state *ledger.Ledger) { require.True(t, state.Job("j").HasResult("second")) })
 		cancel()
 		<-done
 		synctest.Wait()
