--- a/internal/platformsim/mutants_test.go
+++ b/internal/platformsim/mutants_test.go
@@ -17,8 +17,8 @@
 	{Promise: "VERSION: no text of old weights", Edits: []mutation.Edit{
 		mutation.Replace("internal/schedule/runs.go", "if event.Version < entry.job.spec.MinVersion {", "if false {"),
 		mutation.Replace("internal/schedule/placement.go", "if !known || version < entry.job.spec.MinVersion ||", "if !known ||"),
-		mutation.Replace("internal/schedule/text.go", "event.ID != t.events+1 || event.Version < acceptance.MinVersion", "event.ID != t.events+1"),
-		mutation.Replace("internal/schedule/text.go", "return versions[0] >= a.MinVersion", "return true"),
+		mutation.Replace("internal/schedule/text.go", "event.ID != t.events+1 || event.Version < constraint.MinVersion", "event.ID != t.events+1"),
+		mutation.Replace("internal/schedule/text.go", "return versions[0] >= c.MinVersion", "return true"),
 	}},
 	{Promise: "ORDER: parts of two runs are not joined", Test: "TestPartsOfTwoRunsAreNeverJoined", Package: "./internal/ledger", Edits: []mutation.Edit{
 		mutation.Replace("internal/ledger/ledger.go", "if item.Previous != 0 && item.Previous != saved.ID {", "if false {"),
--- a/internal/schedule/cold_test.go
+++ b/internal/schedule/cold_test.go
@@ -17,9 +17,9 @@
 
 var testLimits = map[string]coldlimit.Limits{"llm": {ColdDuration: 3 * time.Second, ColdPerSecond: coldLimit, WarmPerSecond: warmLimit}}
 
-func coldSampler(id string, coldFor time.Duration) Sampler {
+func coldSampler(id string, coldRemaining time.Duration) Sampler {
 	cold := sampler(id, 8, 1)
-	cold.ColdRemaining = coldFor
+	cold.ColdRemaining = coldRemaining
 	return cold
 }
 
--- a/internal/schedule/demand.go
+++ b/internal/schedule/demand.go
@@ -6,8 +6,7 @@
 )
 
 // demandWindow is the minimum time for which a peak of demand counts. It spans several
-// steps of a trainer; steps come about every 4 s in known
-// deployments.
+// steps of a trainer; in known deployments a step takes about 4 s.
 const demandWindow = 15 * time.Second
 
 // demand tracks, by model, the peak number of items wanted at once. It keeps the peaks of
@@ -52,8 +51,8 @@
 	return s.demand.peaks()
 }
 
-// RecordDemand records the number of items that a job of a model had. A new executor uses it to
-// account for jobs that have already ended: otherwise a model of unknown demand would get
+// RecordDemand records the number of items that a job of a model had. A new executor uses it
+// to account for jobs that have already ended: otherwise a model of unknown demand would get
 // an even share of the fleet, however little work it has.
 func (s *Scheduler) RecordDemand(model string, items int, now time.Time) {
 	s.demand.record(map[string]int{model: items}, now)
--- a/internal/schedule/incarnation_test.go
+++ b/internal/schedule/incarnation_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-func samplerStartedAt(id string, born int64, version uint64) Sampler {
-	return Sampler{ID: id, StartedAtMs: born, Service: "llm", Slots: 4, Versions: map[string]uint64{"m": version}}
+func samplerStartedAt(id string, startedAtMs int64, version uint64) Sampler {
+	return Sampler{ID: id, StartedAtMs: startedAtMs, Service: "llm", Slots: 4, Versions: map[string]uint64{"m": version}}
 }
 
 // A restarted sampler has lost its state: weights, load, cached prompts and failures of the
--- a/internal/schedule/item.go
+++ b/internal/schedule/item.go
@@ -92,9 +92,11 @@
 	// speculativeComplete is set if a speculative run completed the text before the job was
 	// submitted.
 	speculativeComplete bool
-	// remote is set if a worker holds the text of a speculative run.
+	// remote is set if a worker holds the text of this speculative run, or the text kept for
+	// a later job.
 	remote bool
-	// jobEndedAt is when the job of a speculative run ended, the zero time while it is open.
+	// jobEndedAt is when the job of this speculative run or kept text ended, the zero time
+	// while the job is open.
 	jobEndedAt time.Time
 	notBefore  time.Time
 	// lastSampler is the sampler of the last run that ended.
@@ -142,18 +144,18 @@
 	Stalled time.Duration
 }
 
-// minStall is the shortest gap between two events that counts as a stall. Users limit
-// pauses to 150 ms; events normally come about 35 ms apart.
+// minStall is the shortest gap between two events that counts as a stall. Users accept
+// pauses of up to 150 ms; events normally come about 35 ms apart.
 const minStall = 150 * time.Millisecond
 
 // addGap records the time from one event of a run, or from its start, to the next event.
 // first is set for the first event of the run.
-func (s *Durations) addGap(length time.Duration, first bool) {
+func (d *Durations) addGap(length time.Duration, first bool) {
 	switch {
 	case first:
-		s.Prompt += length
+		d.Prompt += length
 	case length >= minStall:
-		s.Stalled += length
+		d.Stalled += length
 	}
 }
 
--- a/internal/schedule/moves.go
+++ b/internal/schedule/moves.go
@@ -9,7 +9,7 @@
 	// maxSilenceTimeout is the upper bound of the time without an event after which a
 	// run's item moves to another sampler.
 	maxSilenceTimeout = 1500 * time.Millisecond
-	// silenceTimeoutPaces is that time as a multiple of the sampler's pace, and
+	// silenceTimeoutPaces is the silence timeout as a multiple of the sampler's pace, and
 	// silenceTimeoutFirstGaps, for runs without an event, as a multiple of the mean time to
 	// the first event. minSilenceTimeout is the lower bound of both: events come 35 to
 	// 70 ms apart and the first one after 10 to 60 ms, but gaps of 0.3 s occur while a
@@ -18,7 +18,7 @@
 	silenceTimeoutFirstGaps = 12
 	minSilenceTimeout       = 600 * time.Millisecond
 	// minMoveSpeedup is the least ratio of the current sampler's pace to that of another
-	// sampler for an item to move otherPace.
+	// sampler for an item to move to the latter.
 	minMoveSpeedup = 1.8
 	// minMoveRunTime is how long a run must have been running before it may move.
 	minMoveRunTime = 400 * time.Millisecond
--- a/internal/schedule/remote.go
+++ b/internal/schedule/remote.go
@@ -20,7 +20,8 @@
 	return true
 }
 
-// RecordServedVersion records the version that made an event of a run, even if the event was rejected.
+// RecordServedVersion records the version that made an event of a run, even if the event
+// was rejected.
 func (s *Scheduler) RecordServedVersion(key Key, run, version uint64) {
 	entry := s.currentRun(key, run)
 	if entry != nil && version > 0 && version != entry.sampler.Versions[entry.job.spec.Model] {
@@ -28,7 +29,7 @@
 	}
 }
 
-// RecordEvents records the total events of a run and the versions that made them. The events
+// RecordEvents records the total number of events of a run and the versions that made them. The events
 // since the last report are assumed to be evenly spaced. It reports false if the run is no
 // longer current or an event is rejected.
 func (s *Scheduler) RecordEvents(key Key, run, events uint64, versions []uint64, now time.Time) bool {
@@ -80,11 +81,11 @@
 	}
 }
 
-// SetPaused pauses the start of a job's items if held is set, and resumes it otherwise. Current
-// runs continue.
-func (s *Scheduler) SetPaused(jobID string, held bool) {
+// SetPaused pauses the start of a job's items if paused is set, and resumes it otherwise.
+// Current runs continue.
+func (s *Scheduler) SetPaused(jobID string, paused bool) {
 	if open, ok := s.jobs[jobID]; ok {
-		open.paused = held
+		open.paused = paused
 	}
 }
 
--- a/internal/schedule/runs.go
+++ b/internal/schedule/runs.go
@@ -74,8 +74,8 @@
 type Finished struct {
 	Key  Key
 	Text []byte
-	// StoredText locates the text in the log, in place of Text, if an earlier job already listed
-	// it.
+	// StoredText locates the text in the log, in place of Text, if it is already in the result
+	// of an earlier job.
 	StoredText *pathbendv1.Blob
 	Versions   []uint64
 	Reward     *pathbendv1.RewardCall
@@ -92,8 +92,8 @@
 
 // Unscored reports whether the text needs a score but has none, although its item was not
 // given up. That is the case if the job was dropped during the reward call.
-func (f *Finished) Unscored(stamp string, alive bool) bool {
-	return alive && stamp == "" && f.Reward != nil
+func (f *Finished) Unscored(score string, alive bool) bool {
+	return alive && score == "" && f.Reward != nil
 }
 
 // finished describes the item as one whose text is complete.
--- a/internal/schedule/sampler.go
+++ b/internal/schedule/sampler.go
@@ -9,8 +9,8 @@
 // Sampler describes a sampler by its entry in service discovery and its load reports.
 type Sampler struct {
 	ID string
-	// StartedAtMs is the start time of the sampler in Unix milliseconds, 0 if it is not reported.
-	// It is compared only between entries of the same id.
+	// StartedAtMs is the start time of the sampler in Unix milliseconds, 0 if it is not
+	// reported. It is compared only between entries of the same id.
 	StartedAtMs int64
 	Address     string
 	Zone        string
@@ -22,8 +22,8 @@
 	Spot bool
 	// Leaving is set once the sampler must get no new work.
 	Leaving bool
-	// ColdRemaining is the remaining warm-up time of the sampler when it wrote its entry, 0 if it
-	// was warm. The entry is some seconds old.
+	// ColdRemaining is the remaining warm-up time of the sampler when it wrote its entry, 0 if
+	// it was warm. The entry is some seconds old.
 	ColdRemaining time.Duration
 	// Versions maps a model to the weight version that the sampler serves.
 	Versions map[string]uint64
--- a/internal/schedule/samplers.go
+++ b/internal/schedule/samplers.go
@@ -72,7 +72,7 @@
 
 // removeUnlisted marks the samplers that are not in the list as leaving, and removes those of
 // them that have no run. It reports whether it removed any.
-func (s *Scheduler) removeUnlisted() (dropped bool) {
+func (s *Scheduler) removeUnlisted() (removed bool) {
 	for id, state := range s.samplers {
 		if state.lastListing == s.listingCount {
 			continue
@@ -81,14 +81,14 @@
 		if state.running == 0 {
 			s.serving.removeAll(state)
 			delete(s.samplers, id)
-			dropped = true
+			removed = true
 		}
 	}
-	return dropped
+	return removed
 }
 
-// SetEvacuatedZones sets the evacuated zones. Their samplers get no new runs; current runs continue.
-// Samplers of a zone that is no longer evacuated are treated as possibly cold.
+// SetEvacuatedZones sets the evacuated zones. Their samplers get no new runs; current runs
+// continue. Samplers of a zone that is no longer evacuated are treated as possibly cold.
 func (s *Scheduler) SetEvacuatedZones(zones evacuation.Zones, now time.Time) {
 	s.evacuated = zones
 	for _, state := range s.samplers {
@@ -113,18 +113,18 @@
 
 // SetVersion records the version that a sampler was observed to serve. Observations of a
 // previous incarnation are ignored.
-func (s *Scheduler) SetVersion(of Incarnation, model string, version uint64) {
-	if state, ok := s.samplers[of.ID]; ok && state.StartedAtMs == of.StartedAtMs {
+func (s *Scheduler) SetVersion(incarnation Incarnation, model string, version uint64) {
+	if state, ok := s.samplers[incarnation.ID]; ok && state.StartedAtMs == incarnation.StartedAtMs {
 		s.setVersion(state, model, version)
 	}
 }
 
 // SetLoading records whether a sampler is loading weights of a model. Reports about a
 // previous incarnation are ignored.
-func (s *Scheduler) SetLoading(of Incarnation, model string, loading bool) {
-	state, ok := s.samplers[of.ID]
+func (s *Scheduler) SetLoading(incarnation Incarnation, model string, loading bool) {
+	state, ok := s.samplers[incarnation.ID]
 	switch {
-	case !ok || state.StartedAtMs != of.StartedAtMs:
+	case !ok || state.StartedAtMs != incarnation.StartedAtMs:
 	case loading:
 		state.loading[model] = struct{}{}
 	default:
--- a/internal/schedule/saved.go
+++ b/internal/schedule/saved.go
@@ -18,8 +18,8 @@
 	Progress(itemID string) (ledger.Progress, bool)
 }
 
-// TextPart is a part of an item's text to append to the log. The caller that stores Text sets its
-// location in Progress.
+// TextPart is a part of an item's text to append to the log. The caller stores Text and sets
+// its location in Progress.
 type TextPart struct {
 	Progress *pathbendv1.ItemProgress
 	Text     []byte
--- a/internal/schedule/scheduler.go
+++ b/internal/schedule/scheduler.go
@@ -47,8 +47,8 @@
 	versionLags    map[string]versionLag
 	// resubmitsGroups is set for models whose jobs resubmit groups of earlier jobs.
 	resubmitsGroups map[string]bool
-	// speculativeItems holds speculative runs and kept texts of unfinished items for later jobs,
-	// by item id.
+	// speculativeItems holds, by item id, speculative runs and the texts of unfinished items
+	// that are kept for later jobs.
 	speculativeItems map[string]*item
 	demand           demand
 	estimator        lengthEstimator
@@ -59,8 +59,8 @@
 
 // Quarantine provides the quarantine state of items that are suspected of crashing samplers.
 type Quarantine interface {
-	// QuarantinedUntil returns the time until which an item must not be sent to a sampler, the zero
-	// time if it is not quarantined.
+	// QuarantinedUntil returns the time until which an item must not be sent to a sampler, the
+	// zero time if it is not quarantined.
 	QuarantinedUntil(itemID string) time.Time
 	// Suspect reports whether samplers repeatedly crashed while running an item, and none
 	// has run it without a crash since.
@@ -121,7 +121,7 @@
 // AddJob adds an open job with its items. It returns the items whose text is already
 // complete, which need only their score, and the speculative runs to stop. A known job is
 // ignored.
-func (s *Scheduler) AddJob(open *ledger.Job, items []*pathbendv1.BatchItem, policy Policy, kept StoredTextSource) (finished []Finished, stopped []Key) {
+func (s *Scheduler) AddJob(open *ledger.Job, items []*pathbendv1.BatchItem, policy Policy, stored StoredTextSource) (finished []Finished, stopped []Key) {
 	if _, known := s.jobs[open.ID]; known {
 		return nil, nil
 	}
@@ -136,7 +136,7 @@
 		entry := &item{key: key, spec: spec, job: added}
 		s.items[key] = entry
 		added.items = append(added.items, entry)
-		completed, reused := entry.reuse(kept)
+		completed, reused := entry.reuse(stored)
 		if reused {
 			finished = append(finished, completed)
 		}
@@ -165,8 +165,8 @@
 
 // reuse adopts the complete or partial text of an earlier run. It returns true if the text
 // is complete.
-func (i *item) reuse(kept StoredTextSource) (Finished, bool) {
-	if done, ok := kept.Finished(i.key.Item); ok && i.job.accepts(done.Versions) && len(done.Versions) > 0 {
+func (i *item) reuse(stored StoredTextSource) (Finished, bool) {
+	if done, ok := stored.Finished(i.key.Item); ok && i.job.accepts(done.Versions) && len(done.Versions) > 0 {
 		i.versions = done.Versions
 		i.phase = scoring
 		completed := i.finished()
@@ -176,7 +176,7 @@
 		}
 		return completed, true
 	}
-	if partial, ok := kept.Partial(i.key.Item); ok {
+	if partial, ok := stored.Partial(i.key.Item); ok {
 		i.Resume(partial, i.job.versionConstraint())
 	}
 	return Finished{}, false
@@ -189,7 +189,7 @@
 		longest[entry.spec.Group] = max(longest[entry.spec.Group], entry.spec.ExpectedTokens)
 	}
 	ordered := slices.Clone(added.items)
-	resubmitted := func(entry *item) int {
+	resubmittedFirst := func(entry *item) int {
 		if _, seen := s.groupLastSeen[entry.spec.Group]; seen {
 			return 0
 		}
@@ -197,7 +197,7 @@
 	}
 	slices.SortStableFunc(ordered, func(a, b *item) int {
 		return cmp.Or(
-			cmp.Compare(resubmitted(a), resubmitted(b)),
+			cmp.Compare(resubmittedFirst(a), resubmittedFirst(b)),
 			cmp.Compare(longest[b.spec.Group], longest[a.spec.Group]),
 			cmp.Compare(a.spec.Group, b.spec.Group),
 			cmp.Compare(b.spec.ExpectedTokens, a.spec.ExpectedTokens),
@@ -205,7 +205,7 @@
 	})
 	for rank, entry := range ordered {
 		entry.rank = rank
-		entry.resubmitted = resubmitted(entry) == 0
+		entry.resubmitted = resubmittedFirst(entry) == 0
 		if entry.resubmitted {
 			s.resubmitsGroups[added.spec.Model] = true
 		}
--- a/internal/schedule/scheduler_test.go
+++ b/internal/schedule/scheduler_test.go
@@ -22,13 +22,13 @@
 	finished map[string]ledger.Result
 }
 
-func (k storedTexts) Partial(id string) (PartialText, bool)    { p, ok := k.partial[id]; return p, ok }
-func (k storedTexts) Finished(id string) (ledger.Result, bool) { r, ok := k.finished[id]; return r, ok }
+func (s storedTexts) Partial(id string) (PartialText, bool)    { p, ok := s.partial[id]; return p, ok }
+func (s storedTexts) Finished(id string) (ledger.Result, bool) { r, ok := s.finished[id]; return r, ok }
 
 // loggedProgress implements ProgressSource with the last part of each item that the log holds.
 type loggedProgress map[string]ledger.Progress
 
-func (s loggedProgress) Progress(id string) (ledger.Progress, bool) { p, ok := s[id]; return p, ok }
+func (l loggedProgress) Progress(id string) (ledger.Progress, bool) { p, ok := l[id]; return p, ok }
 
 // harness drives a scheduler with a simulated clock.
 type harness struct {
@@ -80,8 +80,8 @@
 	items []*pathbendv1.BatchItem
 }
 
-func (h *harness) addJob(job testJob, policy Policy, kept StoredTextSource) []Finished {
-	finished, _ := h.scheduler.AddJob(job.open, job.items, policy, kept)
+func (h *harness) addJob(job testJob, policy Policy, stored StoredTextSource) []Finished {
+	finished, _ := h.scheduler.AddJob(job.open, job.items, policy, stored)
 	return finished
 }
 
--- a/internal/schedule/speculative.go
+++ b/internal/schedule/speculative.go
@@ -18,7 +18,8 @@
 const (
 	// speculativeSlotDivisor limits speculative runs to this fraction (1/n) of the slots.
 	speculativeSlotDivisor = 8
-	// SpeculativeRunGracePeriod is how long a speculative run continues after its job has ended.
+	// SpeculativeRunGracePeriod is how long a speculative run continues after its job has
+	// ended.
 	SpeculativeRunGracePeriod = 3 * time.Second
 	// minSpeculativeLengthRatio is the least ratio of an item's events to the average
 	// length of a text for the item to get a speculative run.
@@ -28,8 +29,8 @@
 	averageEventsWeight = 0.02
 )
 
-// RecordVersion records a model version that a trainer announced. It reports whether the version
-// is newer than all versions announced before.
+// RecordVersion records a model version that a trainer announced. It reports whether the
+// version is newer than all versions announced before.
 func (s *Scheduler) RecordVersion(model string, version uint64) (newer bool) {
 	if s.newestVersions[model] >= version {
 		return false
@@ -54,8 +55,8 @@
 	versions uint64
 }
 
-// laterJobMinVersion returns the oldest version that a job submitted after the next
-// version of the model will accept. ok is false if no sampler can serve that version yet,
+// laterJobMinVersion returns the oldest version that a job will accept if it is submitted
+// after the next version of the model is announced. ok is false if no sampler can serve that version yet,
 // or if no version newer than the open job was announced.
 func (s *Scheduler) laterJobMinVersion(open *job) (version uint64, ok bool) {
 	newest, allowedLag := s.newestVersions[open.spec.Model], s.versionLags[open.spec.Model].versions
@@ -212,8 +213,8 @@
 }
 
 // staleSpeculativeRuns returns the speculative runs to stop: those whose job ended more
-// than SpeculativeRunGracePeriod ago and those that are silent. It deletes texts that were not
-// resubmitted within groupResubmitTimeout.
+// than SpeculativeRunGracePeriod ago and those that are silent. It deletes kept texts whose
+// items were not resubmitted within groupResubmitTimeout.
 func (s *Scheduler) staleSpeculativeRuns(now time.Time) []Move {
 	var moves []Move
 	for _, itemID := range slices.Sorted(maps.Keys(s.speculativeItems)) {
--- a/internal/schedule/text.go
+++ b/internal/schedule/text.go
@@ -18,14 +18,14 @@
 
 // Accepts reports whether text made by the versions, in ascending order, may be part of a
 // result.
-func (a VersionConstraint) Accepts(versions []uint64) bool {
+func (c VersionConstraint) Accepts(versions []uint64) bool {
 	if len(versions) == 0 {
 		return true
 	}
-	if a.SingleVersion && len(versions) > 1 {
+	if c.SingleVersion && len(versions) > 1 {
 		return false
 	}
-	return versions[0] >= a.MinVersion
+	return versions[0] >= c.MinVersion
 }
 
 // Text is the text generated for an item so far. Its zero value is empty.
@@ -51,9 +51,9 @@
 // Append appends the next event. It reports false if the event is out of sequence or made by
 // a version that is not accepted. If the event's version cannot be combined with those of
 // the text, the text is reset as well.
-func (t *Text) Append(event Event, acceptance VersionConstraint) bool {
+func (t *Text) Append(event Event, constraint VersionConstraint) bool {
 	before := t.events
-	if !t.advance(event, acceptance) {
+	if !t.advance(event, constraint) {
 		return false
 	}
 	if before > 0 {
@@ -64,15 +64,15 @@
 }
 
 // advance does what Append does, for a text whose bytes a worker holds.
-func (t *Text) advance(event Event, acceptance VersionConstraint) bool {
-	if event.ID != t.events+1 || event.Version < acceptance.MinVersion {
+func (t *Text) advance(event Event, constraint VersionConstraint) bool {
+	if event.ID != t.events+1 || event.Version < constraint.MinVersion {
 		return false
 	}
 	versions := t.versions
 	if !slices.Contains(versions, event.Version) {
 		versions = ledger.MergeVersions(versions, []uint64{event.Version})
 	}
-	if !acceptance.Accepts(versions) {
+	if !constraint.Accepts(versions) {
 		t.Restart()
 		return false
 	}
@@ -85,12 +85,12 @@
 func (t *Text) Restart() { *t = Text{} }
 
 // Resume adopts a stored text if its versions are accepted.
-func (t *Text) Resume(kept PartialText, acceptance VersionConstraint) {
-	if !acceptance.Accepts(kept.Versions) {
+func (t *Text) Resume(stored PartialText, constraint VersionConstraint) {
+	if !constraint.Accepts(stored.Versions) {
 		return
 	}
-	t.text, t.events, t.versions = slices.Clip(kept.Text), kept.Events, kept.Versions
-	t.saved = savedText{id: kept.ID, events: kept.Events, bytes: len(kept.Text), confirmed: true}
+	t.text, t.events, t.versions = slices.Clip(stored.Text), stored.Events, stored.Versions
+	t.saved = savedText{id: stored.ID, events: stored.Events, bytes: len(stored.Text), confirmed: true}
 }
 
 // Unsaved returns the part of the text that is not in the log yet, if it has enough events,
