--- a/internal/weights/plan.go
+++ b/internal/weights/plan.go
@@ -4,7 +4,9 @@
 
 // EngineState is the state of a model on an engine, as last reported by the engine.
 type EngineState struct {
-	ID       string
+	ID string
+	// Serving is the weight version that the engine serves, Prepared the one that it has
+	// loaded beside it, 0 if there is none.
 	Serving  uint64
 	Prepared uint64
 	// Broken is set after a switch that failed half-way.
@@ -17,8 +19,11 @@
 
 // Target is the desired state of a pool.
 type Target struct {
-	Version           uint64
-	Adapter           string
+	Version uint64
+	// Adapter is the adapter that engines load in addition, empty for none.
+	Adapter string
+	// MinServingPercent is the percentage of the engines that must not be switching. One
+	// engine may always switch.
 	MinServingPercent int
 	// Pinned is set for a pinned version: engines also return to it from a newer one.
 	// Without it, engines that serve a newer version keep it.
@@ -38,8 +43,11 @@
 
 // Kinds of orders.
 const (
+	// Load makes an engine load the target version beside the one that it serves.
 	Load OrderKind = iota + 1
+	// Switch makes an engine serve the version that it has loaded.
 	Switch
+	// LoadAdapter makes an engine load the adapter of the target.
 	LoadAdapter
 )
 
@@ -52,14 +60,14 @@
 // orderRetryDelay is how long an engine gets no order after a failed one.
 const orderRetryDelay = 500 * time.Millisecond
 
-// Planner issues orders to engines and tracks those in progress. It is not safe for concurrent
-// use.
+// Planner decides which orders engines get and tracks those in progress. It is not safe for
+// concurrent use.
 type Planner struct {
 	inProgress map[string]OrderKind
 	notBefore  map[string]time.Time
 }
 
-// NewPlanner returns a plan without orders in progress.
+// NewPlanner returns a planner without orders in progress.
 func NewPlanner() *Planner {
 	return &Planner{inProgress: make(map[string]OrderKind), notBefore: make(map[string]time.Time)}
 }
@@ -94,6 +102,8 @@
 	return orders
 }
 
+// nextOrder returns the kind of the order that an engine needs next, or false if it needs
+// none.
 func nextOrder(state EngineState, target Target) (OrderKind, bool) {
 	switch {
 	case state.Broken && state.Prepared == target.Version:
--- a/internal/weights/plan_test.go
+++ b/internal/weights/plan_test.go
@@ -31,8 +31,8 @@
 func TestUnresponsiveEngineDoesNotBlockTheOthers(t *testing.T) {
 	engines := newEngines(2, 1)
 	engines[0].Responding = false
-	plan := NewPlanner()
-	require.Equal(t, []Order{{"engine-1", Load}}, plan.Next(start, engines, Target{Version: 2}))
+	planner := NewPlanner()
+	require.Equal(t, []Order{{"engine-1", Load}}, planner.Next(start, engines, Target{Version: 2}))
 	engines[1].Serving = 2
 	require.True(t, Reached(engines, Target{Version: 2}))
 }
@@ -40,11 +40,11 @@
 func TestBrokenEngineSwitchesAgain(t *testing.T) {
 	engines := newEngines(1, 1)
 	engines[0].Broken, engines[0].Prepared = true, 2
-	plan := NewPlanner()
-	require.Equal(t, []Order{{"engine-0", Switch}}, plan.Next(start, engines, Target{Version: 2}))
-	plan.Done(start, "engine-0", false)
-	require.Empty(t, plan.Next(start, engines, Target{Version: 2}), "no order during the retry delay")
-	require.Len(t, plan.Next(start.Add(orderRetryDelay), engines, Target{Version: 2}), 1)
+	planner := NewPlanner()
+	require.Equal(t, []Order{{"engine-0", Switch}}, planner.Next(start, engines, Target{Version: 2}))
+	planner.Done(start, "engine-0", false)
+	require.Empty(t, planner.Next(start, engines, Target{Version: 2}), "no order during the retry delay")
+	require.Len(t, planner.Next(start.Add(orderRetryDelay), engines, Target{Version: 2}), 1)
 }
 
 // TestSwitchKeepsMinimumServingShareAndCompletes lets orders succeed, fail and break
@@ -56,12 +56,12 @@
 		engines := newEngines(count, 1)
 		target := Target{Version: 2, MinServingPercent: rapid.IntRange(0, 99).Draw(t, "percent")}
 		allowed := max(count*(100-target.MinServingPercent)/100, 1)
-		plan, now := NewPlanner(), start
+		planner, now := NewPlanner(), start
 		busy := map[int]OrderKind{}
 		for step := 0; !Reached(engines, target); step++ {
 			require.Less(t, step, 400, "the pool must reach the target")
 			now = now.Add(orderRetryDelay)
-			for _, order := range plan.Next(now, engines, target) {
+			for _, order := range planner.Next(now, engines, target) {
 				var index int
 				_, err := fmt.Sscanf(order.EngineID, "engine-%d", &index)
 				require.NoError(t, err)
@@ -90,7 +90,7 @@
 				case outcome == 0 && state.Prepared == target.Version:
 					state.Serving, state.Prepared, state.Broken = target.Version, 0, false
 				}
-				plan.Done(now, state.ID, outcome == 0)
+				planner.Done(now, state.ID, outcome == 0)
 				delete(busy, index)
 			}
 			if step == 20 {
--- a/internal/weights/replicas_test.go
+++ b/internal/weights/replicas_test.go
@@ -27,8 +27,8 @@
 		r.replicas[best][model] = struct{}{}
 	}
 	for r.count(model) > replicaCount {
-		ownVersions := slices.DeleteFunc(slices.Clone(hosts), func(id string) bool { return !isReplica(id) })
-		worst := slices.MinFunc(ownVersions, func(a, b string) int {
+		replicaIDs := slices.DeleteFunc(slices.Clone(hosts), func(id string) bool { return !isReplica(id) })
+		worst := slices.MinFunc(replicaIDs, func(a, b string) int {
 			return cmp.Or(cmp.Compare(len(r.replicas[b]), len(r.replicas[a])),
 				cmp.Compare(eligible[a].Versions[model], eligible[b].Versions[model]), cmp.Compare(a, b))
 		})
@@ -46,8 +46,8 @@
 	return replicas
 }
 
-// Replicas are assigned in a batch, since choosing them one by one took a new executor 1.7
-// s for 3,000 samplers. The batch must give the same result.
+// Replicas are assigned in a batch, since choosing them one by one took a new executor 1.7 s
+// for 3,000 samplers. The batch must give the same result.
 func TestBatchAssignmentMatchesOneByOneAssignment(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		models := []string{"a", "b", "c"}
@@ -109,9 +109,9 @@
 		})
 		queues := newUpdateQueues(pending)
 		for {
-			want, any := nextUpdateByScan(r, pending, upToDate, lag)
+			want, wantFound := nextUpdateByScan(r, pending, upToDate, lag)
 			update, found := r.nextUpdate(queues, upToDate, lag)
-			require.Equal(t, any, found)
+			require.Equal(t, wantFound, found)
 			if !found {
 				return
 			}
--- a/internal/weights/rolling_update.go
+++ b/internal/weights/rolling_update.go
@@ -11,8 +11,8 @@
 // Member is one sampler that takes part in a rolling update.
 type Member struct {
 	ID string
-	// StartedAtMs is the start time of the sampler's incarnation. It tells incarnations of one id
-	// apart.
+	// StartedAtMs is the start time of the sampler's incarnation in Unix milliseconds. It
+	// tells incarnations of one id apart.
 	StartedAtMs int64
 	// Versions maps each model of the sampler to the version it serves, as last known.
 	Versions map[string]uint64
@@ -55,7 +55,8 @@
 // Update is an order to load one version of a model on one sampler.
 type Update struct {
 	SamplerID string
-	// StartedAtMs is the start time of the incarnation that the order is for.
+	// StartedAtMs is the start time of the incarnation that the order is for, in Unix
+	// milliseconds.
 	StartedAtMs int64
 	Model       string
 	Version     uint64
@@ -72,7 +73,7 @@
 // a model are also limited by its demand, since loading weights on a sampler that then has
 // no work is wasted.
 //
-// A RollingUpdate is pure. It is not safe for concurrent use.
+// A RollingUpdate is not safe for concurrent use.
 type RollingUpdate struct {
 	// MinConcurrent is the limit of updates in progress in a small fleet. The limit of a
 	// large fleet is higher and grows with its size.
@@ -134,12 +135,12 @@
 	rotationGroups = 2
 )
 
-// NewRollingUpdate returns a rolling update without replicas. The limit of updates in progress is
-// minConcurrent or a fraction of the fleet, whichever is larger.
+// NewRollingUpdate returns a rolling update without replicas. The limit of updates in progress
+// is minConcurrent or a fraction of the fleet, whichever is larger.
 func NewRollingUpdate(minConcurrent int) *RollingUpdate {
-	roll := &RollingUpdate{MinConcurrent: minConcurrent}
-	roll.Reset()
-	return roll
+	rolling := &RollingUpdate{MinConcurrent: minConcurrent}
+	rolling.Reset()
+	return rolling
 }
 
 // concurrencyDivisor divides the fleet size to give the number of samplers that may load at
@@ -281,9 +282,9 @@
 	return upToDate
 }
 
-// SetAllowedLag records how many versions behind the newest a job of a model accepts. The job with
-// the latest training step decides: adopted jobs may arrive in any order, and the allowed
-// lag of older ones has grown since.
+// SetAllowedLag records how many versions behind the newest a job of a model accepts. The job
+// with the latest training step decides: adopted jobs may arrive in any order, and the
+// allowed lag of older ones has grown since.
 func (r *RollingUpdate) SetAllowedLag(model string, step, allowedLag uint64) {
 	if step < r.latestStep[model] {
 		return
@@ -476,7 +477,7 @@
 // InProgress returns the number of updates in progress.
 func (r *RollingUpdate) InProgress() int { return len(r.inProgress) }
 
-// Reset resets the state when another node takes over.
+// Reset discards the whole state, for use when another node takes over.
 func (r *RollingUpdate) Reset() {
 	r.replicas = make(map[string]map[string]struct{})
 	r.replicasPerVersion = make(map[string]int)
--- a/internal/weights/rolling_update_benchmark_test.go
+++ b/internal/weights/rolling_update_benchmark_test.go
@@ -20,11 +20,11 @@
 			}
 			targets := map[string]uint64{"k": 2, "l": 2, "m": 2, "n": 2}
 			for b.Loop() {
-				roll := NewRollingUpdate(9)
+				rolling := NewRollingUpdate(9)
 				for model := range targets {
-					roll.SetAllowedLag(model, 1, 1)
+					rolling.SetAllowedLag(model, 1, 1)
 				}
-				roll.Next(time.Unix(100, 0), fleet, targets)
+				rolling.Next(time.Unix(100, 0), fleet, targets)
 			}
 		})
 	}
@@ -58,15 +58,15 @@
 				fleet.byID[members[i].ID] = members[i]
 			}
 			now := time.Unix(100, 0)
-			roll := NewRollingUpdate(2)
+			rolling := NewRollingUpdate(2)
 			for model := range targets {
-				roll.SetAllowedLag(model, 1, 1)
+				rolling.SetAllowedLag(model, 1, 1)
 			}
-			roll.SetDemand(demand)
-			roll.Next(now, fleet, targets)
+			rolling.SetDemand(demand)
+			rolling.Next(now, fleet, targets)
 			for b.Loop() {
 				now = now.Add(50 * time.Millisecond)
-				roll.Next(now, fleet, targets)
+				rolling.Next(now, fleet, targets)
 			}
 		})
 	}
--- a/internal/weights/rolling_update_test.go
+++ b/internal/weights/rolling_update_test.go
@@ -42,12 +42,12 @@
 
 func TestAllSamplersFollowASingleModelInSmallBatches(t *testing.T) {
 	now := time.Unix(100, 0)
-	roll := NewRollingUpdate(2)
+	rolling := NewRollingUpdate(2)
 	members := newMembers(8, map[string]uint64{"m": 1})
-	require.Len(t, roll.Next(now, MemberList(members), map[string]uint64{"m": 2}), 2)
-	require.Empty(t, roll.Next(now, MemberList(members), map[string]uint64{"m": 2}), "two updates are in progress")
-	roll.Reset()
-	require.Equal(t, 8, applyAll(roll, now, members, map[string]uint64{"m": 2}))
+	require.Len(t, rolling.Next(now, MemberList(members), map[string]uint64{"m": 2}), 2)
+	require.Empty(t, rolling.Next(now, MemberList(members), map[string]uint64{"m": 2}), "two updates are in progress")
+	rolling.Reset()
+	require.Equal(t, 8, applyAll(rolling, now, members, map[string]uint64{"m": 2}))
 }
 
 // Guards against loading every version of every model on every sampler: with three models
@@ -55,11 +55,11 @@
 // wait for a sampler of their version until their deadline.
 func TestModelsShareTheSamplersEvenly(t *testing.T) {
 	now := time.Unix(100, 0)
-	roll := NewRollingUpdate(2)
+	rolling := NewRollingUpdate(2)
 	members := newMembers(9, map[string]uint64{"a": 1, "b": 1, "c": 1})
 	for version := uint64(2); version < 6; version++ {
 		targets := map[string]uint64{"a": version, "b": version, "c": version}
-		require.Equal(t, 9, applyAll(roll, now, members, targets))
+		require.Equal(t, 9, applyAll(rolling, now, members, targets))
 		for model := range targets {
 			upToDate := 0
 			for _, member := range members {
@@ -74,27 +74,27 @@
 
 func TestLostSamplersAreReplacedWithFewChanges(t *testing.T) {
 	now := time.Unix(100, 0)
-	roll := NewRollingUpdate(2)
+	rolling := NewRollingUpdate(2)
 	members := newMembers(9, map[string]uint64{"a": 1, "b": 1, "c": 1})
 	targets := map[string]uint64{"a": 2, "b": 2, "c": 2}
-	applyAll(roll, now, members, targets)
+	applyAll(rolling, now, members, targets)
 	members[0].Leaving = true
-	require.LessOrEqual(t, applyAll(roll, now, members, targets), 1)
+	require.LessOrEqual(t, applyAll(rolling, now, members, targets), 1)
 	members[0].Leaving = false
-	require.Zero(t, applyAll(roll, now, members, targets), "the sampler already serves the version")
+	require.Zero(t, applyAll(rolling, now, members, targets), "the sampler already serves the version")
 }
 
 func TestFailingSamplerIsReplacedUntilItsRecoveryDelayIsOver(t *testing.T) {
 	now := time.Unix(100, 0)
-	roll := NewRollingUpdate(1)
+	rolling := NewRollingUpdate(1)
 	members := newMembers(4, map[string]uint64{"a": 1, "b": 1})
 	targets := map[string]uint64{"a": 2, "b": 1}
-	first := roll.Next(now, MemberList(members), targets)[0]
-	roll.Done(first, false, now)
+	first := rolling.Next(now, MemberList(members), targets)[0]
+	rolling.Done(first, false, now)
 	now = now.Add(updateRetryDelay)
 	for range 2 {
-		update := roll.Next(now, MemberList(members), targets)[0]
-		roll.Done(update, update.SamplerID != first.SamplerID, now)
+		update := rolling.Next(now, MemberList(members), targets)[0]
+		rolling.Done(update, update.SamplerID != first.SamplerID, now)
 		if update.SamplerID != first.SamplerID {
 			for i := range members {
 				if members[i].ID == update.SamplerID {
@@ -103,30 +103,30 @@
 			}
 		}
 	}
-	newUpdates := roll.Next(now, MemberList(members), targets)
+	newUpdates := rolling.Next(now, MemberList(members), targets)
 	require.Len(t, newUpdates, 1)
 	require.NotEqual(t, first.SamplerID, newUpdates[0].SamplerID)
 }
 
 func TestEachModelHasTwoReplicasWithFewerSamplersThanModels(t *testing.T) {
 	now := time.Unix(100, 0)
-	roll := NewRollingUpdate(2)
+	rolling := NewRollingUpdate(2)
 	versions, targets := map[string]uint64{}, map[string]uint64{}
 	for i := range 6 {
 		versions[fmt.Sprint(i)], targets[fmt.Sprint(i)] = 1, 2
 	}
-	require.Equal(t, 12, applyAll(roll, now, newMembers(3, versions), targets))
+	require.Equal(t, 12, applyAll(rolling, now, newMembers(3, versions), targets))
 }
 
 func TestSamplerWithAPendingOrderIsSkippedAndKeepsItsModels(t *testing.T) {
 	now := time.Unix(100, 0)
-	roll := NewRollingUpdate(2)
+	rolling := NewRollingUpdate(2)
 	members := newMembers(2, map[string]uint64{"a": 1})
 	members[0].OrderPending = true
 	targets := map[string]uint64{"a": 2}
-	require.Equal(t, []Update{{SamplerID: "s1", Model: "a", Version: 2}}, roll.Next(now, MemberList(members), targets))
+	require.Equal(t, []Update{{SamplerID: "s1", Model: "a", Version: 2}}, rolling.Next(now, MemberList(members), targets))
 	members[0].OrderPending = false
-	require.Equal(t, []Update{{SamplerID: "s0", Model: "a", Version: 2}}, roll.Next(now, MemberList(members), targets))
+	require.Equal(t, []Update{{SamplerID: "s0", Model: "a", Version: 2}}, rolling.Next(now, MemberList(members), targets))
 }
 
 // Guards against a fixed limit of concurrent updates: with two at a time in a fleet of 35
@@ -134,9 +134,9 @@
 // version came every four.
 func TestConcurrentUpdatesGrowWithTheFleet(t *testing.T) {
 	now := time.Unix(100, 0)
-	roll := NewRollingUpdate(2)
+	rolling := NewRollingUpdate(2)
 	members := append(newMembers(35, map[string]uint64{"a": 1}), Member{ID: "no-model"})
-	require.Len(t, roll.Next(now, MemberList(members), map[string]uint64{"a": 2}), 7)
+	require.Len(t, rolling.Next(now, MemberList(members), map[string]uint64{"a": 2}), 7)
 	require.Len(t, NewRollingUpdate(2).Next(now, MemberList(newMembers(9, map[string]uint64{"a": 1})), map[string]uint64{"a": 2}), 2)
 }
 
@@ -145,14 +145,14 @@
 // of loads.
 func TestReplicasAlternateVersionsWhenJobsAllowAVersionLag(t *testing.T) {
 	now := time.Unix(100, 0)
-	roll := NewRollingUpdate(2)
+	rolling := NewRollingUpdate(2)
 	members := newMembers(9, map[string]uint64{"a": 1, "b": 1, "c": 1})
 	for version := uint64(2); version < 12; version++ {
 		for _, model := range []string{"a", "b", "c"} {
-			roll.SetAllowedLag(model, version, 1)
+			rolling.SetAllowedLag(model, version, 1)
 		}
 		targets := map[string]uint64{"a": version, "b": version, "c": version}
-		require.Equal(t, 9, applyAll(roll, now, members, targets), "three loads per version of each model")
+		require.Equal(t, 9, applyAll(rolling, now, members, targets), "three loads per version of each model")
 		if version < 3 {
 			continue
 		}
@@ -173,11 +173,11 @@
 // loading, and those two versions behind served nothing.
 func TestReplicasOfASingleModelAlternateVersions(t *testing.T) {
 	now := time.Unix(100, 0)
-	roll := NewRollingUpdate(2)
-	roll.SetAllowedLag("a", 1, 1)
+	rolling := NewRollingUpdate(2)
+	rolling.SetAllowedLag("a", 1, 1)
 	members := newMembers(8, map[string]uint64{"a": 1})
 	for version := uint64(2); version < 6; version++ {
-		require.Equal(t, 4, applyAll(roll, now, members, map[string]uint64{"a": version}))
+		require.Equal(t, 4, applyAll(rolling, now, members, map[string]uint64{"a": version}))
 		for _, member := range members {
 			require.GreaterOrEqual(t, member.Versions["a"], version-1)
 		}
@@ -187,37 +187,37 @@
 // An executor may adopt two jobs, the later one first. It must not apply the lag of the
 // older one, which by then accepts one version more.
 func TestAllowedLagIsThatOfTheLatestStep(t *testing.T) {
-	roll := NewRollingUpdate(2)
-	roll.SetAllowedLag("a", 4, 1)
-	roll.SetAllowedLag("a", 3, 2)
-	require.EqualValues(t, 1, roll.allowedLag["a"])
+	rolling := NewRollingUpdate(2)
+	rolling.SetAllowedLag("a", 4, 1)
+	rolling.SetAllowedLag("a", 3, 2)
+	require.EqualValues(t, 1, rolling.allowedLag["a"])
 }
 
 func TestSamplersBeyondTheAllowedLagAreAllUpdated(t *testing.T) {
 	now := time.Unix(100, 0)
-	roll := NewRollingUpdate(2)
-	roll.SetAllowedLag("a", 1, 1)
+	rolling := NewRollingUpdate(2)
+	rolling.SetAllowedLag("a", 1, 1)
 	members := newMembers(8, map[string]uint64{"a": 1})
-	require.Equal(t, 8, applyAll(roll, now, members, map[string]uint64{"a": 3}))
+	require.Equal(t, 8, applyAll(rolling, now, members, map[string]uint64{"a": 3}))
 }
 
 // Guards against loading models in name order: the training steps of the last one had no
 // sampler for five seconds while the other models had nine each.
 func TestModelWithTheFewestUpToDateReplicasIsUpdatedFirst(t *testing.T) {
 	now := time.Unix(100, 0)
-	roll := NewRollingUpdate(2)
+	rolling := NewRollingUpdate(2)
 	members := newMembers(12, map[string]uint64{"a": 1, "b": 1, "z": 1})
 	targets := map[string]uint64{"a": 2, "b": 2, "z": 2}
 	var models []string
 	for range 6 {
-		for _, update := range roll.Next(now, MemberList(members), targets) {
+		for _, update := range rolling.Next(now, MemberList(members), targets) {
 			models = append(models, update.Model)
 			for i := range members {
 				if members[i].ID == update.SamplerID {
 					members[i].Versions[update.Model] = update.Version
 				}
 			}
-			roll.Done(update, true, now)
+			rolling.Done(update, true, now)
 		}
 	}
 	require.Len(t, models, 12)
@@ -231,39 +231,39 @@
 // samplers.
 func TestReplicasOfAModelAreLimitedByItsDemand(t *testing.T) {
 	now := time.Unix(100, 0)
-	roll := NewRollingUpdate(2)
+	rolling := NewRollingUpdate(2)
 	members := newMembers(300, map[string]uint64{"a": 1, "b": 1})
 	for i := range members {
 		members[i].Slots = 6
 	}
 	targets := map[string]uint64{"a": 2, "b": 1}
-	roll.SetDemand(map[string]int{"a": 40})
-	require.Equal(t, 14, applyAll(roll, now, members, targets), "84 slots for 40 items")
-	roll.SetDemand(map[string]int{"a": 1})
+	rolling.SetDemand(map[string]int{"a": 40})
+	require.Equal(t, 14, applyAll(rolling, now, members, targets), "84 slots for 40 items")
+	rolling.SetDemand(map[string]int{"a": 1})
 	targets["a"] = 3
-	require.Equal(t, minReplicas, applyAll(roll, now, members, targets))
-	roll.SetDemand(map[string]int{"a": 4000})
+	require.Equal(t, minReplicas, applyAll(rolling, now, members, targets))
+	rolling.SetDemand(map[string]int{"a": 4000})
 	targets["a"] = 4
-	require.Equal(t, 150, applyAll(roll, now, members, targets), "the even share is the upper limit")
+	require.Equal(t, 150, applyAll(rolling, now, members, targets), "the even share is the upper limit")
 }
 
 // Updates and failures end with an incarnation, and the end of an update of the old
 // incarnation does not affect one of the new.
 func TestUpdatesEndWithTheIncarnation(t *testing.T) {
-	roll := NewRollingUpdate(1)
+	rolling := NewRollingUpdate(1)
 	now := time.Unix(100, 0)
 	targets := map[string]uint64{"m": 2}
 	member := func(incarnation int64) []Member {
 		return []Member{{ID: "s", StartedAtMs: incarnation, Versions: map[string]uint64{"m": 1}, Slots: 4}}
 	}
-	formerUpdates := roll.Next(now, MemberList(member(10)), targets)
+	formerUpdates := rolling.Next(now, MemberList(member(10)), targets)
 	require.Len(t, formerUpdates, 1)
 	require.EqualValues(t, 10, formerUpdates[0].StartedAtMs)
-	newUpdates := roll.Next(now, MemberList(member(20)), targets)
+	newUpdates := rolling.Next(now, MemberList(member(20)), targets)
 	require.Len(t, newUpdates, 1, "the update in progress was for the old incarnation")
-	roll.Done(formerUpdates[0], false, now)
-	require.Equal(t, 1, roll.InProgress())
-	require.Empty(t, roll.failures)
-	roll.Done(newUpdates[0], true, now)
-	require.Zero(t, roll.InProgress())
+	rolling.Done(formerUpdates[0], false, now)
+	require.Equal(t, 1, rolling.InProgress())
+	require.Empty(t, rolling.failures)
+	rolling.Done(newUpdates[0], true, now)
+	require.Zero(t, rolling.InProgress())
 }
