--- a/internal/quarantine/guard.go
+++ b/internal/quarantine/guard.go
@@ -12,26 +12,26 @@
 )
 
 // Publisher publishes this node's records to the other nodes through a log. Records read back
-// from the log, including this node's own, are applied with Merge in log order.
+// from the log, including this node's own, are applied with Guard.Merge in log order.
 type Publisher interface {
-	// Publish publishes a record. It returns once this node has read the record back from the
-	// log, along with all earlier ones, or when the time that a request may wait is over.
+	// Publish publishes a record. It returns once this node has read the record back from
+	// the log, along with all earlier ones, or when the time that a request may wait is over.
 	// In the latter case publishing continues in the background.
 	Publish(ctx context.Context, record Record)
 }
 
-// RunWithin runs write and returns when it is done or the timeout has expired. After a
-// timeout write keeps running in the background; it must return when its node shuts down.
-func RunWithin(ctx context.Context, timeout time.Duration, write func()) {
+// RunWithin runs task and returns when it is done or the timeout has expired. After a
+// timeout task keeps running in the background; it must return when its node shuts down.
+func RunWithin(ctx context.Context, timeout time.Duration, task func()) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	written := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(written)
-		write()
+		defer close(done)
+		task()
 	}()
 	select {
-	case <-written:
+	case <-done:
 	case <-ctx.Done():
 	}
 }
@@ -71,7 +71,7 @@
 	return &Guard{policy: policy, logger: logger, running: make(map[Digest]int)}
 }
 
-// SetPublisher sets the publisher to the other nodes.
+// SetPublisher sets the publisher of this node's records.
 func (g *Guard) SetPublisher(publisher Publisher) { g.publisher = publisher }
 
 // suspectRetryAfter is the retry delay for a suspect request that is already running at a
@@ -127,12 +127,14 @@
 	}
 }
 
-func (g *Guard) refuse(digest Digest, wait time.Duration) error {
+// refuse counts a refused request and returns its error. The retry delay is at least
+// suspectRetryAfter.
+func (g *Guard) refuse(digest Digest, retryAfter time.Duration) error {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.counts.Refused++
 	return result.New(result.RequestQuarantined, "%d back ends crashed while running this request", g.registry.CrashCount(digest)).
-		WithRetryAfter(max(wait, suspectRetryAfter))
+		WithRetryAfter(max(retryAfter, suspectRetryAfter))
 }
 
 // claimTrial publishes a claim on a trial and reports whether this node won it.
@@ -167,8 +169,8 @@
 	return g.registry.CrashCount(digest) > 0
 }
 
-// ReportCrash records that a back end crashed while running a request, and publishes the record
-// before it returns.
+// ReportCrash records that a back end crashed while running a request, and publishes the
+// record before it returns.
 func (g *Guard) ReportCrash(ctx context.Context, digest Digest, backEnd string) {
 	if record, changed := g.addCrash(digest, backEnd); changed {
 		g.publisher.Publish(ctx, record)
@@ -234,16 +236,16 @@
 	g.logger.Log(event.RequestQuarantined, "digest", digest.String(), "ends", g.registry.CrashCount(digest), "retry_after_ms", time.Until(until).Milliseconds())
 }
 
-// CrashCount returns the number of back ends that crashed while running a digest, since the last
-// successful run.
+// CrashCount returns the number of back ends that crashed while running a digest, since the
+// last successful run.
 func (g *Guard) CrashCount(digest Digest) int {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.registry.CrashCount(digest)
 }
 
-// QuarantinedUntil returns when the next trial of a digest is due, or the zero time if the digest
-// is not quarantined or its trial is due already.
+// QuarantinedUntil returns when the next trial of a digest is due, or the zero time if the
+// digest is not quarantined or its trial is due already.
 func (g *Guard) QuarantinedUntil(digest Digest) time.Time {
 	if !g.nonEmpty.Load() {
 		return time.Time{}
--- a/internal/quarantine/policy.go
+++ b/internal/quarantine/policy.go
@@ -14,8 +14,8 @@
 	TrialTimeout time.Duration
 }
 
-// CrashLimit is the number of back-end crashes at which a request is quarantined. One crash may
-// be a coincidence, and two may be one node that took both back ends down. The service's
+// CrashLimit is the number of back-end crashes at which a request is quarantined. One crash
+// may be a coincidence, and two may be one node that took both back ends down. The service's
 // requirements expect a request to be recognized at the third.
 const CrashLimit = 3
 
@@ -27,9 +27,9 @@
 	trialTimeout = 30 * time.Second
 )
 
-// RequestPolicy returns the policy for client requests and reward calls. Nodes learn of crashes
-// seen by others within about 100 ms. The requirements allow three sends after nodes have
-// had 3 s to learn of the third crash: two of them are trials, and one is left for nodes
+// RequestPolicy returns the policy for client requests and reward calls. Nodes learn of
+// crashes seen by others within about 100 ms. The requirements allow three sends after nodes
+// have had 3 s to learn of the third crash: two of them are trials, and one is left for nodes
 // that have just started.
 func RequestPolicy() Policy {
 	return Policy{CrashLimit: CrashLimit, TrialDelays: []time.Duration{15 * time.Second, 2 * time.Minute, maxTrialDelay}, TrialTimeout: trialTimeout}
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -12,8 +12,8 @@
 	// Epoch counts how often the digest was cleared. Records of an earlier epoch are
 	// ignored.
 	Epoch uint64
-	// CrashedBackEnds holds the ids of the back ends that crashed while running the digest in this
-	// epoch, ascending.
+	// CrashedBackEnds holds the ids of the back ends that crashed while running the digest in
+	// this epoch, ascending.
 	CrashedBackEnds []string
 	// Trials counts the trials of this epoch. Claimant identifies who claimed the latest
 	// one.
--- a/internal/quarantine/registry.go
+++ b/internal/quarantine/registry.go
@@ -146,8 +146,8 @@
 	return record != nil && record.Trials > 0 && record.Claimant == claimant
 }
 
-// Merge applies a record from another node and reports whether it changed anything. A
-// record that was changed in the future is treated as changed now.
+// Merge applies a published record and reports whether it changed anything. A record that
+// was changed in the future is treated as changed now.
 func (r *Registry) Merge(received Record, now time.Time) bool {
 	if received.ChangedAt.After(now) {
 		received.ChangedAt = now
--- a/internal/quarantine/registry_test.go
+++ b/internal/quarantine/registry_test.go
@@ -191,7 +191,7 @@
 		var published []Record
 		for i := range rapid.IntRange(1, 8).Draw(t, "steps") {
 			at := start.Add(time.Duration(i) * time.Second)
-			if rapid.IntRange(0, 3).Draw(t, "served") == 0 {
+			if rapid.IntRange(0, 3).Draw(t, "success") == 0 {
 				if record, ok := writer.Clear(digest, at); ok {
 					published = append(published, record)
 				}
