--- a/internal/scaling/plan.go
+++ b/internal/scaling/plan.go
@@ -55,8 +55,8 @@
 	// refusedZoneDelay is how long a zone gets no order after the platform refused one,
 	// which means that the zone has no spot samplers available.
 	refusedZoneDelay = 3 * time.Second
-	// missingTimeout is how long after Service.BootTime an ordered sampler may be absent from
-	// the list before the order is repeated.
+	// missingTimeout is how much longer than Service.BootTime an ordered sampler may be absent
+	// from the list before the order is repeated.
 	missingTimeout = 3 * time.Second
 )
 
--- a/internal/scaling/plan_test.go
+++ b/internal/scaling/plan_test.go
@@ -116,7 +116,7 @@
 			for _, order := range p.Plan(now, service, rapid.IntRange(0, 2000).Draw(t, "peak")) {
 				require.GreaterOrEqual(t, order.Desired, 0)
 				require.LessOrEqual(t, order.Desired, max(service.Max-ordinary[order.Zone], 0))
-				if rapid.Bool().Draw(t, "taken") {
+				if rapid.Bool().Draw(t, "accepted") {
 					p.Accepted(order, now)
 				} else {
 					p.Refused(order, now)
