--- a/internal/routing/cold_share.go
+++ b/internal/routing/cold_share.go
@@ -1,7 +1,7 @@
 package routing
 
-// ColdBudgetShare returns the node's share of the requests per second that a cold endpoint may
-// receive. Nodes compute it without communication: the first nodes in the endpoint's
+// ColdBudgetShare returns the node's share of the requests per second that a cold endpoint
+// may receive. Nodes compute it without communication: the first nodes in the endpoint's
 // rendezvous order, at most as many as there are requests, get a share each, and the others
 // get none. Nodes with the same membership view agree; during a partition each side spends
 // the full budget once. A node that is missing from nodes has no share.
--- a/internal/routing/cold_test.go
+++ b/internal/routing/cold_test.go
@@ -112,7 +112,7 @@
 	require.Equal(t, coldNow.Add(3*time.Second), at)
 }
 
-func TestRoomAgainReportsNoColdEndpointInWarmPool(t *testing.T) {
+func TestNextColdBudgetReportsNoColdEndpointInWarmPool(t *testing.T) {
 	_, cold := newColdTable(0, nil, "a").NextColdBudget(&Request{Pool: "p", Now: coldNow, Excluded: []string{"a"}}, AllowedRegion{})
 	require.False(t, cold)
 }
--- a/internal/routing/endpoint.go
+++ b/internal/routing/endpoint.go
@@ -9,8 +9,8 @@
 // Endpoint is an engine or a back end, as seen by this node.
 type Endpoint struct {
 	ID string
-	// StartedAtMs is the start time of the endpoint's current incarnation in Unix milliseconds, 0 if
-	// it reports none.
+	// StartedAtMs is the start time of the endpoint's current incarnation in Unix
+	// milliseconds, 0 if it reports none.
 	StartedAtMs int64
 	Address     string
 	Zone        string
@@ -25,9 +25,11 @@
 	// Report is the latest load report. ReportedAt is its time, zero if there is none.
 	Report     LoadReport
 	ReportedAt time.Time
-	// SentSinceReport is the number of requests that this node started since Report was made.
+	// SentSinceReport is the number of requests that this node started since it applied
+	// Report.
 	SentSinceReport int
-	// Latency is an exponential moving average of the time to a complete answer.
+	// Latency is an exponential moving average of the time to a complete answer, 0 until there
+	// was one.
 	Latency time.Duration
 	// Warmup limits the requests that this node sends while the endpoint is cold.
 	Warmup coldlimit.Budget
@@ -46,8 +48,8 @@
 	at      time.Time
 }
 
-// versionObservationTTL is how long an engine is skipped after it was found to serve an older
-// weight version than requested.
+// versionObservationTTL is how long an engine is skipped after it was observed or reported to
+// serve an older weight version than requested.
 const versionObservationTTL = time.Second
 
 // LoadReport is the load that an engine reports about itself. It lags behind the actual load.
@@ -60,13 +62,15 @@
 }
 
 const (
-	// failuresToEject is the number of consecutive failures after which an endpoint is ejected.
+	// failuresToEject is the number of consecutive failures after which an endpoint is
+	// ejected.
 	failuresToEject = 3
-	// baseEjectionDuration is the duration of the first ejection. It doubles with each ejection that
-	// follows without a success in between, up to maxEjectionDuration.
+	// baseEjectionDuration is the duration of the first ejection. It doubles with each ejection
+	// that follows without a success in between, up to maxEjectionDuration.
 	baseEjectionDuration = time.Second
 	maxEjectionDuration  = 30 * time.Second
-	// latencySmoothingDivisor divides the difference of a new observation from the moving average.
+	// latencySmoothingDivisor divides the difference of a new observation from the moving
+	// average.
 	latencySmoothingDivisor = 8
 )
 
@@ -89,8 +93,8 @@
 	e.SentSinceReport++
 }
 
-// AttemptSucceeded records an attempt that was answered completely, and its latency. It resets the
-// failure and ejection counts.
+// AttemptSucceeded records an attempt that was answered completely, and its latency. It
+// resets the failure and ejection counts.
 func (e *Endpoint) AttemptSucceeded(latency time.Duration) {
 	e.InFlight--
 	e.consecutiveFailures = 0
@@ -102,11 +106,12 @@
 	e.Latency += (latency - e.Latency) / latencySmoothingDivisor
 }
 
-// AttemptReleased records an attempt whose end says nothing about the endpoint's health, such as
-// one that the caller cancelled.
+// AttemptReleased records an attempt whose end says nothing about the endpoint's health, such
+// as one that the caller cancelled.
 func (e *Endpoint) AttemptReleased() { e.InFlight-- }
 
-// AttemptFailed records a failed attempt and reports whether it caused the endpoint's ejection.
+// AttemptFailed records a failed attempt and reports whether it caused the endpoint's
+// ejection.
 func (e *Endpoint) AttemptFailed(now time.Time) bool {
 	e.InFlight--
 	e.consecutiveFailures++
@@ -119,7 +124,8 @@
 	return true
 }
 
-// RecordVersion records the weight version that the endpoint was observed to generate with.
+// RecordVersion records the weight version of a model that the endpoint was observed to
+// generate with.
 func (e *Endpoint) RecordVersion(model string, version uint64, at time.Time) {
 	if e.observedVersions == nil {
 		e.observedVersions = make(map[string]observedVersion)
--- a/internal/routing/profile.go
+++ b/internal/routing/profile.go
@@ -48,8 +48,8 @@
 // Candidate is an endpoint under consideration.
 type Candidate struct {
 	Endpoint *Endpoint
-	// AffinityRank is the endpoint's position in the order of prefix affinity, or -1 if it has no
-	// affinity.
+	// AffinityRank is the endpoint's position in the order of prefix affinity, or -1 if it
+	// has no affinity.
 	AffinityRank int
 	// Score is the weighted sum of all scorers.
 	Score float64
@@ -98,17 +98,17 @@
 		TwoChoices{})
 }
 
-// hostedSameZoneWeight is the weight of the node's own zone. It only decides between equally
-// loaded endpoints: one request in flight at an endpoint with a capacity of six outweighs
+// platformSameZoneWeight is the weight of the node's own zone in NewPlatformProfile. It only
+// decides between equally loaded endpoints: one request in flight at an endpoint with a capacity of six outweighs
 // it. With a higher weight a burst in one zone fills that zone's endpoints while others are
 // idle.
-const hostedSameZoneWeight = 0.4
+const platformSameZoneWeight = 0.4
 
-// hostedSameRegionWeight is the additional weight of the node's own region. An endpoint with a
-// capacity of six in another region is picked once those of the own region have two more
-// requests of this node. A request then waits for a third of its own service time, which is
+// platformSameRegionWeight is the additional weight of the node's own region in
+// NewPlatformProfile. An endpoint with a capacity of six in another region is picked once
+// those of the own region have two more requests of this node. A request then waits for a third of its own service time, which is
 // about the round-trip time to the other region.
-const hostedSameRegionWeight = 0.6
+const platformSameRegionWeight = 0.6
 
 // NodeLocation is the location of a routing node together with the topology it knows.
 type NodeLocation struct {
@@ -120,16 +120,16 @@
 	Topology locality.Topology
 }
 
-// NewPlatformProfile returns the pipeline for nodes that receive no load reports. It picks the
-// endpoint in the allowed regions with the fewest requests of this node. Between equally
+// NewPlatformProfile returns the pipeline for nodes that receive no load reports. It picks
+// the endpoint in the allowed regions with the fewest requests of this node. Between equally
 // loaded endpoints it prefers the own zone, then the own region, then the node's preference
 // order. That keeps traffic within the zone and the number of connections small.
-func NewPlatformProfile(random *rand.Rand, place NodeLocation) *Profile {
-	region := place.Topology.Region(place.Zone)
-	return NewProfile(random, RendezvousSubset{Place: place},
-		[]Filter{AllowedRegion{place.Topology}, NotLeaving{}, NotEvacuated{}, NotExcluded{}, WithinBudget{}, NotCold{}, NotEjected{}},
+func NewPlatformProfile(random *rand.Rand, location NodeLocation) *Profile {
+	region := location.Topology.Region(location.Zone)
+	return NewProfile(random, RendezvousSubset{Location: location},
+		[]Filter{AllowedRegion{location.Topology}, NotLeaving{}, NotEvacuated{}, NotExcluded{}, WithinBudget{}, NotCold{}, NotEjected{}},
 		[]WeightedScorer{
-			{LeastLoad{}, 3}, {SameZone{}, hostedSameZoneWeight}, {SameRegion{place.Topology, region}, hostedSameRegionWeight},
+			{LeastLoad{}, 3}, {SameZone{}, platformSameZoneWeight}, {SameRegion{location.Topology, region}, platformSameRegionWeight},
 		},
 		BestScore{})
 }
--- a/internal/routing/rendezvous_subset.go
+++ b/internal/routing/rendezvous_subset.go
@@ -8,16 +8,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// RendezvousSubset selects endpoints in a preference order specific to the node: the request's
-// zone first, then the node's region, then the rest, each group ordered by a rendezvous hash
-// of node and endpoint. Endpoints outside the request's allowed regions are omitted.
+// RendezvousSubset selects endpoints in a preference order specific to the node: the
+// request's zone first, then the node's region, then the rest, each group ordered by a
+// rendezvous hash of node and endpoint. Endpoints outside the request's allowed regions are omitted.
 //
 // A node with few requests thus reuses a few endpoints and its connections to them, while
 // the nodes together spread over all endpoints. The subset grows with the node's requests
-// in flight: it ends once it holds maxIdleEndpoints usable endpoints without one.
+// in flight: it ends once it holds maxIdleEndpoints usable endpoints that have none.
 type RendezvousSubset struct {
-	// Place is the location of the routing node.
-	Place NodeLocation
+	// Location is the location of the routing node.
+	Location NodeLocation
 }
 
 // maxIdleEndpoints is the number of usable endpoints without a request of this node that a
@@ -27,8 +27,8 @@
 
 // Select implements SubsetSelector.
 func (s RendezvousSubset) Select(destination []*Endpoint, _ *rand.Rand, pool *endpointPool, request *Request) []*Endpoint {
-	idle, allowed := 0, AllowedRegion{s.Place.Topology}
-	for _, endpoint := range pool.preferenceOrder(s.Place, request.Zone) {
+	idle, allowed := 0, AllowedRegion{s.Location.Topology}
+	for _, endpoint := range pool.preferenceOrder(s.Location, request.Zone) {
 		if !allowed.Keep(request, endpoint) {
 			continue
 		}
@@ -43,17 +43,17 @@
 	return destination
 }
 
-// preferenceOrder returns all endpoints of the pool in the node's preference order for requests
-// from a zone. Orders are cached for the lifetime of the pool, which has a single node as
-// its user, and that node only passes its own zone or none.
-func (p *endpointPool) preferenceOrder(place NodeLocation, zone string) []*Endpoint {
+// preferenceOrder returns all endpoints of the pool in the node's preference order for
+// requests from a zone. Orders are cached for the lifetime of the pool by zone alone: only
+// one node uses a pool, and it passes its own zone or none.
+func (p *endpointPool) preferenceOrder(location NodeLocation, zone string) []*Endpoint {
 	if ordered, ok := p.orderByZone[zone]; ok {
 		return ordered
 	}
 	ranked := make([]rankedEndpoint, 0, len(p.endpoints))
 	for _, endpoint := range p.endpoints {
 		ranked = append(ranked, rankedEndpoint{
-			endpoint: endpoint, distance: place.distance(zone, endpoint), hash: rendezvousHash(place.Node, endpoint.ID),
+			endpoint: endpoint, distance: location.distance(zone, endpoint), hash: rendezvousHash(location.Node, endpoint.ID),
 		})
 	}
 	slices.SortFunc(ranked, rankedEndpoint.compare)
@@ -78,22 +78,23 @@
 	hash     uint64
 }
 
-func (p rankedEndpoint) compare(other rankedEndpoint) int {
-	return cmp.Or(cmp.Compare(p.distance, other.distance), cmp.Compare(other.hash, p.hash), cmp.Compare(p.endpoint.ID, other.endpoint.ID))
+func (r rankedEndpoint) compare(other rankedEndpoint) int {
+	return cmp.Or(cmp.Compare(r.distance, other.distance), cmp.Compare(other.hash, r.hash), cmp.Compare(r.endpoint.ID, other.endpoint.ID))
 }
 
 // distance returns 0 for an endpoint in the given zone, 1 for one in the node's region and 2
 // for any other.
-func (p NodeLocation) distance(zone string, endpoint *Endpoint) int {
+func (l NodeLocation) distance(zone string, endpoint *Endpoint) int {
 	switch {
 	case endpoint.Zone == zone:
 		return 0
-	case p.Topology.Region(endpoint.Zone) == p.Topology.Region(p.Zone):
+	case l.Topology.Region(endpoint.Zone) == l.Topology.Region(l.Zone):
 		return 1
 	}
 	return 2
 }
 
+// rendezvousHash returns the score of an endpoint for a node; the highest is preferred.
 func rendezvousHash(node, endpoint string) uint64 {
 	// The separator occurs in no name, so that "ab"+"c" and "a"+"bc" hash differently.
 	return xxhash.Sum64String(node + "\x00" + endpoint)
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -21,9 +21,10 @@
 	Leaving bool
 	// Capacity is the number of concurrent requests that it accepts; 0 if unknown.
 	Capacity int
-	// StartedAtMs is the start time of its incarnation in Unix milliseconds, 0 if it reports none.
+	// StartedAtMs is the start time of its incarnation in Unix milliseconds, 0 if it reports
+	// none.
 	StartedAtMs int64
-	// ColdRemaining is how much longer the machine expects to be cold.
+	// ColdRemaining is how much longer the machine expects to be cold, 0 if it is warm.
 	ColdRemaining time.Duration
 	// Limits bound the requests that this node may send while the machine is cold.
 	Limits coldlimit.Limits
@@ -55,8 +56,8 @@
 	endpoint *Endpoint
 }
 
-// virtualNodesPerEndpoint is the number of virtual nodes per endpoint on the affinity ring, which
-// even out the shares of the keys.
+// virtualNodesPerEndpoint is the number of virtual nodes per endpoint on the affinity ring,
+// which even out the shares of the keys.
 const virtualNodesPerEndpoint = 16
 
 // NewTable returns an empty table.
@@ -116,8 +117,9 @@
 	return changes
 }
 
-// UpdateColdState applies the cold state in the machine list. An entry without limits leaves those
-// of an earlier list in force until the endpoint is warm. All machines must be in the table.
+// UpdateColdState applies the cold state in the machine list. An entry without limits leaves
+// those of an earlier list in force until the endpoint is warm. All machines must be in the
+// table.
 func (t *Table) UpdateColdState(machines []Machine, now time.Time) {
 	for _, machine := range machines {
 		endpoint := t.byID[machine.ID]
@@ -128,8 +130,9 @@
 	}
 }
 
-// NextColdBudget returns the earliest time at which a cold endpoint that allowed keeps has budget
-// for the request again. cold is false if no endpoint is unavailable for lack of budget.
+// NextColdBudget returns the earliest time at which a cold endpoint that passes the filter
+// allowed has budget for the request again. cold is false if no endpoint is unavailable for
+// lack of budget.
 func (t *Table) NextColdBudget(request *Request, allowed Filter) (at time.Time, cold bool) {
 	for _, endpoint := range t.Pool(request.Pool) {
 		if endpoint.Leaving || endpoint.Evacuated || !allowed.Keep(request, endpoint) || slices.Contains(request.Excluded, endpoint.ID) || endpoint.Warmup.Available(request.Now) > 0 {
@@ -155,8 +158,8 @@
 	return true
 }
 
-// Evacuate sets the zones that are evacuated. Endpoints of restored zones may be cold and are
-// treated so.
+// Evacuate sets the zones that are evacuated. Endpoints of restored zones are treated as
+// possibly cold.
 func (t *Table) Evacuate(zones evacuation.Zones, now time.Time) {
 	t.evacuated = zones
 	for _, endpoint := range t.byID {
