--- a/internal/dispatch/crash_detection.go
+++ b/internal/dispatch/crash_detection.go
@@ -47,7 +47,7 @@
 	case outcome.ending == Answered || outcome.ending == FailedByBackEnd:
 		d.abandoned.backEndAnswered(endpoint.ID, time.Now())
 	case outcome.answerInterrupted():
-		outcome.ended = d.detectCrash(ctx, request, endpoint)
+		outcome.crashed = d.detectCrash(ctx, request, endpoint)
 	case outcome.ending == Lost:
 		d.abandoned.add(endpoint.ID, request.digest(), time.Now())
 	case outcome.ending == NotSent && errors.Is(outcome.err, syscall.ECONNREFUSED), outcome.ending == RefusedByBackEnd && outcome.leaving:
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -39,8 +39,8 @@
 	// regions are the allowed regions of each call of Pick.
 	regions  []locality.Regions
 	inFlight atomic.Int64
-	// roomAgain is the result of NextColdBudget; zero if no endpoint is cold.
-	roomAgain time.Time
+	// nextColdBudget is the result of NextColdBudget; zero if no endpoint is cold.
+	nextColdBudget time.Time
 }
 
 // newBalancer returns a balancer over endpoints b0, b1 and so on at the given addresses.
@@ -64,7 +64,7 @@
 }
 
 func (b *sequentialBalancer) NextColdBudget(*routing.Request) (time.Time, bool) {
-	return b.roomAgain, !b.roomAgain.IsZero()
+	return b.nextColdBudget, !b.nextColdBudget.IsZero()
 }
 
 func (b *sequentialBalancer) Report(*routing.Endpoint, Report) { b.inFlight.Add(-1) }
@@ -246,7 +246,7 @@
 
 func TestRequestToColdBackEndsIsRefusedWithRetryAfter(t *testing.T) {
 	balancer := newBalancer()
-	balancer.roomAgain = time.Now().Add(3 * time.Second)
+	balancer.nextColdBudget = time.Now().Add(3 * time.Second)
 	_, err := do(t, balancer, newTestRequest(true))
 	require.True(t, result.Is(err, result.SamplersCold), "%v", err)
 	require.Equal(t, result.NotRun, result.From(err).Execution())
@@ -286,7 +286,7 @@
 	Message string `json:"msg"`
 	Digest  string `json:"digest"`
 	BackEnd string `json:"back_end"`
-	Ended   bool   `json:"ended"`
+	Crashed bool   `json:"ended"`
 }
 
 // Log lines of failed attempts must show which tries belong to the same request and whether the
@@ -314,7 +314,7 @@
 		}
 	}
 	require.Len(t, attempts, 3)
-	require.Equal(t, []bool{true, false, false}, []bool{attempts[0].Ended, attempts[1].Ended, attempts[2].Ended})
+	require.Equal(t, []bool{true, false, false}, []bool{attempts[0].Crashed, attempts[1].Crashed, attempts[2].Crashed})
 	repeated := newTestRequest(false)
 	repeated.ID = "another try"
 	for _, attempt := range attempts {
@@ -462,11 +462,11 @@
 // since its caller no longer waits.
 func TestRequestThatExpiredDuringSuspensionIsNotSent(t *testing.T) {
 	healthy, runs := startBackEnd(t, echoRequest)
-	slept := time.Duration(0)
-	defer clock.Simulate(func() time.Duration { return slept })()
+	suspended := time.Duration(0)
+	defer clock.Simulate(func() time.Duration { return suspended })()
 	request := newTestRequest(false)
 	request.Received = clock.CurrentMoment()
-	slept = time.Minute
+	suspended = time.Minute
 	_, err := do(t, newBalancer(healthy), request)
 	require.True(t, result.Is(err, result.DeadlineInQueue), "%v", err)
 	require.Equal(t, result.NotRun, result.From(err).Execution())
@@ -608,8 +608,8 @@
 	require.LessOrEqual(t, float64(retries), maxAccumulatedRetries+requests*retriesPerRequest+1)
 }
 
-// failOn500Protocol is NativeProtocol, except that status 500 means that the back end ran the request
-// and failed.
+// failOn500Protocol is NativeProtocol, except that status 500 means that the back end ran the
+// request and failed.
 type failOn500Protocol struct{ NativeProtocol }
 
 func (p failOn500Protocol) Verdict(request *Request, endpoint *routing.Endpoint, requestID string, response *http.Response) Verdict {
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -64,8 +64,8 @@
 	// BeforeRetry is called before every attempt but the first. If it returns an error, no
 	// further attempt is made. It may be nil.
 	BeforeRetry func() error
-	// OnMayHaveRun is called after each attempt whose back end ran the request or may have, with the
-	// time at which the request was sent. It may be nil.
+	// OnMayHaveRun is called after each attempt whose back end ran the request or may have,
+	// with the time at which the request was sent. It may be nil.
 	OnMayHaveRun func(sentAt time.Time)
 
 	// digestOnce guards the cached digest, whose computation hashes the whole body.
@@ -83,16 +83,16 @@
 	return max(remaining, 0)
 }
 
-// permitted returns why no further attempt may be made, or nil if one may.
-func (r *Request) permitted() error {
+// checkRetry calls BeforeRetry, if it is set, and returns its error.
+func (r *Request) checkRetry() error {
 	if r.BeforeRetry == nil {
 		return nil
 	}
 	return r.BeforeRetry()
 }
 
-// notifyBegan calls OnMayHaveRun if the back end ran the request or may have.
-func (r *Request) notifyBegan(outcome *exchangeOutcome) {
+// notifyMayHaveRun calls OnMayHaveRun if the back end ran the request or may have.
+func (r *Request) notifyMayHaveRun(outcome *exchangeOutcome) {
 	mayHaveRun := outcome.ending == Answered || outcome.ending == FailedByBackEnd || outcome.ending == Lost
 	if mayHaveRun && r.OnMayHaveRun != nil {
 		r.OnMayHaveRun(outcome.sentAt)
@@ -104,8 +104,8 @@
 	// Pick returns a back end and counts the attempt as in progress there until Report. It
 	// returns nil if no back end may serve the request.
 	Pick(request *routing.Request) *routing.Endpoint
-	// NextColdBudget returns the earliest time at which a cold back end has budget for the request
-	// again. cold is false if no back end is unavailable for lack of budget.
+	// NextColdBudget returns the earliest time at which a cold back end has budget for the
+	// request again. cold is false if no back end is unavailable for lack of budget.
 	NextColdBudget(request *routing.Request) (at time.Time, cold bool)
 	// Report records how an attempt at a back end ended.
 	Report(endpoint *routing.Endpoint, report Report)
@@ -203,7 +203,7 @@
 		if decision == Stop || !d.spendRetry() || !wait.For(ctx, pause) {
 			return d.giveUp(request, lastRun, refusal, plan.Attempts())
 		}
-		if err := request.permitted(); err != nil {
+		if err := request.checkRetry(); err != nil {
 			return d.giveUp(request, lastRun, err, plan.Attempts())
 		}
 	}
@@ -251,14 +251,15 @@
 		detail = "status " + strconv.Itoa(outcome.answer.Status)
 	}
 	d.logger.Log(event.AttemptFailed, "request_id", request.ID, "digest", request.digest().String(),
-		"back_end", failed.endpoint.ID, "attempt", attempt, "ending", outcome.ending.String(), "ended", outcome.ended, "took_ms", failed.duration.Milliseconds(), "deadline_ms", request.Remaining().Milliseconds(), "detail", detail)
+		"back_end", failed.endpoint.ID, "attempt", attempt, "ending", outcome.ending.String(), "ended", outcome.crashed, "took_ms", failed.duration.Milliseconds(), "deadline_ms", request.Remaining().Milliseconds(), "detail", detail)
 }
 
 // evacuationRetryAfter is the retry-after hint for a pool whose zones are all evacuated.
 // Evacuations last from seconds to hours, and more frequent retries cost more than they gain.
 const evacuationRetryAfter = 5 * time.Second
 
-// noBackEndError returns an error that says why no back end may serve a request and when to retry.
+// noBackEndError returns an error that says why no back end may serve a request and when to
+// retry.
 func (d *Dispatcher) noBackEndError(route *routing.Request) error {
 	if d.balancer.PoolEvacuated(route.Pool) {
 		return result.New(result.ZoneEvacuated, "the zones of all back ends in pool %q are evacuated", route.Pool).WithRetryAfter(evacuationRetryAfter)
@@ -339,8 +340,8 @@
 	return context.WithTimeout(ctx, request.AttemptTimeout)
 }
 
-// isHopByHopHeader reports whether a header, in canonical form, applies to a single connection and
-// must not be forwarded.
+// isHopByHopHeader reports whether a header, in canonical form, applies to a single connection
+// and must not be forwarded.
 func isHopByHopHeader(name string) bool {
 	switch name {
 	case "Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
--- a/internal/dispatch/doc.go
+++ b/internal/dispatch/doc.go
@@ -2,8 +2,8 @@
 // answers.
 //
 // A Dispatcher picks a back end, sends the request once per attempt and classifies how the
-// attempt ended: answered, provably not run, or unknown. From that RetryPlan, which performs
-// no I/O, decides whether another attempt is allowed. A request marked at-most-once is sent
+// attempt ended: answered, failed, provably not run, or unknown. RetryPlan, which performs no
+// I/O, decides from that whether another attempt is allowed. A request marked at-most-once is sent
 // again only if no byte of it was sent to a back end or the back end reported that it did
 // not run it.
 //
--- a/internal/dispatch/exchange.go
+++ b/internal/dispatch/exchange.go
@@ -57,15 +57,15 @@
 // Close closes idle connections.
 func (e *Exchanger) Close() { e.transport.CloseIdleConnections() }
 
-// crashProbeTimeout is the timeout of the probe whether a back end still listens. It is longer
+// crashProbeTimeout is the timeout of a probe that checks whether a back end still listens. It is longer
 // than a TCP handshake between regions and short compared with the latency objective of a
 // request.
 const crashProbeTimeout = 250 * time.Millisecond
 
-// ProbeStopped probes whether a back end has stopped listening at its address: its machine
-// refuses the connection. A back end that only dropped an answer accepts it. False is also
-// returned for a back end that restarted within a round-trip time and for a machine that does
-// not respond.
+// ProbeStopped reports whether a back end has stopped listening at its address, so that its
+// machine refuses a connection. A back end that only dropped an answer accepts it. False is
+// also returned for a back end that restarted within a round-trip time and for a machine that
+// does not respond.
 func (e *Exchanger) ProbeStopped(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), crashProbeTimeout)
 	defer cancel()
@@ -176,8 +176,8 @@
 	bodyRead bool
 	// leaving is set if the back end announced that it accepts no new work.
 	leaving bool
-	// ended is set if the back end was found to have crashed during the request.
-	ended bool
+	// crashed is set if the back end was found to have crashed during the request.
+	crashed bool
 	// answer is set if ending is Answered or FailedByBackEnd.
 	answer *Answer
 	// sentAt is when the request was completely written, or when the exchange started if that
--- a/internal/dispatch/hedge.go
+++ b/internal/dispatch/hedge.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// pickHedge returns a back end for a hedged attempt. It returns nil if there is none, the node's
-// retry budget is exhausted, the caller is no longer permitted, or the request is suspected
+// pickHedge returns a back end for a hedged attempt. It returns nil if there is none, the
+// node's retry budget is exhausted, BeforeRetry returns an error, or the request is suspected
 // of crashing a back end.
 func (d *Dispatcher) pickHedge(request *Request, route *routing.Request, first *routing.Endpoint) *routing.Endpoint {
 	hedgeRoute := *route
@@ -77,7 +77,7 @@
 	if endpoint == nil {
 		return nil
 	}
-	if request.permitted() != nil || d.guard.Suspected(request.digest) || !d.spendRetry() {
+	if request.checkRetry() != nil || d.guard.Suspected(request.digest) || !d.spendRetry() {
 		d.balancer.Report(endpoint, Report{Ending: NotSent, HealthUnknown: true})
 		return nil
 	}
@@ -108,6 +108,6 @@
 func (d *Dispatcher) timedAttempt(ctx context.Context, request *Request, endpoint *routing.Endpoint, last bool) finishedAttempt {
 	started := time.Now()
 	outcome := d.attempt(ctx, request, endpoint, last)
-	request.notifyBegan(&outcome)
+	request.notifyMayHaveRun(&outcome)
 	return finishedAttempt{endpoint: endpoint, outcome: outcome, duration: time.Since(started)}
 }
--- a/internal/dispatch/retry_plan.go
+++ b/internal/dispatch/retry_plan.go
@@ -85,8 +85,8 @@
 // Attempts returns the number of attempts that have ended.
 func (p *RetryPlan) Attempts() int { return p.attempts }
 
-// RetryBudget limits the retries of all requests of a node with a token bucket: each request adds
-// a fraction of a retry, so that an outage of the back ends cannot multiply the load on
+// RetryBudget limits the retries of all requests of a node with a token bucket: each request
+// adds a fraction of a retry, so that an outage of the back ends cannot multiply the load on
 // them. It is not safe for concurrent use.
 type RetryBudget struct {
 	tokens float64
@@ -114,10 +114,11 @@
 	return true
 }
 
-// minRetryAfter is the minimum retry-after hint of refusals that depend on the state of back ends.
+// minRetryAfter is the minimum retry-after hint of refusals that depend on the state of back
+// ends.
 const minRetryAfter = 250 * time.Millisecond
 
-// notRunError returns the caller's error for a request of which no attempt ran. It carries a
+// notRunError returns the caller's error for a request that no back end ran. It carries a
 // retry-after hint unless the caller's key was revoked.
 func notRunError(last error) error {
 	typed := result.From(last)
