--- a/internal/election/candidate.go
+++ b/internal/election/candidate.go
@@ -13,7 +13,7 @@
 // records takes two round trips to the log. A running executor is not replaced by a node
 // nearer to the log service.
 //
-// The package is pure: callers supply what they have read from the log and the group.
+// The package does no I/O: callers supply what they have read from the log and the group.
 package election
 
 // View is what a node knows when it decides. Capacities are in thousandths of a core, or 0
@@ -27,7 +27,7 @@
 	FarFromLog bool
 	// Standby is set if other nodes are better prepared to execute: this node then joins
 	// only under the conditions of a small one. NotReady is set while this node could not
-	// execute: it does not join.
+	// execute: it does not join then.
 	Standby  bool
 	NotReady bool
 }
@@ -42,7 +42,7 @@
 }
 
 // IsLarge reports whether a node of this capacity is about as large as the largest: more
-// than half of its capacity. Nodes of unknown capacity count as regular.
+// than half of its capacity. Nodes of unknown capacity count as large.
 func (v View) IsLarge(millicores uint64) bool {
 	return millicores == 0 || 2*millicores > v.Largest
 }
@@ -59,7 +59,7 @@
 )
 
 // requiredObservations returns the number of consecutive observations without an executor
-// after which a node joins.
+// after which a node joins. A preferred node is large and not a standby.
 func (v View) requiredObservations(preferred bool) int {
 	required := 1
 	if !preferred {
@@ -74,16 +74,18 @@
 // Candidate is the state of one node in the election. The zero value is not a member of the
 // group.
 type Candidate struct {
-	joined             bool
+	joined bool
+	// vacantObservations counts the consecutive observations in which this node neither
+	// executed nor deferred to an owner.
 	vacantObservations int
 }
 
 // Joined reports whether the node should be a member of the group.
-func (s *Candidate) Joined() bool { return s.joined }
+func (c *Candidate) Joined() bool { return c.joined }
 
 // Observe updates the state with an observation of the owners by a node of this capacity. It
 // must not be called if the owners could not be read.
-func (s *Candidate) Observe(view View, millicores uint64) {
+func (c *Candidate) Observe(view View, millicores uint64) {
 	preferred := view.IsLarge(millicores) && !view.Standby
 	executes := false
 	for _, owner := range view.Owners {
@@ -92,30 +94,30 @@
 			continue
 		}
 		if view.defersTo(preferred, owner) {
-			s.joined, s.vacantObservations = false, 0
+			c.joined, c.vacantObservations = false, 0
 			return
 		}
 	}
 	if executes {
 		// A partition that this node owned before its process restarted still belongs to
 		// it.
-		s.joined, s.vacantObservations = true, 0
+		c.joined, c.vacantObservations = true, 0
 		return
 	}
-	s.vacantObservations++
-	if s.ShouldJoin(view, millicores) && !view.NotReady {
-		s.joined = true
+	c.vacantObservations++
+	if c.ShouldJoin(view, millicores) && !view.NotReady {
+		c.joined = true
 	}
 }
 
 // ShouldJoin reports whether the node has made enough consecutive observations without an
 // executor to join, whether or not it is ready to.
-func (s *Candidate) ShouldJoin(view View, millicores uint64) bool {
-	return s.vacantObservations >= view.requiredObservations(view.IsLarge(millicores) && !view.Standby)
+func (c *Candidate) ShouldJoin(view View, millicores uint64) bool {
+	return c.vacantObservations >= view.requiredObservations(view.IsLarge(millicores) && !view.Standby)
 }
 
 // defersTo reports whether a node leaves the jobs to another owner. A preferred node defers
-// only to a regular executor. Any other node defers to every executor, and to every regular
+// only to a large executor. Any other node defers to every executor, and to every large
 // owner.
 func (v View) defersTo(preferred bool, owner Owner) bool {
 	if preferred {
--- a/internal/election/candidate_test.go
+++ b/internal/election/candidate_test.go
@@ -13,7 +13,7 @@
 
 func newView(owners ...Owner) View { return View{Largest: large, Owners: owners} }
 
-func TestNodesAboveHalfTheLargestCapacityAreRegular(t *testing.T) {
+func TestNodesAboveHalfTheLargestCapacityAreLarge(t *testing.T) {
 	view := View{Largest: large}
 	require.True(t, view.IsLarge(large))
 	require.True(t, view.IsLarge(401))
