--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -1,8 +1,8 @@
 // Package membership maintains each node's view of the other nodes with a gossip protocol.
 //
-// StateMachine is a pure state machine without goroutines, sockets or clocks. The driver calls
-// Tick at every interval and sends the heartbeats it returns. It passes in heartbeats,
-// acknowledgements and misses along with the time of each.
+// StateMachine uses no goroutines, sockets or clocks. The driver calls Tick at every interval
+// and sends the heartbeats it returns. It passes in heartbeats, acknowledgements and misses
+// along with the time of each.
 //
 // Every node monitors a few successors on a hash ring of all live nodes and is monitored by
 // as many, so the cost per node does not grow with the cluster. Updates about members
--- a/internal/membership/machine.go
+++ b/internal/membership/machine.go
@@ -19,8 +19,8 @@
 	// transmitFactor times log2 of the cluster size is how often each node transmits an
 	// update.
 	transmitFactor = 3
-	// pauseFactor is the number of intervals without a tick after which this node counts as
-	// having been paused.
+	// pauseFactor is the number of intervals without a tick after which this node considers
+	// itself to have been paused.
 	pauseFactor = 2
 	// maxSeedProbes limits the probes to unknown addresses per tick.
 	maxSeedProbes = 3
@@ -35,7 +35,8 @@
 	since time.Time
 	// misses counts consecutive unanswered heartbeats.
 	misses int
-	// divergedSince is when this member's digest began to differ from ours, or zero.
+	// divergedSince is when this member's digest began to differ from that of this node, or
+	// zero.
 	divergedSince time.Time
 }
 
@@ -359,8 +360,8 @@
 	}
 }
 
-// diverged reports whether the sender's table has differed from ours for divergenceTimeout,
-// and if so restarts the timeout.
+// diverged reports whether the sender's table has differed from that of this node for
+// divergenceTimeout, and if so restarts the timeout.
 func (m *StateMachine) diverged(now time.Time, heartbeat Heartbeat) bool {
 	entry, ok := m.members[heartbeat.From]
 	if !ok || heartbeat.Digest == m.tableDigest() {
@@ -428,10 +429,10 @@
 func (m *StateMachine) store(update Member, now time.Time) {
 	m.changeCount++
 	entry, ok := m.members[update.ID]
-	var former Status
+	var previous Status
 	if ok {
-		former = entry.member.Status
-		if former == update.Status {
+		previous = entry.member.Status
+		if previous == update.Status {
 			entry.member = update
 		} else {
 			*entry = memberEntry{member: update, since: now}
@@ -448,12 +449,12 @@
 	}
 	m.hasUnsent = true
 	m.digestValid = false
-	if !ok || (former == Dead) != (update.Status == Dead) {
+	if !ok || (previous == Dead) != (update.Status == Dead) {
 		m.ringStale = true
 		m.seedsStale = true
 	}
-	if former != update.Status && update.ID != m.self.ID {
-		m.changes = append(m.changes, Change{Member: update, Previous: former})
+	if previous != update.Status && update.ID != m.self.ID {
+		m.changes = append(m.changes, Change{Member: update, Previous: previous})
 	}
 }
 
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -93,8 +93,9 @@
 	TombstoneTimeout time.Duration
 }
 
-// DefaultSettings returns settings that detect a dead node within 0.5 + 2·0.5 + 1 s, plus
-// the time that gossip takes.
+// DefaultSettings returns settings that detect a dead node within 0.5 + 2·0.5 + 1 s (one
+// interval, one for each of MissLimit misses, and SuspicionTimeout), plus the time that
+// gossip takes.
 func DefaultSettings() Settings {
 	return Settings{
 		Interval:         500 * time.Millisecond,
