--- a/internal/shard/table.go
+++ b/internal/shard/table.go
@@ -36,7 +36,8 @@
 type Group struct {
 	// Generation is the roster epoch at which the group was formed.
 	Generation uint64
-	// Members are node ids, highest score first.
+	// Members are node ids: the best member of each zone by descending score, followed by
+	// further ones by descending score if there are fewer zones than Replicas.
 	Members []string
 	// Former are the members of the generation before; nil for the first.
 	Former []string
