--- a/internal/ledger/claims.go
+++ b/internal/ledger/claims.go
@@ -7,8 +7,8 @@
 	pathbendv1 "github.com/pathbend/pathbend/api/pathbend/v1"
 )
 
-// Claim announces a call of a kind that only one node at a time may make. The holder writes
-// it to the log before it makes the call.
+// Claim announces a call that only one node at a time may make for a subject. The holder
+// writes it to the log before it makes the call.
 type Claim struct {
 	Holder string
 	// FencingToken is the fencing token of the claim; a later holder's token is higher.
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -115,8 +115,8 @@
 	ResultsAdded
 	// ProgressSaved means that progress of a job's items was read.
 	ProgressSaved
-	// RequestSuspected reports a request during which back ends crashed; the ledger does not store
-	// it.
+	// RequestSuspected reports a request during which back ends crashed; the ledger does not
+	// store it.
 	RequestSuspected
 )
 
@@ -274,8 +274,8 @@
 	return saved, ok
 }
 
-// FinishedResult returns the result of an item with a finished text, whichever job it belongs to,
-// and false if there is none.
+// FinishedResult returns the result of an item with a finished text, whichever job it belongs
+// to, and false if there is none.
 func (l *Ledger) FinishedResult(itemID string) (Result, bool) {
 	finished, ok := l.finished[itemID]
 	return finished, ok
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -111,14 +111,14 @@
 	apply(t, l, progressEntry("j", part(1, 0, 11)))
 	apply(t, l, progressEntry("j", part(7, 0, 21))) // another executor starts a new run
 	apply(t, l, progressEntry("j", part(2, 1, 12))) // the previous executor continues its run
-	kept, ok := l.Progress("a")
+	saved, ok := l.Progress("a")
 	require.True(t, ok)
-	require.Equal(t, []uint64{21}, offsets(kept.Parts))
+	require.Equal(t, []uint64{21}, offsets(saved.Parts))
 	apply(t, l, progressEntry("j", part(8, 7, 22)))
-	kept, _ = l.Progress("a")
-	require.Equal(t, []uint64{21, 22}, offsets(kept.Parts))
-	require.EqualValues(t, 2, kept.Events)
-	require.EqualValues(t, 8, kept.ID)
+	saved, _ = l.Progress("a")
+	require.Equal(t, []uint64{21, 22}, offsets(saved.Parts))
+	require.EqualValues(t, 2, saved.Events)
+	require.EqualValues(t, 8, saved.ID)
 	apply(t, l, resultsEntry("j", &pathbendv1.BatchResult{ItemId: "a"}))
 	_, ok = l.Progress("a")
 	require.False(t, ok)
@@ -192,11 +192,11 @@
 		if first.Job("j") == nil {
 			continue
 		}
-		for position, listed := range first.Job("j").Results {
+		for position, itemResult := range first.Job("j").Results {
 			if offset, known := offsetAt[position]; known {
-				require.Equal(t, offset, listed.Text.Offset)
+				require.Equal(t, offset, itemResult.Text.Offset)
 			}
-			offsetAt[position] = listed.Text.Offset
+			offsetAt[position] = itemResult.Text.Offset
 		}
 	}
 	for _, record := range log {
@@ -204,9 +204,9 @@
 		require.NoError(t, err)
 	}
 	require.Len(t, second.Job("j").Results, len(first.Job("j").Results))
-	for position, listed := range second.Job("j").Results {
-		require.Equal(t, first.Job("j").Results[position].ItemID, listed.ItemID)
-		require.Equal(t, offsetAt[position], listed.Text.Offset)
+	for position, itemResult := range second.Job("j").Results {
+		require.Equal(t, first.Job("j").Results[position].ItemID, itemResult.ItemID)
+		require.Equal(t, offsetAt[position], itemResult.Text.Offset)
 	}
 }
 
@@ -227,9 +227,9 @@
 	_, known := l.LastClaim("s", "a")
 	require.False(t, known)
 	require.Zero(t, l.LastClaimByOthersReadAt("s", "a"))
-	for fence, holder := range []string{"a", "b", "a"} {
+	for token, holder := range []string{"a", "b", "a"} {
 		apply(t, l, &pathbendv1.LedgerEntry{Fact: &pathbendv1.LedgerEntry_Claimed{
-			Claimed: &pathbendv1.Claim{Subject: "s", Holder: holder, Fence: uint64(fence), Serial: uint64(10 + fence)},
+			Claimed: &pathbendv1.Claim{Subject: "s", Holder: holder, Fence: uint64(token), Serial: uint64(10 + token)},
 		}})
 	}
 	last, known := l.LastClaim("s", "a")
