--- a/internal/ownership/doc.go
+++ b/internal/ownership/doc.go
@@ -6,6 +6,7 @@
 // leaves the group as package election decides, and renews and releases the assignment;
 // other goroutines read the state under a mutex. Inputs are the group, the capacities that
 // nodes announced, and whether this node is prepared to execute jobs. The package calls the
-// group and the callback that hands over running work. Code that executes jobs or sends
-// orders to samplers calls ShouldExecute or OrderFencingToken before each step.
+// group and the callbacks that save the state of running work and report changes. Code that
+// executes jobs or sends orders to samplers calls ShouldExecute or OrderFencingToken before
+// each step.
 package ownership
--- a/internal/ownership/holder.go
+++ b/internal/ownership/holder.go
@@ -93,8 +93,8 @@
 // Group assigns the partitions to its members.
 type Group interface {
 	sharedlog.Group
-	// ExtraLatency returns how much longer the group's responses take than those of a service in
-	// the same data center.
+	// ExtraLatency returns how much longer the group's responses take than those of a service
+	// in the same data center.
 	ExtraLatency() time.Duration
 	// RoundTripTime returns the round-trip time to the group.
 	RoundTripTime() time.Duration
@@ -115,10 +115,10 @@
 	settings   Settings
 	group      Group
 	capacities Capacities
-	// candidacy tells whether this node is prepared to execute. It is nil if all nodes are.
-	candidacy Preparation
-	callbacks Callbacks
-	logger    *event.Logger
+	// preparation tells whether this node is prepared to execute. It is nil if all nodes are.
+	preparation Preparation
+	callbacks   Callbacks
+	logger      *event.Logger
 
 	candidate election.Candidate
 	// nextObserveAt is the time of the next observation of the owners.
@@ -135,29 +135,29 @@
 	left bool
 }
 
-// New returns a holder without partitions. candidacy is nil if all nodes are prepared to
+// New returns a holder without partitions. preparation is nil if all nodes are prepared to
 // execute.
-func New(settings Settings, group Group, announced Capacities, candidacy Preparation, callbacks Callbacks, logger *event.Logger) *Holder {
+func New(settings Settings, group Group, capacities Capacities, preparation Preparation, callbacks Callbacks, logger *event.Logger) *Holder {
 	return &Holder{
-		settings: settings, group: group, capacities: announced, candidacy: candidacy, callbacks: callbacks, logger: logger,
+		settings: settings, group: group, capacities: capacities, preparation: preparation, callbacks: callbacks, logger: logger,
 		held: make(map[int]struct{}),
 	}
 }
 
 // Run participates in the group until ctx ends or the node leaves it.
-func (o *Holder) Run(ctx context.Context) {
-	for ctx.Err() == nil && !o.hasLeft() {
+func (h *Holder) Run(ctx context.Context) {
+	for ctx.Err() == nil && !h.hasLeft() {
 		began := time.Now()
-		if !o.reconcileMembership(ctx, began) {
-			wait.Until(ctx, o.nextObserveAt)
+		if !h.reconcileMembership(ctx, began) {
+			wait.Until(ctx, h.nextObserveAt)
 			continue
 		}
-		next := began.Add(o.settings.TTL / renewalsPerTTL)
-		if o.renew(ctx) {
+		next := began.Add(h.settings.TTL / renewalsPerTTL)
+		if h.renew(ctx) {
 			// The group reassigns a partition only after its holder has confirmed the
 			// new generation.
 			next = began.Add(confirmDelay)
-		} else if !o.hasValidAssignment(o.settings.Partition, began) {
+		} else if !h.hasValidAssignment(h.settings.Partition, began) {
 			next = began.Add(assignmentPollInterval)
 		}
 		wait.Until(ctx, next)
@@ -166,75 +166,75 @@
 
 // reconcileMembership reports whether this node is to be a member of the group, and leaves
 // the group if it no longer is.
-func (o *Holder) reconcileMembership(ctx context.Context, now time.Time) bool {
-	announced, ok := o.capacities.Announced()
+func (h *Holder) reconcileMembership(ctx context.Context, now time.Time) bool {
+	announced, ok := h.capacities.Announced()
 	if !ok {
-		o.nextObserveAt = now.Add(capacityPollInterval)
+		h.nextObserveAt = now.Add(capacityPollInterval)
 		return false
 	}
 	view := election.View{Largest: announced.Largest}
 	candidates := announced.NodeCount
-	if o.candidacy != nil {
-		isCandidate, count := o.candidacy.IsCandidate()
+	if h.preparation != nil {
+		isCandidate, count := h.preparation.IsCandidate()
 		if view.Standby = !isCandidate; isCandidate {
 			candidates = count
 		}
-		view.NotReady = !o.candidacy.Ready()
+		view.NotReady = !h.preparation.Ready()
 	}
-	large := view.IsLarge(o.settings.Millicores) && !view.Standby
-	stale := o.candidate.Joined() && !o.renewedWithin(o.settings.TTL, now)
-	if !stale && (now.Before(o.nextObserveAt) || large && o.hasValidAssignment(o.settings.Partition, now)) {
-		return o.candidate.Joined()
+	large := view.IsLarge(h.settings.Millicores) && !view.Standby
+	stale := h.candidate.Joined() && !h.renewedWithin(h.settings.TTL, now)
+	if !stale && (now.Before(h.nextObserveAt) || large && h.hasValidAssignment(h.settings.Partition, now)) {
+		return h.candidate.Joined()
 	}
-	o.nextObserveAt = now.Add(withJitter(observeInterval(candidates, large)))
-	callCtx, cancel := context.WithTimeout(ctx, renewTimeout+o.group.ExtraLatency())
+	h.nextObserveAt = now.Add(withJitter(observeInterval(candidates, large)))
+	callCtx, cancel := context.WithTimeout(ctx, renewTimeout+h.group.ExtraLatency())
 	defer cancel()
-	owners, err := o.group.Owners(callCtx, o.settings.Group)
+	owners, err := h.group.Owners(callCtx, h.settings.Group)
 	if err != nil {
-		return o.candidate.Joined() && !stale
+		return h.candidate.Joined() && !stale
 	}
-	before := o.candidate.Joined()
-	view.Owners, view.FarFromLog = o.electionOwners(owners, announced), o.group.RoundTripTime() > farRoundTrip
-	o.candidate.Observe(view, o.settings.Millicores)
-	o.prepare(view)
-	if joined := o.candidate.Joined(); joined != before {
-		o.logger.Log(event.StandingChanged, "joins", joined, "millicores", o.settings.Millicores, "largest", view.Largest,
+	before := h.candidate.Joined()
+	view.Owners, view.FarFromLog = h.electionOwners(owners, announced), h.group.RoundTripTime() > farRoundTrip
+	h.candidate.Observe(view, h.settings.Millicores)
+	h.prepare(view)
+	if joined := h.candidate.Joined(); joined != before {
+		h.logger.Log(event.StandingChanged, "joins", joined, "millicores", h.settings.Millicores, "largest", view.Largest,
 			"owners", len(owners))
 		if !joined {
-			o.withdraw(ctx)
+			h.withdraw(ctx)
 		}
 	}
-	return o.candidate.Joined()
+	return h.candidate.Joined()
 }
 
-// prepare makes the node load or release the data that it needs to execute, depending on
-// its candidacy.
-func (o *Holder) prepare(view election.View) {
+// prepare makes the node load the data that it needs to execute, if it is or should become a
+// member of the group, and release that data otherwise.
+func (h *Holder) prepare(view election.View) {
 	switch {
-	case o.candidacy == nil:
-	case o.candidate.Joined() || o.candidate.ShouldJoin(view, o.settings.Millicores):
-		o.candidacy.Prepare()
+	case h.preparation == nil:
+	case h.candidate.Joined() || h.candidate.ShouldJoin(view, h.settings.Millicores):
+		h.preparation.Prepare()
 	default:
-		o.candidacy.Release()
+		h.preparation.Release()
 	}
 }
 
 // renewedWithin reports whether the assignment was renewed within a period. A node whose
 // assignment has expired observes the current owners before it joins the group again,
 // because joining alone makes the service rebalance the group.
-func (o *Holder) renewedWithin(limit time.Duration, now time.Time) bool {
-	o.mutex.Lock()
-	defer o.mutex.Unlock()
-	return o.renewedAt.AgeAt(now) < limit
+func (h *Holder) renewedWithin(limit time.Duration, now time.Time) bool {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	return h.renewedAt.AgeAt(now) < limit
 }
 
 // hasValidAssignment reports whether this node holds a partition and its assignment has not
 // expired.
-func (o *Holder) hasValidAssignment(partition int, now time.Time) bool {
-	o.mutex.Lock()
-	defer o.mutex.Unlock()
-	_, held := o.held[partition]
-	return held && o.renewedAt.AgeAt(now) < o.settings.TTL
+func (h *Holder) hasValidAssignment(partition int, now time.Time) bool {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	_, held := h.held[partition]
+	return held && h.renewedAt.AgeAt(now) < h.settings.TTL
 }
 
 const (
@@ -269,61 +269,61 @@
 }
 
 // electionOwners converts the owners of the topic's partitions to those of an election.
-func (o *Holder) electionOwners(owners []sharedlog.Owner, announced NodeCapacities) []election.Owner {
+func (h *Holder) electionOwners(owners []sharedlog.Owner, announced NodeCapacities) []election.Owner {
 	var converted []election.Owner
 	for _, owner := range owners {
-		if owner.Partition.Topic != o.settings.Topic {
+		if owner.Partition.Topic != h.settings.Topic {
 			continue
 		}
 		converted = append(converted, election.Owner{
-			Millicores: announced.CapacityOf(owner.Member), Self: owner.Member == o.settings.Member,
-			OwnsJobs: owner.Partition.Number == o.settings.Partition,
+			Millicores: announced.CapacityOf(owner.Member), Self: owner.Member == h.settings.Member,
+			OwnsJobs: owner.Partition.Number == h.settings.Partition,
 		})
 	}
 	return converted
 }
 
 // withdraw leaves the group until the election makes the node a member again.
-func (o *Holder) withdraw(ctx context.Context) {
-	o.mutex.Lock()
-	o.held = make(map[int]struct{})
-	o.generation = 0
-	o.mutex.Unlock()
-	o.releaseAssignment(ctx)
+func (h *Holder) withdraw(ctx context.Context) {
+	h.mutex.Lock()
+	h.held = make(map[int]struct{})
+	h.generation = 0
+	h.mutex.Unlock()
+	h.releaseAssignment(ctx)
 }
 
-func (o *Holder) hasLeft() bool {
-	o.mutex.Lock()
-	defer o.mutex.Unlock()
-	return o.left
+func (h *Holder) hasLeft() bool {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	return h.left
 }
 
 // renew renews the assignment once. It reports whether the generation changed and needs to
 // be confirmed.
-func (o *Holder) renew(ctx context.Context) (changed bool) {
-	callCtx, cancel := context.WithTimeout(ctx, renewTimeout+o.group.ExtraLatency())
+func (h *Holder) renew(ctx context.Context) (changed bool) {
+	callCtx, cancel := context.WithTimeout(ctx, renewTimeout+h.group.ExtraLatency())
 	defer cancel()
-	o.mutex.Lock()
-	generation := o.generation
-	o.mutex.Unlock()
-	response, err := o.join(callCtx, generation)
-	o.mutex.Lock()
-	defer o.mutex.Unlock()
-	if o.left || ctx.Err() != nil {
+	h.mutex.Lock()
+	generation := h.generation
+	h.mutex.Unlock()
+	response, err := h.join(callCtx, generation)
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	if h.left || ctx.Err() != nil {
 		return false
 	}
 	if err != nil {
-		if !o.contactLost {
-			o.logger.Log(event.GroupContactLost, "generation", o.generation, "detail", err.Error())
+		if !h.contactLost {
+			h.logger.Log(event.GroupContactLost, "generation", h.generation, "detail", err.Error())
 		}
-		o.contactLost = true
+		h.contactLost = true
 		return false
 	}
-	if o.contactLost {
-		o.logger.Log(event.GroupContactRegained, "generation", response.assignment.Generation, "after_ms", (o.renewedAt.Age() - response.sentAt.Age()).Milliseconds())
+	if h.contactLost {
+		h.logger.Log(event.GroupContactRegained, "generation", response.assignment.Generation, "after_ms", (h.renewedAt.Age() - response.sentAt.Age()).Milliseconds())
 	}
-	o.contactLost = false
-	o.ApplyAssignment(response.assignment, response.sentAt)
+	h.contactLost = false
+	h.ApplyAssignment(response.assignment, response.sentAt)
 	return response.assignment.Generation != generation
 }
 
@@ -335,94 +335,94 @@
 }
 
 // join makes the calls of one renewal, and hedges calls without a response.
-func (o *Holder) join(ctx context.Context, generation uint64) (joinResponse, error) {
-	hedging := hedge.Policy{MaxCalls: maxConcurrentRenewals, Delay: func() time.Duration { return renewHedgeDelay + o.group.ExtraLatency() }}
+func (h *Holder) join(ctx context.Context, generation uint64) (joinResponse, error) {
+	hedging := hedge.Policy{MaxCalls: maxConcurrentRenewals, Delay: func() time.Duration { return renewHedgeDelay + h.group.ExtraLatency() }}
 	return hedge.First(ctx, hedging, func(int) (joinResponse, error) {
 		sentAt := clock.CurrentMoment()
-		assignment, err := o.group.Join(ctx, o.settings.Group, o.settings.Member, o.settings.Topic, o.settings.TTL, generation)
+		assignment, err := h.group.Join(ctx, h.settings.Group, h.settings.Member, h.settings.Topic, h.settings.TTL, generation)
 		return joinResponse{assignment: assignment, sentAt: sentAt}, err
 	})
 }
 
-// ApplyAssignment applies an assignment whose request was sent at a given time. It does not lock: Run
-// calls it with o.mutex held.
-func (o *Holder) ApplyAssignment(assignment sharedlog.Assignment, sentAt clock.Moment) {
+// ApplyAssignment applies an assignment whose request was sent at a given time. It does not
+// lock: Run calls it with h.mutex held.
+func (h *Holder) ApplyAssignment(assignment sharedlog.Assignment, sentAt clock.Moment) {
 	held := make(map[int]struct{}, len(assignment.Partitions))
 	for _, partition := range assignment.Partitions {
 		held[partition.Number] = struct{}{}
 	}
-	if assignment.Generation != o.generation {
-		o.logger.Log(event.GroupShareChanged, "generation", assignment.Generation, "from", o.generation, "partitions", len(held))
+	if assignment.Generation != h.generation {
+		h.logger.Log(event.GroupShareChanged, "generation", assignment.Generation, "from", h.generation, "partitions", len(held))
 	}
-	changed := !maps.Equal(held, o.held)
-	o.generation, o.held, o.renewedAt = assignment.Generation, held, sentAt
+	changed := !maps.Equal(held, h.held)
+	h.generation, h.held, h.renewedAt = assignment.Generation, held, sentAt
 	if changed {
-		o.callbacks.OnChange()
+		h.callbacks.OnChange()
 	}
 }
 
-// ShouldExecute reports whether this node is to execute the jobs of a partition. It remains true
-// for isolationTimeout after the last renewal.
-func (o *Holder) ShouldExecute(partition int, now time.Time) bool {
-	o.mutex.Lock()
-	defer o.mutex.Unlock()
-	_, held := o.held[partition]
-	return held && !o.left && o.renewedAt.AgeAt(now) < isolationTimeout
+// ShouldExecute reports whether this node is to execute the jobs of a partition. It remains
+// true for isolationTimeout after the last renewal.
+func (h *Holder) ShouldExecute(partition int, now time.Time) bool {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	_, held := h.held[partition]
+	return held && !h.left && h.renewedAt.AgeAt(now) < isolationTimeout
 }
 
-// AssignmentExpired reports whether this node still holds its partition although the assignment
-// expired, so that another node may hold it already.
-func (o *Holder) AssignmentExpired(now time.Time) bool {
-	o.mutex.Lock()
-	defer o.mutex.Unlock()
-	_, held := o.held[o.settings.Partition]
-	return held && o.renewedAt.AgeAt(now) > o.settings.TTL+OrderMargin
+// AssignmentExpired reports whether this node still holds its partition although the
+// assignment expired, so that another node may hold it already.
+func (h *Holder) AssignmentExpired(now time.Time) bool {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	_, held := h.held[h.settings.Partition]
+	return held && h.renewedAt.AgeAt(now) > h.settings.TTL+OrderMargin
 }
 
-// Relinquish drops the assignment without contacting the group. It is called when the node has
-// learned from another source that another node executes.
-func (o *Holder) Relinquish() {
-	o.mutex.Lock()
-	defer o.mutex.Unlock()
-	o.held = make(map[int]struct{})
+// Relinquish drops the assignment without contacting the group. It is called when the node
+// has learned from another source that another node executes the jobs.
+func (h *Holder) Relinquish() {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	h.held = make(map[int]struct{})
 }
 
-// OrderFencingToken returns the fencing token for orders, and whether the assignment permits this
-// node to send orders at a given time. A holder that does not know yet that its partition
-// was reassigned finds out when it announces an order in the log.
-func (o *Holder) OrderFencingToken(partition int, now time.Time) (fencingToken uint64, ok bool) {
-	o.mutex.Lock()
-	defer o.mutex.Unlock()
-	_, held := o.held[partition]
-	if !held || o.left || o.renewedAt.AgeAt(now) > o.settings.TTL-OrderMargin {
+// OrderFencingToken returns the fencing token for orders, and whether the assignment permits
+// this node to send orders at a given time. A holder that does not know yet that its
+// partition was reassigned finds out when it announces an order in the log.
+func (h *Holder) OrderFencingToken(partition int, now time.Time) (fencingToken uint64, ok bool) {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	_, held := h.held[partition]
+	if !held || h.left || h.renewedAt.AgeAt(now) > h.settings.TTL-OrderMargin {
 		return 0, false
 	}
-	return o.generation, true
+	return h.generation, true
 }
 
 // Leave releases the assignment and leaves the group for good.
-func (o *Holder) Leave(ctx context.Context) {
-	o.mutex.Lock()
-	o.left = true
-	o.held = make(map[int]struct{})
-	o.mutex.Unlock()
-	o.releaseAssignment(ctx)
+func (h *Holder) Leave(ctx context.Context) {
+	h.mutex.Lock()
+	h.left = true
+	h.held = make(map[int]struct{})
+	h.mutex.Unlock()
+	h.releaseAssignment(ctx)
 }
 
-// releaseAssignment hands over running work and leaves the group. Callers clear the held
+// releaseAssignment saves the state of running work and leaves the group. Callers clear the held
 // partitions first, so that no new work starts meanwhile.
-func (o *Holder) releaseAssignment(ctx context.Context) {
-	o.callbacks.BeforeRelease(ctx)
-	callCtx, cancel := context.WithTimeout(ctx, renewTimeout+o.group.ExtraLatency())
+func (h *Holder) releaseAssignment(ctx context.Context) {
+	h.callbacks.BeforeRelease(ctx)
+	callCtx, cancel := context.WithTimeout(ctx, renewTimeout+h.group.ExtraLatency())
 	defer cancel()
-	if err := o.group.Leave(callCtx, o.settings.Group, o.settings.Member); err != nil {
-		o.logger.Log(event.GroupContactLost, "generation", o.Generation(), "detail", err.Error())
+	if err := h.group.Leave(callCtx, h.settings.Group, h.settings.Member); err != nil {
+		h.logger.Log(event.GroupContactLost, "generation", h.Generation(), "detail", err.Error())
 	}
 }
 
 // Generation returns the generation of the last assignment.
-func (o *Holder) Generation() uint64 {
-	o.mutex.Lock()
-	defer o.mutex.Unlock()
-	return o.generation
+func (h *Holder) Generation() uint64 {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	return h.generation
 }
--- a/internal/ownership/holder_test.go
+++ b/internal/ownership/holder_test.go
@@ -33,7 +33,7 @@
 
 // runHolder runs a holder with a fake group for the duration of a test function, in a
 // synctest bubble.
-func runHolder(t *testing.T, test func(o *Holder, group *ownershiptest.Group)) {
+func runHolder(t *testing.T, test func(h *Holder, group *ownershiptest.Group)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		runHolderWith(t, settingsOf("n", 0), announcedCapacities{}, test)
@@ -41,96 +41,96 @@
 }
 
 // runHolderWith is runHolder with given settings and capacities. The caller runs in a bubble.
-func runHolderWith(t *testing.T, settings Settings, known announcedCapacities, test func(o *Holder, group *ownershiptest.Group)) {
+func runHolderWith(t *testing.T, settings Settings, known announcedCapacities, test func(h *Holder, group *ownershiptest.Group)) {
 	t.Helper()
 	runHolderWithOwners(t, settings, known, nil, test)
 }
 
 // runHolderWithOwners is runHolderWith with owners that are present from the start: the
 // holder may observe the owners before the first statement of the test function.
-func runHolderWithOwners(t *testing.T, settings Settings, known announcedCapacities, owners []sharedlog.Owner, test func(o *Holder, group *ownershiptest.Group)) {
+func runHolderWithOwners(t *testing.T, settings Settings, known announcedCapacities, owners []sharedlog.Owner, test func(h *Holder, group *ownershiptest.Group)) {
 	t.Helper()
 	group := &ownershiptest.Group{Assignment: ownershiptest.NewAssignment(4, 0), Owned: owners}
-	o := New(settings, group, known, nil, noCallbacks, event.Discard())
+	h := New(settings, group, known, nil, noCallbacks, event.Discard())
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
-	go func() { defer close(done); o.Run(ctx) }()
-	test(o, group)
+	go func() { defer close(done); h.Run(ctx) }()
+	test(h, group)
 	cancel()
 	<-done
 }
 
 func TestHolderExecutesAndOrdersUnderItsGeneration(t *testing.T) {
-	runHolder(t, func(o *Holder, _ *ownershiptest.Group) {
+	runHolder(t, func(h *Holder, _ *ownershiptest.Group) {
 		time.Sleep(10 * time.Millisecond)
-		require.True(t, o.ShouldExecute(0, time.Now()))
-		require.False(t, o.ShouldExecute(1, time.Now()))
-		fence, ok := o.OrderFencingToken(0, time.Now())
+		require.True(t, h.ShouldExecute(0, time.Now()))
+		require.False(t, h.ShouldExecute(1, time.Now()))
+		fence, ok := h.OrderFencingToken(0, time.Now())
 		require.True(t, ok)
 		require.EqualValues(t, 4, fence)
-		_, ok = o.OrderFencingToken(1, time.Now())
+		_, ok = h.OrderFencingToken(1, time.Now())
 		require.False(t, ok)
 	})
 }
 
 func TestHolderThatCannotRenewStopsOrdersBeforeItsAssignmentExpires(t *testing.T) {
-	runHolder(t, func(o *Holder, group *ownershiptest.Group) {
+	runHolder(t, func(h *Holder, group *ownershiptest.Group) {
 		time.Sleep(4 * time.Second)
 		group.Set(func() { group.Down = true })
 		time.Sleep(1400 * time.Millisecond)
-		_, ok := o.OrderFencingToken(0, time.Now())
+		_, ok := h.OrderFencingToken(0, time.Now())
 		require.False(t, ok, "another node may hold the partition 1.5 s after the last renewal")
-		require.True(t, o.ShouldExecute(0, time.Now()), "the log may be unavailable to all nodes")
+		require.True(t, h.ShouldExecute(0, time.Now()), "the log may be unavailable to all nodes")
 		time.Sleep(isolationTimeout)
-		require.False(t, o.ShouldExecute(0, time.Now()))
+		require.False(t, h.ShouldExecute(0, time.Now()))
 		group.Set(func() { group.Down = false })
 		time.Sleep(time.Second)
-		require.True(t, o.ShouldExecute(0, time.Now()))
+		require.True(t, h.ShouldExecute(0, time.Now()))
 	})
 }
 
 func TestFrozenHolderMayNotOrderAfterItResumes(t *testing.T) {
-	runHolder(t, func(o *Holder, group *ownershiptest.Group) {
+	runHolder(t, func(h *Holder, group *ownershiptest.Group) {
 		time.Sleep(4 * time.Second)
 		resumed := time.Now().Add(5 * time.Second) // the loop did not run meanwhile
-		_, ok := o.OrderFencingToken(0, resumed)
+		_, ok := h.OrderFencingToken(0, resumed)
 		require.False(t, ok)
 	})
 }
 
 func TestAssignmentIsValidFromTheTimeOfTheRequest(t *testing.T) {
-	runHolder(t, func(o *Holder, group *ownershiptest.Group) {
+	runHolder(t, func(h *Holder, group *ownershiptest.Group) {
 		time.Sleep(4 * time.Second)
 		group.Set(func() { group.Delay = 550 * time.Millisecond })
 		time.Sleep(2 * time.Second)
-		o.mutex.Lock()
-		age := o.renewedAt.Age()
-		o.mutex.Unlock()
+		h.mutex.Lock()
+		age := h.renewedAt.Age()
+		h.mutex.Unlock()
 		require.GreaterOrEqual(t, age, 550*time.Millisecond)
 	})
 }
 
 func TestReassignedPartitionIsReleasedAtOnce(t *testing.T) {
-	runHolder(t, func(o *Holder, group *ownershiptest.Group) {
+	runHolder(t, func(h *Holder, group *ownershiptest.Group) {
 		time.Sleep(4 * time.Second)
 		group.Set(func() { group.Assignment = ownershiptest.NewAssignment(5, 3) })
 		time.Sleep(time.Second)
-		require.False(t, o.ShouldExecute(0, time.Now()))
-		_, ok := o.OrderFencingToken(0, time.Now())
+		require.False(t, h.ShouldExecute(0, time.Now()))
+		_, ok := h.OrderFencingToken(0, time.Now())
 		require.False(t, ok)
 	})
 }
 
 func TestLeavingReleasesTheAssignment(t *testing.T) {
-	runHolder(t, func(o *Holder, group *ownershiptest.Group) {
+	runHolder(t, func(h *Holder, group *ownershiptest.Group) {
 		time.Sleep(4 * time.Second)
-		o.Leave(context.Background())
+		h.Leave(context.Background())
 		require.True(t, group.HasLeft())
-		require.False(t, o.ShouldExecute(0, time.Now()))
+		require.False(t, h.ShouldExecute(0, time.Now()))
 		joined := group.Joins()
 		time.Sleep(3 * time.Second)
 		require.LessOrEqual(t, group.Joins(), joined+1, "the holder must not join again")
-		require.False(t, o.ShouldExecute(0, time.Now()))
+		require.False(t, h.ShouldExecute(0, time.Now()))
 	})
 }
 
@@ -138,7 +138,7 @@
 // generation must confirm it at once and not with its next renewal half a second later,
 // because no node executes until then.
 func TestNewGenerationIsConfirmedAtOnce(t *testing.T) {
-	runHolder(t, func(o *Holder, group *ownershiptest.Group) {
+	runHolder(t, func(h *Holder, group *ownershiptest.Group) {
 		time.Sleep(4 * time.Second)
 		before := group.Joins()
 		group.Set(func() { group.Assignment = ownershiptest.NewAssignment(5) })
@@ -158,7 +158,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		settings := settingsOf("small", 192)
 		known := announcedCapacities{"small": 192, "large": 800}
-		runHolderWith(t, settings, known, func(o *Holder, group *ownershiptest.Group) {
+		runHolderWith(t, settings, known, func(h *Holder, group *ownershiptest.Group) {
 			group.Set(func() { group.Owned = []sharedlog.Owner{{Partition: jobPartition(0), Member: "large"}} })
 			time.Sleep(10 * time.Second)
 			require.Zero(t, group.Joins())
@@ -166,12 +166,12 @@
 			group.Set(func() { group.Owned = nil })
 			time.Sleep(3 * time.Second)
 			require.Positive(t, group.Joins(), "no other node executes")
-			require.True(t, o.ShouldExecute(0, time.Now()))
+			require.True(t, h.ShouldExecute(0, time.Now()))
 
 			group.Set(func() { group.Owned = []sharedlog.Owner{{Partition: jobPartition(3), Member: "large"}} })
 			time.Sleep(2 * time.Second)
 			require.True(t, group.HasLeft())
-			require.False(t, o.ShouldExecute(0, time.Now()))
+			require.False(t, h.ShouldExecute(0, time.Now()))
 		})
 	})
 }
@@ -201,13 +201,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		settings := settingsOf("b", 800)
 		owners := []sharedlog.Owner{newOwner("a", 0)}
-		runHolderWithOwners(t, settings, announcedCapacities{"a": 800, "b": 800}, owners, func(o *Holder, group *ownershiptest.Group) {
+		runHolderWithOwners(t, settings, announcedCapacities{"a": 800, "b": 800}, owners, func(h *Holder, group *ownershiptest.Group) {
 			time.Sleep(10 * time.Second)
 			require.Zero(t, group.Joins())
 			group.Set(func() { group.Owned = nil })
 			time.Sleep(time.Second)
 			require.Positive(t, group.Joins())
-			require.True(t, o.ShouldExecute(0, time.Now()))
+			require.True(t, h.ShouldExecute(0, time.Now()))
 		})
 	})
 }
@@ -220,12 +220,12 @@
 		var elapsed time.Duration
 		synctest.Test(t, func(t *testing.T) {
 			group := &ownershiptest.Group{Assignment: ownershiptest.NewAssignment(1, 0), RoundTrip: roundTrip}
-			o := New(settingsOf("n", 0), group, announcedCapacities{}, nil, noCallbacks, event.Discard())
+			h := New(settingsOf("n", 0), group, announcedCapacities{}, nil, noCallbacks, event.Discard())
 			ctx, cancel := context.WithCancel(t.Context())
 			done := make(chan struct{})
 			began := time.Now()
-			go func() { defer close(done); o.Run(ctx) }()
-			for !o.ShouldExecute(0, time.Now()) {
+			go func() { defer close(done); h.Run(ctx) }()
+			for !h.ShouldExecute(0, time.Now()) {
 				time.Sleep(time.Millisecond)
 			}
 			elapsed = time.Since(began)
--- a/internal/ownership/ownershiptest/group.go
+++ b/internal/ownership/ownershiptest/group.go
@@ -101,7 +101,8 @@
 	return g.lastGeneration
 }
 
-// ExtraLatency implements ownership.Group. It returns 0, as for a service in the same data center.
+// ExtraLatency implements ownership.Group. It returns 0, as for a service in the same data
+// center.
 func (g *Group) ExtraLatency() time.Duration { return 0 }
 
 // RoundTripTime implements ownership.Group.
--- a/internal/ownership/renewal_test.go
+++ b/internal/ownership/renewal_test.go
@@ -43,14 +43,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		group := &lossyGroup{responseInterval: 4}
 		settings := settingsOf("n", 0)
-		o := New(settings, group, announcedCapacities{}, nil, noCallbacks, event.Discard())
+		h := New(settings, group, announcedCapacities{}, nil, noCallbacks, event.Discard())
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
-		go func() { defer close(done); o.Run(ctx) }()
+		go func() { defer close(done); h.Run(ctx) }()
 		time.Sleep(time.Second)
 		for range 100 {
 			time.Sleep(100 * time.Millisecond)
-			_, may := o.OrderFencingToken(0, time.Now())
+			_, may := h.OrderFencingToken(0, time.Now())
 			require.True(t, may)
 		}
 		cancel()
@@ -74,23 +74,23 @@
 func TestAssignmentExpiresWhileTheMachineIsSuspended(t *testing.T) {
 	suspended := time.Duration(0)
 	t.Cleanup(clock.Simulate(func() time.Duration { return suspended }))
-	runHolder(t, func(o *Holder, group *ownershiptest.Group) {
+	runHolder(t, func(h *Holder, group *ownershiptest.Group) {
 		time.Sleep(4 * time.Second)
-		_, ok := o.OrderFencingToken(0, time.Now())
+		_, ok := h.OrderFencingToken(0, time.Now())
 		require.True(t, ok)
-		require.True(t, o.ShouldExecute(0, time.Now()))
+		require.True(t, h.ShouldExecute(0, time.Now()))
 		group.Set(func() { group.Down = true })
 		suspended += 2 * time.Second
-		_, ok = o.OrderFencingToken(0, time.Now())
+		_, ok = h.OrderFencingToken(0, time.Now())
 		require.False(t, ok)
-		require.False(t, o.hasValidAssignment(0, time.Now()))
-		require.True(t, o.AssignmentExpired(time.Now()))
-		require.True(t, o.ShouldExecute(0, time.Now()), "until the isolation timeout")
+		require.False(t, h.hasValidAssignment(0, time.Now()))
+		require.True(t, h.AssignmentExpired(time.Now()))
+		require.True(t, h.ShouldExecute(0, time.Now()), "until the isolation timeout")
 		suspended += isolationTimeout
-		require.False(t, o.ShouldExecute(0, time.Now()))
+		require.False(t, h.ShouldExecute(0, time.Now()))
 		group.Set(func() { group.Down = false })
 		time.Sleep(time.Second)
-		_, ok = o.OrderFencingToken(0, time.Now())
+		_, ok = h.OrderFencingToken(0, time.Now())
 		require.True(t, ok, "the assignment was renewed")
 	})
 }
@@ -99,11 +99,11 @@
 // before it joins. Otherwise the service rebalances the group, and the node that has taken the
 // jobs over stops all of its runs.
 func TestHolderWithExpiredAssignmentObservesOwnersBeforeItJoins(t *testing.T) {
-	runHolder(t, func(o *Holder, group *ownershiptest.Group) {
+	runHolder(t, func(h *Holder, group *ownershiptest.Group) {
 		time.Sleep(4 * time.Second)
 		group.Set(func() { group.Down = true })
 		time.Sleep(4 * time.Second)
-		require.True(t, o.AssignmentExpired(time.Now()))
+		require.True(t, h.AssignmentExpired(time.Now()))
 		before := 0
 		group.Set(func() {
 			group.Down = false
@@ -112,6 +112,6 @@
 		})
 		time.Sleep(time.Second)
 		require.Equal(t, before, group.Joins())
-		require.False(t, o.ShouldExecute(0, time.Now()))
+		require.False(t, h.ShouldExecute(0, time.Now()))
 	})
 }
