--- a/internal/sharedlog/appender.go
+++ b/internal/sharedlog/appender.go
@@ -31,12 +31,13 @@
 type Appender struct {
 	Log       Log
 	Partition Partition
-	// MaxBytes is the maximum size of one call, including MaxRecordOverheadBytes for each record.
+	// MaxBytes is the maximum size of one call, including MaxRecordOverheadBytes for each
+	// record.
 	MaxBytes int
 	// Observe receives the error and duration of each call. It may be nil.
 	Observe func(err error, took time.Duration)
-	// ExtraLatency returns how much longer the log's responses to appends take than those of a log
-	// in the same data center. It may be nil.
+	// ExtraLatency returns how much longer the log's responses to appends take than those of a
+	// log in the same data center. It may be nil.
 	ExtraLatency func() time.Duration
 
 	mutex   sync.Mutex
--- a/internal/sharedlog/follow.go
+++ b/internal/sharedlog/follow.go
@@ -116,8 +116,8 @@
 	// Pause returns the pause after a read that reached the end of the partition, so that
 	// the next read returns several records. There is no pause if it is nil.
 	Pause func() time.Duration
-	// ExtraLatency returns how much longer the log's responses take than those of a log in the
-	// same data center, to which the timeouts apply. It may be nil, which means 0.
+	// ExtraLatency returns how much longer the log's responses take than those of a log in
+	// the same data center, to which the timeouts apply. It may be nil, which means 0.
 	ExtraLatency func() time.Duration
 	Health       Health
 
@@ -292,10 +292,10 @@
 }
 
 // skipTo moves the next offset forward to the oldest retained one.
-func (f *Follower) skipTo(first uint64) {
+func (f *Follower) skipTo(oldest uint64) {
 	f.applyMutex.Lock()
 	defer f.applyMutex.Unlock()
-	f.next = max(f.next, first)
+	f.next = max(f.next, oldest)
 }
 
 // pauseAfterRead waits for the duration that pause returns. pause may be nil.
--- a/internal/sharedlog/follow_test.go
+++ b/internal/sharedlog/follow_test.go
@@ -13,15 +13,16 @@
 	"github.com/pathbend/pathbend/internal/result"
 )
 
-// fakeLog is an in-memory log with one partition. A read returns at most maxPerRead records.
+// fakeLog is an in-memory log with one partition, whose records before the offset oldest are
+// truncated. A read returns at most maxPerRead records.
 type fakeLog struct {
 	mutex      sync.Mutex
 	records    [][]byte
 	keyed      []KeyedRecord
-	first      uint64
+	oldest     uint64
 	maxPerRead int
-	// failing makes reads fail. staleEnd, if not 0, is the EndOffset that the next call of ReadNewest
-	// returns.
+	// failing makes reads fail. staleEnd, if not 0, is the EndOffset that the next call of
+	// ReadNewest returns.
 	failing  bool
 	staleEnd uint64
 	// reads is the number of reads, each of which takes readLatency.
@@ -51,7 +52,7 @@
 	for {
 		l.mutex.Lock()
 		end := uint64(len(l.records))
-		failing, first := l.failing, l.first
+		failing, oldest := l.failing, l.oldest
 		var found [][]byte
 		if from < end {
 			found = l.records[from:min(end, from+uint64(l.maxPerRead))]
@@ -60,10 +61,10 @@
 		switch {
 		case failing:
 			return Batch{}, result.New(result.LogUnavailable, "down")
-		case from < first:
-			return Batch{OldestOffset: first}, result.New(result.LogTruncated, "gone")
+		case from < oldest:
+			return Batch{OldestOffset: oldest}, result.New(result.LogTruncated, "gone")
 		case len(found) > 0 || !time.Now().Before(deadline) || ctx.Err() != nil:
-			return Batch{EndOffset: end, OldestOffset: first, Records: found}, nil
+			return Batch{EndOffset: end, OldestOffset: oldest, Records: found}, nil
 		}
 		time.Sleep(time.Millisecond)
 	}
@@ -77,7 +78,7 @@
 	time.Sleep(min(wait, time.Millisecond))
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if from < l.first {
+	if from < l.oldest {
 		return KeyedBatch{}, result.New(result.LogTruncated, "gone")
 	}
 	if from >= uint64(len(l.keyed)) {
@@ -175,7 +176,7 @@
 
 func TestFollowerContinuesAtTheOldestRetainedRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		log := &fakeLog{records: numbered(10), maxPerRead: 10, first: 4}
+		log := &fakeLog{records: numbered(10), maxPerRead: 10, oldest: 4}
 		var offsets []uint64
 		follower := &Follower{Log: log, Observer: &countingObserver{}, Apply: func(offset uint64, _ [][]byte) { offsets = append(offsets, offset) }}
 		require.Error(t, follower.CatchUp(t.Context()))
@@ -204,7 +205,7 @@
 		log.set(func() { log.keyed = append(log.keyed, record(1), record(2)) })
 		time.Sleep(50 * time.Millisecond)
 		// The history is truncated, and the newest records are stale at first.
-		log.set(func() { log.first, log.staleEnd = 3, 1 })
+		log.set(func() { log.oldest, log.staleEnd = 3, 1 })
 		time.Sleep(300 * time.Millisecond)
 		log.set(func() { log.newest = []KeyedRecord{record(2)} })
 		time.Sleep(300 * time.Millisecond)
--- a/internal/sharedlog/keyed.go
+++ b/internal/sharedlog/keyed.go
@@ -18,9 +18,9 @@
 	maxPageTimeout = 8 * time.Second
 )
 
-// KeyedFollower reads the newest record of every key, then follows the
-// partition. After a truncation, records may be delivered again; the receiver must not
-// replace newer records with them.
+// KeyedFollower reads the newest record of every key, then follows the partition. After a
+// truncation, records may be delivered again; the receiver must not replace newer records
+// with them.
 type KeyedFollower struct {
 	Log       Log
 	Partition Partition
@@ -30,13 +30,13 @@
 	Reset func(records []KeyedRecord, next uint64)
 	// Apply applies later records in order, with next as in Reset.
 	Apply func(records []KeyedRecord, next uint64)
-	// OnPartial, if set, receives the records read so far during the initial read of all pages,
-	// each time that their number has doubled.
+	// OnPartial, if set, receives the records read so far during the initial read of all
+	// pages, each time that their number has doubled.
 	OnPartial func(records []KeyedRecord)
 	// Pause is the same as in Follower.
 	Pause func() time.Duration
-	// PollWait returns how long a read may wait at the service if that is longer than the usual
-	// wait. It may be nil.
+	// PollWait returns how long a read may wait at the service if that is longer than the
+	// usual wait. It may be nil.
 	PollWait func() time.Duration
 	// ExtraLatency is the same as in Follower.
 	ExtraLatency func() time.Duration
@@ -134,13 +134,13 @@
 			f.recordReadAhead(newest)
 			return newest, nil
 		}
-		f.reportEarly()
+		f.reportPartial()
 	}
 }
 
-// reportEarly passes the records read so far to OnPartial if their number has doubled since the
-// last call, so that each record is passed about twice in total.
-func (f *KeyedFollower) reportEarly() {
+// reportPartial passes the records read so far to OnPartial if their number has doubled since
+// the last call, so that each record is passed about twice in total.
+func (f *KeyedFollower) reportPartial() {
 	if read := len(f.initialRead.Records); f.OnPartial != nil && read >= 2*f.initialRead.reported {
 		f.initialRead.reported = read
 		f.OnPartial(f.initialRead.Records)
--- a/internal/sharedlog/measured.go
+++ b/internal/sharedlog/metered_log.go
@@ -46,12 +46,12 @@
 // RoundTrip returns the estimator of the round-trip time to the service.
 func (m *MeteredLog) RoundTrip() *roundtrip.Estimator { return m.roundTrip }
 
-// AppendTime returns the estimator of the response time of appends, which a partition processes
-// one at a time.
+// AppendTime returns the estimator of the response time of appends, which a partition
+// processes one at a time.
 func (m *MeteredLog) AppendTime() *roundtrip.Estimator { return m.appendTime }
 
-// SinceLastResponse returns the time since the last successful response, or since m was created if there
-// was none. It includes time for which the machine was suspended.
+// SinceLastResponse returns the time since the last successful response, or since m was
+// created if there was none. It includes time for which the machine was suspended.
 func (m *MeteredLog) SinceLastResponse() time.Duration { return m.lastResponseAt.Load().Age() }
 
 // recordResponse records the time of a response if the call succeeded.
@@ -98,8 +98,8 @@
 	return err
 }
 
-// ExtraLatency returns how much longer the service's responses take than those of a service in
-// the same data center.
+// ExtraLatency returns how much longer the service's responses take than those of a service
+// in the same data center.
 func (m *MeteredLog) ExtraLatency() time.Duration { return m.roundTrip.ExtraLatency() }
 
 // RoundTripTime returns the round-trip time to the service, 0 before its first response.
@@ -181,12 +181,12 @@
 }
 
 // Join implements Group.
-func (m *MeteredLog) Join(ctx context.Context, group, member, topic string, ttl time.Duration, generation uint64) (share Assignment, err error) {
+func (m *MeteredLog) Join(ctx context.Context, group, member, topic string, ttl time.Duration, generation uint64) (assignment Assignment, err error) {
 	err = m.timed(ctx, m.roundTrip, func(ctx context.Context) (callErr error) {
-		share, callErr = m.group.Join(ctx, group, member, topic, ttl, generation)
+		assignment, callErr = m.group.Join(ctx, group, member, topic, ttl, generation)
 		return callErr
 	})
-	return share, err
+	return assignment, err
 }
 
 // Leave implements Group.
--- a/internal/sharedlog/sharedlog.go
+++ b/internal/sharedlog/sharedlog.go
@@ -41,8 +41,8 @@
 	// EndOffset is the offset after the last record of the partition.
 	EndOffset uint64
 	Records   []KeyedRecord
-	// NextOffset is the offset of the next read, 0 if there are no new records. The batch may omit
-	// records before it that are of no use to this reader.
+	// NextOffset is the offset of the next read, 0 if there are no new records. The batch may
+	// omit records before it that this reader did not request.
 	NextOffset uint64
 	// Age is the age of the batch if it comes from a cache, 0 if it comes from the log.
 	Age time.Duration
@@ -75,8 +75,8 @@
 	ReadKeyed(ctx context.Context, partition Partition, from uint64, wait time.Duration) (KeyedBatch, error)
 	// AppendKeyed is Append for a keyed topic.
 	AppendKeyed(ctx context.Context, partition Partition, records []KeyedRecord) error
-	// ReadNewest returns a page of the newest record of each key, in the order of keys. The page
-	// starts after a given key, or at the first key if that is empty.
+	// ReadNewest returns a page of the newest record of each key, in the order of keys. The
+	// page starts after a given key, or at the first key if that is empty.
 	ReadNewest(ctx context.Context, partition Partition, after string) (KeyedPage, error)
 }
 
--- a/internal/sharedlog/sharedlogtest/memory_log.go
+++ b/internal/sharedlog/sharedlogtest/memory_log.go
@@ -9,8 +9,8 @@
 	"github.com/pathbend/pathbend/internal/sharedlog"
 )
 
-// MemoryLog is an in-memory log with one keyed topic. ReadAvailable and Append are not implemented and
-// panic.
+// MemoryLog is an in-memory log with one keyed topic. ReadAvailable and Append are not
+// implemented and panic.
 type MemoryLog struct {
 	sharedlog.Log
 
@@ -40,10 +40,10 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	read := sharedlog.KeyedBatch{EndOffset: uint64(len(l.records))}
-	for offset, entry := range l.records[min(int(from), len(l.records)):] {
-		entry.Offset = from + uint64(offset)
-		read.Records = append(read.Records, entry)
-		read.NextOffset = entry.Offset + 1
+	for index, record := range l.records[min(int(from), len(l.records)):] {
+		record.Offset = from + uint64(index)
+		read.Records = append(read.Records, record)
+		read.NextOffset = record.Offset + 1
 	}
 	return read, nil
 }
@@ -55,8 +55,8 @@
 	return sharedlog.Batch{}, nil
 }
 
-// ReadNewest implements sharedlog.Log. It returns an empty page; followers read all records with
-// ReadKeyed.
+// ReadNewest implements sharedlog.Log. It returns an empty page; followers read all records
+// with ReadKeyed.
 func (l *MemoryLog) ReadNewest(context.Context, sharedlog.Partition, string) (sharedlog.KeyedPage, error) {
 	return sharedlog.KeyedPage{}, nil
 }
