--- a/internal/nodedirectory/directory.go
+++ b/internal/nodedirectory/directory.go
@@ -54,8 +54,8 @@
 	// RelayAddress is where the node relays calls to the log for other nodes, empty if it does
 	// not.
 	RelayAddress string
-	// WorkerAddress is where the node answers requests and executes runs for other nodes, empty if
-	// it does not.
+	// WorkerAddress is where the node answers requests and executes runs for other nodes, empty
+	// if it does not.
 	WorkerAddress string
 }
 
@@ -108,12 +108,12 @@
 	defer d.mutex.Unlock()
 	for _, record := range records {
 		if record.Malformed != "" {
-			d.skip(record, record.Malformed)
+			d.logSkipped(record, record.Malformed)
 			continue
 		}
 		var announced pathbendv1.NodeCapacity
 		if err := proto.Unmarshal(record.Value, &announced); err != nil {
-			d.skip(record, err.Error())
+			d.logSkipped(record, err.Error())
 			continue
 		}
 		entry := announcedNode{readAt: now, Entry: Entry{
@@ -128,8 +128,8 @@
 	}
 }
 
-// skip logs a record that cannot be decoded.
-func (d *Directory) skip(record sharedlog.KeyedRecord, detail string) {
+// logSkipped logs a record that cannot be decoded.
+func (d *Directory) logSkipped(record sharedlog.KeyedRecord, detail string) {
 	d.logger.Log(event.RecordSkipped, "topic", d.follower.Partition.Topic, "offset", record.Offset, "detail", detail)
 }
 
@@ -268,17 +268,17 @@
 		largest = max(largest, node.Millicores)
 	}
 	view := election.View{Largest: largest}
-	var answering []fanout.Node
+	var responders []fanout.Node
 	for name, node := range d.nodes {
 		if node.WorkerAddress != "" && now.Sub(node.readAt) <= entryTTL {
-			answering = append(answering, fanout.Node{Name: name, Zone: node.Zone, Address: node.WorkerAddress, Large: view.IsLarge(node.Millicores)})
+			responders = append(responders, fanout.Node{Name: name, Zone: node.Zone, Address: node.WorkerAddress, Large: view.IsLarge(node.Millicores)})
 		}
 	}
-	return answering
+	return responders
 }
 
-// ChangeCount returns the number of changes to the directory so far. It increases when a node is
-// added or an entry differs from the previous one.
+// ChangeCount returns the number of changes to the directory so far. It increases when a node
+// is added or an entry differs from the previous one.
 func (d *Directory) ChangeCount() uint64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/nodedirectory/directory_test.go
+++ b/internal/nodedirectory/directory_test.go
@@ -60,7 +60,7 @@
 // The nodes of a new deployment announce themselves one after the other: the directory counts
 // as complete once it has not changed for settlePeriod. A process that finds the entry of its
 // node was restarted, and the entries of the other nodes are present from the start.
-func TestDirectoryIsSettledOnceItDoesNotChange(t *testing.T) {
+func TestDirectoryIsLikelyCompleteOnceItDoesNotChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := &sharedlogtest.MemoryLog{}
 		d := New(sharedlog.NewMeteredLog(log, nil), "nodes", "self", nil, event.Discard())
--- a/internal/nodedirectory/doc.go
+++ b/internal/nodedirectory/doc.go
@@ -1,5 +1,5 @@
-// Package nodedirectory is the directory of nodes: the capacities and addresses that nodes
-// announce in a keyed topic of the log.
+// Package nodedirectory is the directory of nodes: the zones, capacities and addresses that
+// nodes announce in a keyed topic of the log.
 //
 // The state is the newest entry of each node and the time at which it was read. One
 // goroutine, in Run, follows the topic, with short pauses while the directory grows; other
