--- a/internal/samplerregistry/registry.go
+++ b/internal/samplerregistry/registry.go
@@ -1,5 +1,5 @@
-// Package samplerregistry is the registry of samplers. It holds the newest entry of each sampler id
-// from the keyed topic in which samplers register themselves.
+// Package samplerregistry is the registry of samplers. It holds the newest entry of each
+// sampler id from the keyed topic in which samplers register themselves.
 //
 // A sampler may be restarted under the same id. Its start time, in Unix milliseconds,
 // identifies the incarnation and is compared only with other start times of the same id, so
@@ -37,8 +37,9 @@
 
 // removedEntry is an entry that was removed, or replaced by one that cannot be decoded.
 type removedEntry struct {
-	startUnixMilli int64
-	removedAt      time.Time
+	// startedAtMs is the start time of the sampler in Unix milliseconds.
+	startedAtMs int64
+	removedAt   time.Time
 }
 
 // New returns an empty registry.
@@ -86,7 +87,7 @@
 	if sampler, found := r.samplers[id]; found {
 		return sampler.StartedAtMs
 	}
-	return r.removed[id].startUnixMilli
+	return r.removed[id].startedAtMs
 }
 
 // HasStartTime reports whether an earlier entry of an id had a start time. An entry without
@@ -109,7 +110,7 @@
 		return
 	}
 	if sampler.StartedAtMs > 0 {
-		r.removed[id] = removedEntry{startUnixMilli: sampler.StartedAtMs, removedAt: now}
+		r.removed[id] = removedEntry{startedAtMs: sampler.StartedAtMs, removedAt: now}
 	}
 	delete(r.samplers, id)
 	if index, found := slices.BinarySearch(r.ids, id); found {
--- a/internal/samplerregistry/registry_test.go
+++ b/internal/samplerregistry/registry_test.go
@@ -11,8 +11,8 @@
 
 var now = time.Unix(1_000, 0)
 
-func entry(id string, startUnixMilli int64, address string) schedule.Sampler {
-	return schedule.Sampler{ID: id, StartedAtMs: startUnixMilli, Address: address}
+func entry(id string, startedAtMs int64, address string) schedule.Sampler {
+	return schedule.Sampler{ID: id, StartedAtMs: startedAtMs, Address: address}
 }
 
 func TestEntryOfAFormerIncarnationNeverReplacesANewer(t *testing.T) {
