--- a/internal/topicreader/doc.go
+++ b/internal/topicreader/doc.go
@@ -1,5 +1,5 @@
-// Package topicreader reads a keyed topic either from the log itself or through another node that
-// reads the log (a reader). Package fanout decides which.
+// Package topicreader reads a keyed topic of the log either from the log itself or through
+// another node that reads the log (a reader). Package fanout decides which.
 //
 // Feed is a sharedlog.Log whose keyed reads use either source, so that the topic's follower
 // need not distinguish them. Its state is the cache from which a reader serves other nodes,
--- a/internal/topicreader/feed.go
+++ b/internal/topicreader/feed.go
@@ -47,8 +47,8 @@
 	// RequiredGroups returns the groups that this node needs if it reads through others.
 	RequiredGroups func() fanout.Groups
 	Caller         Caller
-	// SkipReaderWait makes the node read the log at once if no reader responds, instead of waiting
-	// for a reader to become ready.
+	// SkipReaderWait makes the node read the log at once if no reader responds, instead of
+	// waiting for a reader to become ready.
 	SkipReaderWait bool
 	Counter        Counter
 	Logger         *event.Logger
@@ -57,9 +57,9 @@
 // Feed reads a keyed topic from the log or through a reader. It is safe for concurrent use.
 type Feed struct {
 	sharedlog.Log
-	config Config
-	choice *fanout.ReaderSelector
-	cache  *fanout.Cache
+	config   Config
+	selector *fanout.ReaderSelector
+	cache    *fanout.Cache
 	// logLimiter limits the rate of log entries about failed readers.
 	logLimiter event.Limiter
 
@@ -78,7 +78,7 @@
 // New returns a feed that has read nothing.
 func New(config Config) *Feed {
 	return &Feed{
-		Log: config.Log, config: config, choice: fanout.NewReaderSelector(), cache: fanout.NewCache(config.GroupOf),
+		Log: config.Log, config: config, selector: fanout.NewReaderSelector(), cache: fanout.NewCache(config.GroupOf),
 	}
 }
 
@@ -118,8 +118,8 @@
 }
 
 // shrinkDelay is the minimum time for which a node keeps entries of groups that it does not
-// need. It read them from the log because the readers had none; if they still have none, another
-// read of the full list costs as much again.
+// need. It read them from the log because the readers had none; if they still have none,
+// another read of the full list costs as much again.
 const shrinkDelay = 10 * time.Second
 
 func (f *Feed) mayShrink() bool {
@@ -128,8 +128,9 @@
 	return time.Since(f.loadedAt) > shrinkDelay
 }
 
-// ReadNewest implements sharedlog.Log. A node that does not read the log itself requests the first
-// page from a reader, whose response holds the newest entries of all groups that it needs.
+// ReadNewest implements sharedlog.Log. A node that does not read the log itself requests the
+// first page from a reader, whose response holds the newest entries of all groups that the
+// node needs.
 func (f *Feed) ReadNewest(ctx context.Context, partition sharedlog.Partition, after string) (sharedlog.KeyedPage, error) {
 	plan := f.config.Plan()
 	if after == "" && !plan.ReadsLog {
@@ -139,7 +140,7 @@
 			f.setLoaded(required)
 			return sharedlog.KeyedPage{KeyedBatch: batch}, nil
 		}
-		if f.choice.MayWaitForReaders(time.Now()) && len(plan.Parents) > 0 && !f.config.SkipReaderWait {
+		if f.selector.MayWaitForReaders(time.Now()) && len(plan.Parents) > 0 && !f.config.SkipReaderWait {
 			wait.For(ctx, fanout.RetryInterval)
 			return sharedlog.KeyedPage{}, result.New(result.LogUnavailable, "no reader has served the newest entries yet")
 		}
@@ -187,13 +188,13 @@
 // filter returns the records of the given groups. It keeps records without a group: those
 // that delete a key, or cannot be decoded.
 func (f *Feed) filter(records []sharedlog.KeyedRecord, groups fanout.Groups) []sharedlog.KeyedRecord {
-	var kept []sharedlog.KeyedRecord
+	var filtered []sharedlog.KeyedRecord
 	for _, record := range records {
 		if group := f.config.GroupOf(record); group == "" || groups.Includes(group) {
-			kept = append(kept, record)
+			filtered = append(filtered, record)
 		}
 	}
-	return kept
+	return filtered
 }
 
 // Reset replaces the cache that serves other nodes by the newest entries, as the follower
--- a/internal/topicreader/feed_test.go
+++ b/internal/topicreader/feed_test.go
@@ -75,9 +75,9 @@
 }
 
 // Call implements Caller. The address of a node is its name.
-func (f *testCluster) Call(ctx context.Context, address string, call *pathbendv1.Envelope) (*pathbendv1.Envelope, error) {
-	f.called = append(f.called, address)
-	server := f.servers[address]
+func (c *testCluster) Call(ctx context.Context, address string, call *pathbendv1.Envelope) (*pathbendv1.Envelope, error) {
+	c.called = append(c.called, address)
+	server := c.servers[address]
 	if server == nil {
 		return nil, result.New(result.PeerUnreached, "no node at %s", address)
 	}
@@ -88,48 +88,48 @@
 	return &pathbendv1.Envelope{Body: &pathbendv1.Envelope_EntryBatch{EntryBatch: response}}, nil
 }
 
-func (f *testCluster) node(name string, plan fanout.Plan) *Feed {
-	f.plans[name] = &plan
+func (c *testCluster) node(name string, plan fanout.Plan) *Feed {
+	c.plans[name] = &plan
 	feed := New(Config{
-		Log: f.log, Topic: "t", GroupOf: func(record sharedlog.KeyedRecord) string { return string(record.Value) },
-		Plan:           func() fanout.Plan { return *f.plans[name] },
-		RequiredGroups: func() fanout.Groups { return f.required }, Caller: f, Counter: noCounts{},
-		Logger: event.NewLogger(&f.logs, slog.LevelDebug),
+		Log: c.log, Topic: "t", GroupOf: func(record sharedlog.KeyedRecord) string { return string(record.Value) },
+		Plan:           func() fanout.Plan { return *c.plans[name] },
+		RequiredGroups: func() fanout.Groups { return c.required }, Caller: c, Counter: noCounts{},
+		Logger: event.NewLogger(&c.logs, slog.LevelDebug),
 	})
-	f.feeds[name] = feed
-	feed.SetAgeFunc(func() time.Duration { return f.ages[name] })
-	f.servers[name] = NewServer(feed)
+	c.feeds[name] = feed
+	feed.SetAgeFunc(func() time.Duration { return c.ages[name] })
+	c.servers[name] = NewServer(feed)
 	return feed
 }
 
 // reader adds a node that reads the log for others and has loaded all entries.
-func (f *testCluster) reader(name string) *Feed {
-	feed := f.node(name, fanout.Plan{Shared: true, ReadsLog: true})
-	f.readNewest(feed)
+func (c *testCluster) reader(name string) *Feed {
+	feed := c.node(name, fanout.Plan{Shared: true, ReadsLog: true})
+	c.readNewest(feed)
 	return feed
 }
 
-func (f *testCluster) client(name string, parents ...string) *Feed {
+func (c *testCluster) client(name string, parents ...string) *Feed {
 	plan := fanout.Plan{Shared: true}
 	for _, parent := range parents {
 		plan.Parents = append(plan.Parents, fanout.Node{Name: parent, Address: parent})
 	}
-	return f.node(name, plan)
+	return c.node(name, plan)
 }
 
-func (f *testCluster) readNewest(of *Feed) []string {
-	f.t.Helper()
-	page, err := of.ReadNewest(f.t.Context(), sharedlog.Partition{Topic: "t"}, "")
-	require.NoError(f.t, err)
-	of.Reset(page.Records, page.EndOffset)
+func (c *testCluster) readNewest(feed *Feed) []string {
+	c.t.Helper()
+	page, err := feed.ReadNewest(c.t.Context(), sharedlog.Partition{Topic: "t"}, "")
+	require.NoError(c.t, err)
+	feed.Reset(page.Records, page.EndOffset)
 	return keys(page.Records)
 }
 
-func (f *testCluster) readFrom(of *Feed, from uint64) sharedlog.KeyedBatch {
-	f.t.Helper()
-	batch, err := of.ReadKeyed(f.t.Context(), sharedlog.Partition{Topic: "t"}, from, 100*time.Millisecond)
-	require.NoError(f.t, err)
-	of.Apply(batch.Records, batch.NextOffset)
+func (c *testCluster) readFrom(feed *Feed, from uint64) sharedlog.KeyedBatch {
+	c.t.Helper()
+	batch, err := feed.ReadKeyed(c.t.Context(), sharedlog.Partition{Topic: "t"}, from, 100*time.Millisecond)
+	require.NoError(c.t, err)
+	feed.Apply(batch.Records, batch.NextOffset)
 	return batch
 }
 
@@ -143,22 +143,22 @@
 
 func TestNodeReadsThroughItsReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newTestCluster(t)
-		f.log.put("a", "api")
-		f.log.put("b", "llm")
-		reader := f.reader("r")
-		reads := f.log.reads
-		client := f.client("n", "r")
-		require.Equal(t, []string{"a"}, f.readNewest(client), "only the entries of the required group")
-		f.log.put("c", "api")
-		f.log.put("d", "llm")
-		f.readFrom(reader, 2)
-		f.ages["r"] = 300 * time.Millisecond
-		batch := f.readFrom(client, 2)
+		cluster := newTestCluster(t)
+		cluster.log.put("a", "api")
+		cluster.log.put("b", "llm")
+		reader := cluster.reader("r")
+		reads := cluster.log.reads
+		client := cluster.client("n", "r")
+		require.Equal(t, []string{"a"}, cluster.readNewest(client), "only the entries of the required group")
+		cluster.log.put("c", "api")
+		cluster.log.put("d", "llm")
+		cluster.readFrom(reader, 2)
+		cluster.ages["r"] = 300 * time.Millisecond
+		batch := cluster.readFrom(client, 2)
 		require.Equal(t, []string{"c"}, keys(batch.Records))
 		require.EqualValues(t, 4, batch.NextOffset)
 		require.Equal(t, 300*time.Millisecond, batch.Age, "the age is that of the reader's data")
-		require.Equal(t, reads+1, f.log.reads, "only the reader reads the log")
+		require.Equal(t, reads+1, cluster.log.reads, "only the reader reads the log")
 		require.True(t, reader.Complete())
 		require.False(t, client.Complete())
 	})
@@ -168,21 +168,21 @@
 // log itself once no reader is left.
 func TestNodeWhoseReadersFailReadsTheLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newTestCluster(t)
-		f.log.put("a", "api")
-		f.reader("lags")
-		f.ages["lags"] = fanout.MaxReaderAge + time.Millisecond
-		client := f.client("n", "gone", "lags")
+		cluster := newTestCluster(t)
+		cluster.log.put("a", "api")
+		cluster.reader("lags")
+		cluster.ages["lags"] = fanout.MaxReaderAge + time.Millisecond
+		client := cluster.client("n", "gone", "lags")
 		_, err := client.ReadNewest(t.Context(), sharedlog.Partition{Topic: "t"}, "")
 		require.True(t, result.Is(err, result.LogUnavailable))
-		require.Equal(t, []string{"gone", "lags"}, f.called)
+		require.Equal(t, []string{"gone", "lags"}, cluster.called)
 		time.Sleep(5 * time.Second)
-		f.readNewest(client)
+		cluster.readNewest(client)
 		require.True(t, client.Complete(), "a read of the log loads all groups")
-		require.Contains(t, f.logs.String(), "reader_unhelpful")
-		f.plans["n"].Parents = nil
-		f.log.put("b", "api")
-		require.Equal(t, []string{"b"}, keys(f.readFrom(client, 1).Records))
+		require.Contains(t, cluster.logs.String(), "reader_unhelpful")
+		cluster.plans["n"].Parents = nil
+		cluster.log.put("b", "api")
+		require.Equal(t, []string{"b"}, keys(cluster.readFrom(client, 1).Records))
 	})
 }
 
@@ -190,24 +190,24 @@
 // readers for a limited time before they read the log themselves.
 func TestNodesThatStartTogetherWaitForTheirReaders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newTestCluster(t)
-		f.log.put("a", "api")
-		f.node("r", fanout.Plan{Shared: true, ReadsLog: true})
-		client := f.client("n", "r")
+		cluster := newTestCluster(t)
+		cluster.log.put("a", "api")
+		cluster.node("r", fanout.Plan{Shared: true, ReadsLog: true})
+		client := cluster.client("n", "r")
 		_, err := client.ReadNewest(t.Context(), sharedlog.Partition{Topic: "t"}, "")
 		require.True(t, result.Is(err, result.LogUnavailable))
-		require.Zero(t, f.log.reads)
-		f.readNewest(f.feeds["r"])
-		require.Equal(t, []string{"a"}, f.readNewest(client), "a reader that was not ready is not avoided")
-		require.Equal(t, 1, f.log.reads)
-		waiting := f.client("late", "gone")
+		require.Zero(t, cluster.log.reads)
+		cluster.readNewest(cluster.feeds["r"])
+		require.Equal(t, []string{"a"}, cluster.readNewest(client), "a reader that was not ready is not avoided")
+		require.Equal(t, 1, cluster.log.reads)
+		waiting := cluster.client("late", "gone")
 		for range 8 {
 			_, err := waiting.ReadNewest(t.Context(), sharedlog.Partition{Topic: "t"}, "")
 			require.True(t, result.Is(err, result.LogUnavailable))
 			time.Sleep(250 * time.Millisecond)
 		}
-		f.readNewest(waiting)
-		require.Equal(t, 2, f.log.reads, "the node reads the log once its wait for the readers has ended")
+		cluster.readNewest(waiting)
+		require.Equal(t, 2, cluster.log.reads, "the node reads the log once its wait for the readers has ended")
 	})
 }
 
@@ -216,52 +216,52 @@
 // other nodes read the log for it.
 func TestNodeThatNeedsOtherGroupsReadsTheNewestEntriesAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newTestCluster(t)
-		f.log.put("a", "api")
-		f.log.put("b", "llm")
-		f.reader("r")
-		client := f.client("n", "r")
-		f.readNewest(client)
+		cluster := newTestCluster(t)
+		cluster.log.put("a", "api")
+		cluster.log.put("b", "llm")
+		cluster.reader("r")
+		client := cluster.client("n", "r")
+		cluster.readNewest(client)
 		truncated := func() {
 			_, err := client.ReadKeyed(t.Context(), sharedlog.Partition{Topic: "t"}, 2, 0)
 			require.True(t, result.Is(err, result.LogTruncated))
 		}
-		f.required = fanout.Only("api", "llm")
+		cluster.required = fanout.Only("api", "llm")
 		truncated()
-		require.Equal(t, []string{"a", "b"}, f.readNewest(client))
-		f.required = fanout.All()
+		require.Equal(t, []string{"a", "b"}, cluster.readNewest(client))
+		cluster.required = fanout.All()
 		truncated()
-		f.readNewest(client)
+		cluster.readNewest(client)
 		require.True(t, client.Complete())
-		f.required = fanout.Only("api")
-		f.readFrom(client, 2)
+		cluster.required = fanout.Only("api")
+		cluster.readFrom(client, 2)
 		time.Sleep(shrinkDelay + time.Second)
 		truncated()
-		require.Equal(t, []string{"a"}, f.readNewest(client))
+		require.Equal(t, []string{"a"}, cluster.readNewest(client))
 	})
 }
 
 func TestHeldRequestReturnsAtTheFirstRequestedEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newTestCluster(t)
-		reader := f.reader("r")
+		cluster := newTestCluster(t)
+		reader := cluster.reader("r")
 		request := &pathbendv1.ReadEntries{Topic: "t", Groups: []string{"api"}, HoldMs: 1000}
 		began := time.Now()
 		go func() {
 			time.Sleep(100 * time.Millisecond)
-			f.log.put("m", "llm")
-			f.readFrom(reader, 0)
+			cluster.log.put("m", "llm")
+			cluster.readFrom(reader, 0)
 			time.Sleep(200 * time.Millisecond)
-			f.log.put("a", "api")
-			f.readFrom(reader, 1)
+			cluster.log.put("a", "api")
+			cluster.readFrom(reader, 1)
 		}()
-		response, err := f.servers["r"].Serve(t.Context(), request)
+		response, err := cluster.servers["r"].Serve(t.Context(), request)
 		require.NoError(t, err)
 		require.Equal(t, 300*time.Millisecond, time.Since(began), "entries of other groups do not end the hold")
 		require.EqualValues(t, 2, response.Next)
 		request.From = 2
 		began = time.Now()
-		response, err = f.servers["r"].Serve(t.Context(), request)
+		response, err = cluster.servers["r"].Serve(t.Context(), request)
 		require.NoError(t, err)
 		require.Empty(t, response.Packed)
 		require.Equal(t, time.Second, time.Since(began))
@@ -270,28 +270,28 @@
 
 func TestHeldRequestsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newTestCluster(t)
-		f.reader("r")
+		cluster := newTestCluster(t)
+		cluster.reader("r")
 		ctx, cancel := context.WithCancel(t.Context())
 		for range maxHeldRequests {
 			go func() {
 				// The request is held until ctx ends.
-				_, _ = f.servers["r"].Serve(ctx, &pathbendv1.ReadEntries{Topic: "t", All: true, HoldMs: 1 << 40})
+				_, _ = cluster.servers["r"].Serve(ctx, &pathbendv1.ReadEntries{Topic: "t", All: true, HoldMs: 1 << 40})
 			}()
 		}
 		synctest.Wait()
-		_, err := f.servers["r"].Serve(t.Context(), &pathbendv1.ReadEntries{Topic: "t"})
+		_, err := cluster.servers["r"].Serve(t.Context(), &pathbendv1.ReadEntries{Topic: "t"})
 		require.True(t, result.Is(err, result.PeerUnreached))
 		cancel()
 		synctest.Wait()
-		_, err = f.servers["r"].Serve(t.Context(), &pathbendv1.ReadEntries{Topic: "t"})
+		_, err = cluster.servers["r"].Serve(t.Context(), &pathbendv1.ReadEntries{Topic: "t"})
 		require.NoError(t, err)
-		_, err = f.servers["r"].Serve(t.Context(), &pathbendv1.ReadEntries{Topic: "another"})
+		_, err = cluster.servers["r"].Serve(t.Context(), &pathbendv1.ReadEntries{Topic: "another"})
 		require.True(t, result.Is(err, result.FrameMalformed))
 	})
 }
 
-// Nothing of an invalid response is applied.
+// No part of an invalid response is applied.
 func TestInvalidResponseIsRejected(t *testing.T) {
 	packed, err := compress([]sharedlog.KeyedRecord{{Key: "a", Value: []byte("api"), Offset: 7}})
 	require.NoError(t, err)
@@ -369,19 +369,19 @@
 // again, which fills its cache, and serves them.
 func TestNodeThatBecomesAReaderServes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newTestCluster(t)
-		f.log.put("a", "api")
-		reader := f.node("r", fanout.Plan{ReadsLog: true})
-		f.readNewest(reader)
+		cluster := newTestCluster(t)
+		cluster.log.put("a", "api")
+		reader := cluster.node("r", fanout.Plan{ReadsLog: true})
+		cluster.readNewest(reader)
 		request := &pathbendv1.ReadEntries{Topic: "t", All: true, Newest: true}
-		_, err := f.servers["r"].Serve(t.Context(), request)
+		_, err := cluster.servers["r"].Serve(t.Context(), request)
 		require.True(t, result.Is(err, result.NotReady))
-		f.plans["r"].Shared = true
+		cluster.plans["r"].Shared = true
 		_, err = reader.ReadKeyed(t.Context(), sharedlog.Partition{Topic: "t"}, 1, 0)
 		require.True(t, result.Is(err, result.LogTruncated))
-		f.readNewest(reader)
-		f.readFrom(reader, 1)
-		response, err := f.servers["r"].Serve(t.Context(), request)
+		cluster.readNewest(reader)
+		cluster.readFrom(reader, 1)
+		response, err := cluster.servers["r"].Serve(t.Context(), request)
 		require.NoError(t, err)
 		require.NotEmpty(t, response.Packed)
 	})
--- a/internal/topicreader/ask.go
+++ b/internal/topicreader/fetch.go
@@ -20,7 +20,7 @@
 // of them did.
 func (f *Feed) fetch(ctx context.Context, plan fanout.Plan, request *pathbendv1.ReadEntries, hold time.Duration) (sharedlog.KeyedBatch, bool) {
 	request.Topic = f.config.Topic
-	for _, parent := range f.choice.Parents(plan, time.Now()) {
+	for _, parent := range f.selector.Parents(plan, time.Now()) {
 		batch, err := f.fetchFrom(ctx, parent, request, hold)
 		f.config.Counter.EntriesRead(FromReader, err == nil)
 		if err == nil {
@@ -40,7 +40,7 @@
 // avoid excludes a reader from being selected for a while, and logs its error.
 func (f *Feed) avoid(parent fanout.Node, err error) {
 	now := time.Now()
-	f.choice.RecordFailure(parent.Name, now)
+	f.selector.RecordFailure(parent.Name, now)
 	if f.logLimiter.Allow(now) {
 		f.config.Logger.Log(event.ReaderUnhelpful, "reader", parent.Name, "topic", f.config.Topic, "detail", err.Error())
 	}
@@ -49,11 +49,11 @@
 func (f *Feed) fetchFrom(ctx context.Context, parent fanout.Node, request *pathbendv1.ReadEntries, hold time.Duration) (sharedlog.KeyedBatch, error) {
 	ctx, cancel := context.WithTimeout(ctx, hold+responseTimeout)
 	defer cancel()
-	reply, err := f.config.Caller.Call(ctx, parent.Address, &pathbendv1.Envelope{Body: &pathbendv1.Envelope_ReadEntries{ReadEntries: request}})
+	response, err := f.config.Caller.Call(ctx, parent.Address, &pathbendv1.Envelope{Body: &pathbendv1.Envelope_ReadEntries{ReadEntries: request}})
 	if err != nil {
 		return sharedlog.KeyedBatch{}, err
 	}
-	return decodeResponse(reply.GetEntryBatch(), request)
+	return decodeResponse(response.GetEntryBatch(), request)
 }
 
 // decodeResponse validates and decodes a reader's response. An invalid response is rejected as
@@ -74,8 +74,8 @@
 		return sharedlog.KeyedBatch{}, err
 	}
 	for _, record := range records {
-		// The newest entries are no consistent snapshot: some may lie at or beyond the offset at
-		// which reading continues.
+		// The newest entries are not a consistent snapshot: some may lie at or beyond the offset
+		// at which reading continues.
 		if !request.Newest && (record.Offset >= response.Next || record.Offset < request.From) {
 			return sharedlog.KeyedBatch{}, result.New(result.FrameMalformed, "the entry at offset %d is outside of the range from %d to %d", record.Offset, request.From, response.Next)
 		}
--- a/internal/topicreader/serve.go
+++ b/internal/topicreader/serve.go
@@ -70,8 +70,8 @@
 		return batch, !ready, nil
 	}
 	hold := min(time.Duration(max(request.HoldMs, 0))*time.Millisecond, maxHoldTime)
-	batch, kept := f.await(ctx, request.From, groups, hold)
-	return batch, !kept, nil
+	batch, available := f.await(ctx, request.From, groups, hold)
+	return batch, !available, nil
 }
 
 // await returns the records of the groups from an offset, and waits up to hold for the first
@@ -80,16 +80,16 @@
 	timer := time.NewTimer(hold)
 	defer timer.Stop()
 	for {
-		batch, kept, changed := f.cache.Since(from, groups)
-		if !kept || len(batch.Records) > 0 || hold <= 0 {
-			return batch, kept
+		batch, available, changed := f.cache.Since(from, groups)
+		if !available || len(batch.Records) > 0 || hold <= 0 {
+			return batch, available
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
-			return batch, kept
+			return batch, available
 		case <-ctx.Done():
-			return batch, kept
+			return batch, available
 		}
 	}
 }
