--- a/internal/blobstore/store.go
+++ b/internal/blobstore/store.go
@@ -1,6 +1,6 @@
-// Package blobstore stores payloads of any size as blobs in a topic of the log that no node
-// consumes continuously: the items of jobs, and the texts of results. Ledger entries refer to
-// blobs, which are read on demand.
+// Package blobstore stores payloads as blobs in a topic of the log that no node consumes
+// continuously: the items of jobs, and the texts of results. Ledger entries refer to blobs,
+// which are read on demand. A blob is one or more adjacent records, which one append stores.
 package blobstore
 
 import (
@@ -20,7 +20,7 @@
 )
 
 const (
-	// topic holds the data that is too large for every node to read.
+	// topic is the topic for payloads, which are too large for every node to read.
 	topic = "pathbend-blobs"
 	// appendTimeout bounds one append of blobs and readTimeout one read, for a nearby log. A
 	// distant log is given more time.
@@ -74,8 +74,8 @@
 	// ExtraLatency returns how much longer an answer takes than that of a nearby log.
 	ExtraLatency() time.Duration
 	// AppendTimeout returns the time after which an append counts as lost, which is bounded
-	// by limit for a nearby log, and whether the log answered recently.
-	AppendTimeout(limit time.Duration) (after time.Duration, answers bool)
+	// by limit for a nearby log, and whether the log answered an append recently.
+	AppendTimeout(limit time.Duration) (after time.Duration, responsive bool)
 }
 
 // Limits are the limits of the log.
@@ -209,8 +209,8 @@
 	return payloads, nil
 }
 
-// GetUntilError is like Get, but with an error it also returns the payloads before the first one that
-// could not be read.
+// GetUntilError is like Get, but with an error it also returns the payloads before the first
+// one that could not be read.
 func (s *Store) GetUntilError(ctx context.Context, blobs []*pathbendv1.Blob) ([][]byte, error) {
 	runs := splitRuns(blobs)
 	reads := make([]runResult, len(runs))
