--- a/internal/fanout/cache.go
+++ b/internal/fanout/cache.go
@@ -33,14 +33,14 @@
 }
 
 // groupedRecord is a record with its group and the previous group of its key: nodes that
-// want the previous group must learn that the key has left it.
+// require the previous group must learn that the key has left it.
 type groupedRecord struct {
 	sharedlog.KeyedRecord
 	group, previousGroup string
 }
 
-// wantedBy reports whether a node that wants the groups must get the record.
-func (g groupedRecord) wantedBy(groups Groups) bool {
+// requiredBy reports whether a node that requires the groups must get the record.
+func (g groupedRecord) requiredBy(groups Groups) bool {
 	return groups.Includes(g.group) || groups.Includes(g.previousGroup)
 }
 
@@ -111,7 +111,7 @@
 	c.changed = make(chan struct{})
 }
 
-// Snapshot returns the newest record of every key in the wanted groups, sorted by key. It
+// Snapshot returns the newest record of every key in the required groups, sorted by key. It
 // reports false if not every key has been read yet.
 func (c *Cache) Snapshot(groups Groups) (sharedlog.KeyedBatch, bool) {
 	c.mutex.Lock()
@@ -121,14 +121,14 @@
 	}
 	batch := sharedlog.KeyedBatch{EndOffset: c.nextOffset, NextOffset: c.nextOffset}
 	for _, key := range slices.Sorted(maps.Keys(c.newest)) {
-		if record := c.newest[key]; record.wantedBy(groups) {
+		if record := c.newest[key]; record.requiredBy(groups) {
 			batch.Records = append(batch.Records, record.KeyedRecord)
 		}
 	}
 	return batch, true
 }
 
-// Since returns the records of the wanted groups from an offset on, and a channel that is
+// Since returns the records of the required groups from an offset on, and a channel that is
 // closed at the next change. available is false if the cache does not hold all records from
 // that offset on; the requesting node must then start again from the newest records. If the
 // requesting node is ahead of this reader, the batch is empty and ends at from.
@@ -146,7 +146,7 @@
 		return 1
 	})
 	for _, record := range c.recent[first:] {
-		if record.wantedBy(groups) {
+		if record.requiredBy(groups) {
 			batch.Records = append(batch.Records, record.KeyedRecord)
 		}
 	}
--- a/internal/fanout/doc.go
+++ b/internal/fanout/doc.go
@@ -13,5 +13,5 @@
 // reader's entries, which the requesting node adds to the age of its own. A node whose
 // readers fail or lag reads the log itself.
 //
-// The package makes no calls; package feed uses it to drive them.
+// The package makes no calls; package topicreader makes them.
 package fanout
--- a/internal/fanout/fanout_test.go
+++ b/internal/fanout/fanout_test.go
@@ -25,7 +25,7 @@
 }
 
 func TestFewNodesReadTheLogThemselves(t *testing.T) {
-	plan := NewPlan(Sizes{}, "n-0-0", "zone-0", testNodes(2, defaultDirectNodes/2, 2))
+	plan := NewPlan(Sizes{}, "n-0-0", "zone-0", testNodes(2, defaultMaxDirectNodes/2, 2))
 	require.False(t, plan.Shared)
 	require.True(t, plan.ReadsLog)
 	require.Empty(t, plan.Parents)
@@ -71,15 +71,15 @@
 
 func TestFailedReaderIsAvoidedDuringItsBackoff(t *testing.T) {
 	now := time.Unix(100, 0)
-	choice := NewReaderSelector()
+	selector := NewReaderSelector()
 	plan := NewPlan(Sizes{}, "alone", "zone-0", testNodes(2, 200, 40))
-	first := choice.Parents(plan, now)
+	first := selector.Parents(plan, now)
 	require.Len(t, first, maxParentsPerRequest)
-	choice.RecordFailure(first[0].Name, now)
-	require.Equal(t, first[1], choice.Parents(plan, now)[0])
-	require.Equal(t, first, choice.Parents(plan, now.Add(failedReaderBackoff)))
-	require.True(t, choice.MayWaitForReaders(now.Add(startTimeout/2)), "the timeout runs from the first request on")
-	require.False(t, choice.MayWaitForReaders(now.Add(startTimeout)))
+	selector.RecordFailure(first[0].Name, now)
+	require.Equal(t, first[1], selector.Parents(plan, now)[0])
+	require.Equal(t, first, selector.Parents(plan, now.Add(failedReaderBackoff)))
+	require.True(t, selector.MayWaitForReaders(now.Add(startTimeout/2)), "the timeout runs from the first request on")
+	require.False(t, selector.MayWaitForReaders(now.Add(startTimeout)))
 }
 
 func record(key, group string, offset uint64) sharedlog.KeyedRecord {
@@ -96,7 +96,7 @@
 	return keys
 }
 
-func TestCacheServesTheWantedGroups(t *testing.T) {
+func TestCacheServesTheRequiredGroups(t *testing.T) {
 	cache := NewCache(groupByValue)
 	_, ready := cache.Snapshot(All())
 	require.False(t, ready, "nothing has been read")
@@ -113,7 +113,7 @@
 }
 
 // A key that is deleted, becomes malformed or changes its group is reported to the nodes that
-// want its previous group too; otherwise they would keep the old record.
+// require its previous group too; otherwise they would keep the old record.
 func TestChangesAreServedToThePreviousGroup(t *testing.T) {
 	cache := NewCache(groupByValue)
 	cache.Reset([]sharedlog.KeyedRecord{record("a", "api", 1), record("b", "llm", 2), record("c", "api", 3)}, 4)
--- a/internal/fanout/groups.go
+++ b/internal/fanout/groups.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Groups is the set of groups whose entries a node wants. The zero value is empty.
+// Groups is the set of groups whose entries a node requires. The zero value is empty.
 type Groups struct {
 	all   bool
 	names []string // sorted, without duplicates; empty if all is set
--- a/internal/fanout/plan.go
+++ b/internal/fanout/plan.go
@@ -10,24 +10,25 @@
 // Sizes are the numbers of nodes that decide whether nodes share readers, and how many. The
 // zero value stands for the defaults: 128 nodes that read directly and 32 nodes per reader.
 type Sizes struct {
-	// MaxDirectNodes is the maximum number of nodes that all read the log themselves, NodesPerReader the
-	// mean number of nodes that one reader serves.
+	// MaxDirectNodes is the maximum number of nodes that all read the log themselves,
+	// NodesPerReader the mean number of nodes that one reader serves.
 	MaxDirectNodes, NodesPerReader int
 }
 
 // orDefault replaces the zero value by the defaults.
 func (s Sizes) orDefault() Sizes {
 	if s == (Sizes{}) {
-		return Sizes{MaxDirectNodes: defaultDirectNodes, NodesPerReader: defaultNodesPerReader}
+		return Sizes{MaxDirectNodes: defaultMaxDirectNodes, NodesPerReader: defaultNodesPerReader}
 	}
 	return s
 }
 
 const (
-	// defaultDirectNodes is the default maximum of nodes that read directly. Up to 91 nodes, direct reads take less
-	// than a tenth of what the users' log can serve. With twice as many nodes as this, sharing
-	// would save at most half of the reads, at the cost of one more hop for every entry.
-	defaultDirectNodes = 128
+	// defaultMaxDirectNodes is the default maximum of nodes that read directly. Up to 91 nodes,
+	// direct reads take less than a tenth of what the users' log can serve. With twice as many
+	// nodes as this, sharing would save at most half of the reads, at the cost of one more hop
+	// for every entry.
+	defaultMaxDirectNodes = 128
 	// defaultNodesPerReader is the default mean of nodes per reader. When all nodes start at once,
 	// each gets the entries of the applications, about 60 kB compressed for 2,222 of them: a
 	// reader sends 2 MB, which is 0.3 s of the slowest link (60 Mbit/s). 985 nodes have about
@@ -49,7 +50,7 @@
 	Large bool
 }
 
-// Plan is the part of one node in reading a topic.
+// Plan tells one node how it reads a topic: the log itself, or through which readers.
 type Plan struct {
 	// Shared is set if some nodes read for the others; otherwise every node reads for itself.
 	Shared bool
--- a/internal/fanout/reader_selector.go
+++ b/internal/fanout/reader_selector.go
@@ -10,9 +10,9 @@
 	// process that stopped is back after about 2 s, and its entry in the directory remains
 	// meanwhile.
 	failedReaderBackoff = 3 * time.Second
-	// MaxReaderAge is the maximum age of a reader's entries; beyond it the reader lags. A reader
-	// that reaches the log gets an answer from it every 0.6 s and pauses for 0.1 s. On the
-	// users' smallest deployments a leaving sampler must get no new work after 2 s: this age,
+	// MaxReaderAge is the maximum age of a reader's entries; beyond it the reader lags. A
+	// reader that reaches the log gets an answer from it every 0.6 s and pauses for 0.1 s. On
+	// the users' smallest deployments a leaving sampler must get no new work after 2 s: this age,
 	// the 0.6 s for which a request is held and a pause of 0.1 s add up to less.
 	MaxReaderAge = 1200 * time.Millisecond
 	// startTimeout is how long a node without entries retries the readers, from its first
@@ -24,8 +24,8 @@
 	RetryInterval = 250 * time.Millisecond
 )
 
-// ReaderSelector selects the readers that a node asks, and avoids those that failed recently. It is
-// safe for concurrent use.
+// ReaderSelector selects the readers that a node asks, and avoids those that failed recently.
+// It is safe for concurrent use.
 type ReaderSelector struct {
 	mutex sync.Mutex
 	// firstRequestAt is when the node first selected readers to ask.
@@ -34,21 +34,21 @@
 	avoidUntil map[string]time.Time
 }
 
-// NewReaderSelector returns the state of a node that has asked no reader yet.
+// NewReaderSelector returns a selector for a node that has asked no reader yet.
 func NewReaderSelector() *ReaderSelector {
 	return &ReaderSelector{avoidUntil: make(map[string]time.Time)}
 }
 
 // Parents returns the readers to ask now, in order of preference.
-func (c *ReaderSelector) Parents(plan Plan, now time.Time) []Node {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	if c.firstRequestAt.IsZero() {
-		c.firstRequestAt = now
+func (s *ReaderSelector) Parents(plan Plan, now time.Time) []Node {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if s.firstRequestAt.IsZero() {
+		s.firstRequestAt = now
 	}
 	var available []Node
 	for _, parent := range plan.Parents {
-		if now.Before(c.avoidUntil[parent.Name]) {
+		if now.Before(s.avoidUntil[parent.Name]) {
 			continue
 		}
 		if available = append(available, parent); len(available) == maxParentsPerRequest {
@@ -59,21 +59,21 @@
 }
 
 // RecordFailure records that a reader gave no answer or one that is too old.
-func (c *ReaderSelector) RecordFailure(name string, now time.Time) {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	c.avoidUntil[name] = now.Add(failedReaderBackoff)
-	for other, until := range c.avoidUntil {
+func (s *ReaderSelector) RecordFailure(name string, now time.Time) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.avoidUntil[name] = now.Add(failedReaderBackoff)
+	for other, until := range s.avoidUntil {
 		if now.After(until) {
-			delete(c.avoidUntil, other)
+			delete(s.avoidUntil, other)
 		}
 	}
 }
 
-// MayWaitForReaders reports whether a node without entries should retry the readers rather than read the
-// log itself.
-func (c *ReaderSelector) MayWaitForReaders(now time.Time) bool {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	return c.firstRequestAt.IsZero() || now.Sub(c.firstRequestAt) < startTimeout
+// MayWaitForReaders reports whether a node without entries should retry the readers rather
+// than read the log itself.
+func (s *ReaderSelector) MayWaitForReaders(now time.Time) bool {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.firstRequestAt.IsZero() || now.Sub(s.firstRequestAt) < startTimeout
 }
