--- a/internal/roundtrip/estimator_test.go
+++ b/internal/roundtrip/estimator_test.go
@@ -15,8 +15,8 @@
 	return time.Duration(rapid.IntRange(minimum, maximum).Draw(t, label)) * time.Millisecond
 }
 
-// Whatever answers and abandoned calls are recorded, the time-out and the extra time
-// for distance stay within the bounds.
+// Whatever answers and abandoned calls are recorded, the timeout and the extra latency stay
+// within the bounds.
 func TestTimeoutStaysWithinItsBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		estimator := New(testBounds)
@@ -30,16 +30,16 @@
 			}
 			timeout := estimator.Estimate().Timeout
 			if timeout < testBounds.MinTimeout || timeout > testBounds.MaxTimeout {
-				t.Fatalf("time-out %v is out of bounds", timeout)
+				t.Fatalf("timeout %v is out of bounds", timeout)
 			}
-			if beyond := estimator.ExtraLatency(); beyond < 0 || beyond > timeout-testBounds.MinTimeout {
-				t.Fatalf("extra time is %v with a time-out of %v", beyond, timeout)
+			if extra := estimator.ExtraLatency(); extra < 0 || extra > timeout-testBounds.MinTimeout {
+				t.Fatalf("extra latency is %v with a timeout of %v", extra, timeout)
 			}
 		}
 	})
 }
 
-// The round-trip time changes abruptly, up or down. The time-out exceeds the new round-trip
+// The round-trip time changes abruptly, up or down. The timeout exceeds the new round-trip
 // time after 3 answers, and has converged to within 5 ms of its steady value after 60 more.
 func TestTimeoutFollowsAStepInRoundTripTime(t *testing.T) {
 	const few, many = 3, 60
@@ -54,7 +54,7 @@
 			estimator.RecordAnswer(after, now)
 		}
 		if timeout := estimator.Estimate().Timeout; timeout <= after {
-			t.Fatalf("time-out is %v after %d answers that took %v", timeout, few, after)
+			t.Fatalf("timeout is %v after %d answers that took %v", timeout, few, after)
 		}
 		for range many {
 			estimator.RecordAnswer(after, now)
@@ -62,13 +62,13 @@
 		steady := max(after+Granularity, testBounds.MinTimeout)
 		const tolerance = 5 * time.Millisecond
 		if timeout := estimator.Estimate().Timeout; (timeout - steady).Abs() > tolerance {
-			t.Fatalf("time-out is %v after %d answers that took %v", timeout, few+many, after)
+			t.Fatalf("timeout is %v after %d answers that took %v", timeout, few+many, after)
 		}
 	})
 }
 
-// However many calls are lost in a row, the time-out never shrinks meanwhile, the extra time for
-// distance is unchanged, and the next answer resets the back-off.
+// However many calls are lost in a row, the timeout never shrinks meanwhile, the extra
+// latency is unchanged, and the next answer resets the backoff.
 func TestAnswerResetsTheBackoffAfterManyLosses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		estimator := New(testBounds)
@@ -78,23 +78,23 @@
 			estimator.RecordAnswer(roundTrip, now)
 		}
 		before := estimator.Estimate().Timeout
-		beyond := estimator.ExtraLatency()
+		extra := estimator.ExtraLatency()
 		longest := before
 		for range rapid.IntRange(1, 10_000).Draw(t, "lost") {
 			now = now.Add(time.Minute)
 			estimator.RecordAbandoned(2*time.Second, now)
 			if timeout := estimator.Estimate().Timeout; timeout < longest {
-				t.Fatalf("time-out shrank to %v from %v", timeout, longest)
+				t.Fatalf("timeout shrank to %v from %v", timeout, longest)
 			} else {
 				longest = timeout
 			}
 		}
-		if estimator.ExtraLatency() != beyond {
-			t.Fatalf("losses changed the extra time from %v to %v", beyond, estimator.ExtraLatency())
+		if estimator.ExtraLatency() != extra {
+			t.Fatalf("losses changed the extra latency from %v to %v", extra, estimator.ExtraLatency())
 		}
 		estimator.RecordAnswer(roundTrip, now)
 		if after := estimator.Estimate().Timeout; after > before {
-			t.Fatalf("time-out was %v before the losses and is %v after the next answer", before, after)
+			t.Fatalf("timeout was %v before the losses and is %v after the next answer", before, after)
 		}
 	})
 }
@@ -123,9 +123,9 @@
 	require.False(t, estimator.AnsweredSince(start.Add(1)))
 }
 
-// Time-outs elsewhere are set for a service that answers in 4 ms: for such a service they must
+// Timeouts elsewhere are set for a service that answers in 4 ms: for such a service they must
 // not be lengthened.
-func TestBeyondIsZeroForANearbyService(t *testing.T) {
+func TestExtraLatencyIsZeroForANearbyService(t *testing.T) {
 	estimator := New(testBounds)
 	require.Zero(t, estimator.ExtraLatency(), "no answer yet")
 	for range 20 {
