--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,11 +1,11 @@
 // Package clock measures time including the time for which the machine was suspended.
 //
 // The monotonic clock that time.Now reads stops while the machine is suspended, but time goes
-// on for other machines. Measured by it alone, a lease would outlast its end, and data read
-// before the suspension would look recent. Ages that other machines rely on, such as those of
-// leases, of data read and of deadlines, are therefore measured with this package, as
-// monotonic time plus the time of suspension. Timers can use the monotonic clock alone: they
-// only wake code that then checks an age.
+// on for other machines. By that clock alone, a node would use a lease after its expiry, and
+// data read before the suspension would look recent. Ages that other machines rely on, such
+// as those of leases, of data read and of deadlines, are therefore measured with this
+// package, as monotonic time plus the time of suspension. Timers can use the monotonic clock
+// alone: they only wake code that then checks an age.
 package clock
 
 import (
@@ -65,12 +65,12 @@
 // Simulate makes suspended the source of the suspension time, for tests and simulations, until
 // restore is called.
 func Simulate(suspended func() time.Duration) (restore func()) {
-	former := simulated.Swap(&suspended)
-	return func() { simulated.Store(former) }
+	previous := simulated.Swap(&suspended)
+	return func() { simulated.Store(previous) }
 }
 
-// SuspendedTime returns the time for which the machine was suspended since the process started. It
-// reads clocks three times, which takes 0.6 µs (see BenchmarkSlept).
+// SuspendedTime returns the time for which the machine was suspended since the process
+// started. It reads clocks three times, which takes 0.6 µs (see BenchmarkSuspendedTime).
 func SuspendedTime() time.Duration {
 	if suspended := simulated.Load(); suspended != nil {
 		return (*suspended)()
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-func BenchmarkSlept(b *testing.B) {
+func BenchmarkSuspendedTime(b *testing.B) {
 	for range b.N {
 		SuspendedTime()
 	}
