--- a/internal/quota/allocator.go
+++ b/internal/quota/allocator.go
@@ -32,19 +32,19 @@
 	reports map[string]report
 }
 
-// NewAllocator returns one without reports.
+// NewAllocator returns an allocator without reports.
 func NewAllocator() *Allocator { return &Allocator{reports: make(map[string]report)} }
 
 // Report records a node's demand and returns its share of rate; all three are in
 // requests per second. If the total demand reaches the rate, the rate is divided
 // in proportion to demand. Otherwise every node gets its demand and an equal part
 // of the remaining rate, so that its demand can grow.
-func (l *Allocator) Report(now time.Time, node string, demand, rate float64) float64 {
-	l.reports[node] = report{demand: demand, receivedAt: now}
+func (a *Allocator) Report(now time.Time, node string, demand, rate float64) float64 {
+	a.reports[node] = report{demand: demand, receivedAt: now}
 	total := 0.0
-	for id, latest := range l.reports {
+	for id, latest := range a.reports {
 		if now.Sub(latest.receivedAt) >= ReportTTL {
-			delete(l.reports, id)
+			delete(a.reports, id)
 			continue
 		}
 		total += latest.demand
@@ -52,12 +52,12 @@
 	if total >= rate {
 		return rate * demand / total
 	}
-	return demand + (rate-total)/float64(len(l.reports))
+	return demand + (rate-total)/float64(len(a.reports))
 }
 
 // ActiveNodes returns the number of nodes whose reports had not expired at the
 // last call of Report.
-func (l *Allocator) ActiveNodes() int { return len(l.reports) }
+func (a *Allocator) ActiveNodes() int { return len(a.reports) }
 
 // Meter estimates a node's demand from its arrivals by exponential smoothing. The
 // zero value has no demand.
--- a/internal/quota/allocator_test.go
+++ b/internal/quota/allocator_test.go
@@ -18,12 +18,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(1, 1000).Draw(t, "rate")
 		demands := rapid.SliceOfN(rapid.Float64Range(0.1, 1000), 1, 20).Draw(t, "demands")
-		ledger := NewAllocator()
+		allocator := NewAllocator()
 		sum, total := 0.0, 0.0
 		for round := range 2 {
 			sum, total = 0, 0
 			for i, demand := range demands {
-				share := ledger.Report(start, fmt.Sprint("n", i), demand, rate)
+				share := allocator.Report(start, fmt.Sprint("n", i), demand, rate)
 				sum += share
 				total += demand
 				if round == 1 && len(demands) > 0 {
@@ -44,12 +44,12 @@
 }
 
 func TestSoleNodeGetsTheWholeRateUntilAnotherReports(t *testing.T) {
-	ledger := NewAllocator()
-	require.InDelta(t, 100, ledger.Report(start, "a", 10, 100), 1e-9)
-	require.InDelta(t, 90, ledger.Report(start, "b", 90, 100), 1e-9)
-	require.InDelta(t, 10, ledger.Report(start, "a", 10, 100), 1e-9)
-	require.InDelta(t, 100, ledger.Report(start.Add(ReportTTL), "a", 10, 100), 1e-9, "the report of b has expired")
-	require.Equal(t, 1, ledger.ActiveNodes())
+	allocator := NewAllocator()
+	require.InDelta(t, 100, allocator.Report(start, "a", 10, 100), 1e-9)
+	require.InDelta(t, 90, allocator.Report(start, "b", 90, 100), 1e-9)
+	require.InDelta(t, 10, allocator.Report(start, "a", 10, 100), 1e-9)
+	require.InDelta(t, 100, allocator.Report(start.Add(ReportTTL), "a", 10, 100), 1e-9, "the report of b has expired")
+	require.Equal(t, 1, allocator.ActiveNodes())
 }
 
 func TestMeterFollowsDemandAndDropsToZeroWhenIdle(t *testing.T) {
