--- a/internal/evacuation/evacuation.go
+++ b/internal/evacuation/evacuation.go
@@ -37,8 +37,9 @@
 	Evacuated, Restored []Zone
 }
 
-// ReplaceSource returns a snapshot in which the requests of one source are replaced by names, and
-// the changes that this makes. Zones that the source requested before keep their Since.
+// ReplaceSource returns a snapshot in which one source requests the evacuation of exactly the
+// named zones, and the changes that this makes. Zones that the source requested before keep
+// their Since.
 func (z Zones) ReplaceSource(source Source, names []string, now time.Time) (Zones, Changes) {
 	var next Zones
 	for _, request := range z.requests {
