--- a/internal/controlstate/doc.go
+++ b/internal/controlstate/doc.go
@@ -1,7 +1,7 @@
-// Package controlstate implements the replicated state machine of the control stream.
-// Its state, which all nodes share, is the configuration revisions, the roster
-// of nodes and their replica groups, the leases, and the requests suspected of
-// crashing back ends.
+// Package controlstate implements the replicated state machine of the control stream
+// (logstore.ControlStream), the log of cluster-wide changes. Its state, which all nodes
+// share, is the configuration revisions, the roster of nodes and their replica groups,
+// the leases, and the requests suspected of crashing back ends.
 //
 // Machine.Apply is deterministic: every node that applies the same records in
 // offset order accepts and rejects the same ones and reaches the same state, so
