--- a/internal/logstore/client.go
+++ b/internal/logstore/client.go
@@ -28,11 +28,14 @@
 	// MaxBatchBytes is the maximum size of the encoded answer to one read.
 	MaxBatchBytes = 32 << 20
 	// readTimeout bounds a read, in addition to the time for which it waits for a record.
-	readTimeout      = 3 * time.Second
-	appendTimeout    = 3 * time.Second
+	readTimeout   = 3 * time.Second
+	appendTimeout = 3 * time.Second
+	// minRetryInterval and maxRetryInterval are the first and the longest pause of the
+	// exponential backoff between two attempts of AppendRecord.
 	minRetryInterval = 50 * time.Millisecond
 	maxRetryInterval = 2 * time.Second
-	maxIdleConns     = 4
+	// maxIdleConns is the maximum number of idle connections to the log service.
+	maxIdleConns = 4
 )
 
 // Entry is one record with its offset in the stream.
