--- a/internal/fanout/plan.go
+++ b/internal/fanout/plan.go
@@ -35,9 +35,9 @@
 	// 35 readers, which read 0.2 GB instead of 5.9 GB; with twice the nodes and samplers they
 	// read 0.8 GB, which is 10 s of the log's rate.
 	defaultNodesPerReader = 32
-	// maxParentsPerRequest is the number of readers that are tried for one request before the
+	// maxReadersPerRequest is the number of readers that are tried for one request before the
 	// node reads the log itself.
-	maxParentsPerRequest = 2
+	maxReadersPerRequest = 2
 )
 
 // Node is a node as listed in the directory.
@@ -64,8 +64,8 @@
 }
 
 // NewPlan returns the plan of the node self in a zone, given the nodes that it knows. Nodes that
-// know the same nodes make consistent plans. While their knowledge differs, a node may be
-// asked that does not read; it refuses the request.
+// know the same nodes make consistent plans. While their knowledge differs, a node that does
+// not read the log may be asked; it refuses the request.
 func NewPlan(sizes Sizes, self string, zone string, known []Node) Plan {
 	sizes = sizes.orDefault()
 	if len(known) <= sizes.MaxDirectNodes {
--- a/internal/fanout/reader_selector.go
+++ b/internal/fanout/reader_selector.go
@@ -39,19 +39,19 @@
 	return &ReaderSelector{avoidUntil: make(map[string]time.Time)}
 }
 
-// Parents returns the readers to ask now, in order of preference.
-func (s *ReaderSelector) Parents(plan Plan, now time.Time) []Node {
+// Select returns the readers to ask now, in order of preference.
+func (s *ReaderSelector) Select(plan Plan, now time.Time) []Node {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.firstRequestAt.IsZero() {
 		s.firstRequestAt = now
 	}
 	var available []Node
-	for _, parent := range plan.Parents {
-		if now.Before(s.avoidUntil[parent.Name]) {
+	for _, reader := range plan.Parents {
+		if now.Before(s.avoidUntil[reader.Name]) {
 			continue
 		}
-		if available = append(available, parent); len(available) == maxParentsPerRequest {
+		if available = append(available, reader); len(available) == maxReadersPerRequest {
 			break
 		}
 	}
--- a/internal/ownership/holder.go
+++ b/internal/ownership/holder.go
@@ -207,8 +207,8 @@
 	return h.candidate.Joined()
 }
 
-// prepare makes the node load the data that it needs to execute, if it is or should become a
-// member of the group, and release that data otherwise.
+// prepare makes the node load the data that it needs to execute if it is or should become a
+// member of the group, and allows it to drop that data otherwise.
 func (h *Holder) prepare(view election.View) {
 	switch {
 	case h.preparation == nil:
--- a/internal/topicreader/fetch.go
+++ b/internal/topicreader/fetch.go
@@ -20,8 +20,8 @@
 // of them did.
 func (f *Feed) fetch(ctx context.Context, plan fanout.Plan, request *pathbendv1.ReadEntries, hold time.Duration) (sharedlog.KeyedBatch, bool) {
 	request.Topic = f.config.Topic
-	for _, parent := range f.selector.Parents(plan, time.Now()) {
-		batch, err := f.fetchFrom(ctx, parent, request, hold)
+	for _, reader := range f.selector.Select(plan, time.Now()) {
+		batch, err := f.fetchFrom(ctx, reader, request, hold)
 		f.config.Counter.EntriesRead(FromReader, err == nil)
 		if err == nil {
 			return batch, true
@@ -31,25 +31,25 @@
 		}
 		// A reader that is still starting has no entries yet; it is not avoided.
 		if !result.Is(err, result.NotReady) {
-			f.avoid(parent, err)
+			f.avoid(reader, err)
 		}
 	}
 	return sharedlog.KeyedBatch{}, false
 }
 
 // avoid excludes a reader from being selected for a while, and logs its error.
-func (f *Feed) avoid(parent fanout.Node, err error) {
+func (f *Feed) avoid(reader fanout.Node, err error) {
 	now := time.Now()
-	f.selector.RecordFailure(parent.Name, now)
+	f.selector.RecordFailure(reader.Name, now)
 	if f.logLimiter.Allow(now) {
-		f.config.Logger.Log(event.ReaderUnhelpful, "reader", parent.Name, "topic", f.config.Topic, "detail", err.Error())
+		f.config.Logger.Log(event.ReaderUnhelpful, "reader", reader.Name, "topic", f.config.Topic, "detail", err.Error())
 	}
 }
 
-func (f *Feed) fetchFrom(ctx context.Context, parent fanout.Node, request *pathbendv1.ReadEntries, hold time.Duration) (sharedlog.KeyedBatch, error) {
+func (f *Feed) fetchFrom(ctx context.Context, reader fanout.Node, request *pathbendv1.ReadEntries, hold time.Duration) (sharedlog.KeyedBatch, error) {
 	ctx, cancel := context.WithTimeout(ctx, hold+responseTimeout)
 	defer cancel()
-	response, err := f.config.Caller.Call(ctx, parent.Address, &pathbendv1.Envelope{Body: &pathbendv1.Envelope_ReadEntries{ReadEntries: request}})
+	response, err := f.config.Caller.Call(ctx, reader.Address, &pathbendv1.Envelope{Body: &pathbendv1.Envelope_ReadEntries{ReadEntries: request}})
 	if err != nil {
 		return sharedlog.KeyedBatch{}, err
 	}
