--- a/internal/fanout/plan.go
+++ b/internal/fanout/plan.go
@@ -10,33 +10,34 @@
 // Sizes are the numbers of nodes that decide whether nodes share readers, and how many. The
 // zero value stands for the defaults: 128 nodes that read directly and 32 nodes per reader.
 type Sizes struct {
-	// MaxDirectNodes is the maximum number of nodes that all read the log themselves, NodesPerReader the
-	// mean number of nodes that one reader serves.
+	// MaxDirectNodes is the maximum number of nodes that all read the log themselves,
+	// NodesPerReader the mean number of nodes that one reader serves.
 	MaxDirectNodes, NodesPerReader int
 }
 
 // orDefault replaces the zero value by the defaults.
 func (s Sizes) orDefault() Sizes {
 	if s == (Sizes{}) {
-		return Sizes{MaxDirectNodes: defaultDirectNodes, NodesPerReader: defaultNodesPerReader}
+		return Sizes{MaxDirectNodes: defaultMaxDirectNodes, NodesPerReader: defaultNodesPerReader}
 	}
 	return s
 }
 
 const (
-	// defaultDirectNodes is the default maximum of nodes that read directly. Up to 91 nodes, direct reads take less
-	// than a tenth of what the users' log can serve. With twice as many nodes as this, sharing
-	// would save at most half of the reads, at the cost of one more hop for every entry.
-	defaultDirectNodes = 128
+	// defaultMaxDirectNodes is the default maximum of nodes that read directly. Up to 91 nodes,
+	// direct reads take less than a tenth of what the users' log can serve. With twice as many
+	// nodes as this, sharing would save at most half of the reads, at the cost of one more hop
+	// for every entry.
+	defaultMaxDirectNodes = 128
 	// defaultNodesPerReader is the default mean of nodes per reader. When all nodes start at once,
 	// each gets the entries of the applications, about 60 kB compressed for 2,222 of them: a
 	// reader sends 2 MB, which is 0.3 s of the slowest link (60 Mbit/s). 985 nodes have about
 	// 35 readers, which read 0.2 GB instead of 5.9 GB; with twice the nodes and samplers they
 	// read 0.8 GB, which is 10 s of the log's rate.
 	defaultNodesPerReader = 32
-	// maxParentsPerRequest is the number of readers that are tried for one request before the
+	// maxReadersPerRequest is the number of readers that are tried for one request before the
 	// node reads the log itself.
-	maxParentsPerRequest = 2
+	maxReadersPerRequest = 2
 )
 
 // Node is a node as listed in the directory.
@@ -49,7 +50,7 @@
 	Large bool
 }
 
-// Plan is the part of one node in reading a topic.
+// Plan tells one node how it reads a topic: the log itself, or through which readers.
 type Plan struct {
 	// Shared is set if some nodes read for the others; otherwise every node reads for itself.
 	Shared bool
@@ -63,8 +64,8 @@
 }
 
 // NewPlan returns the plan of the node self in a zone, given the nodes that it knows. Nodes that
-// know the same nodes make consistent plans. While their knowledge differs, a node may be
-// asked that does not read; it refuses the request.
+// know the same nodes make consistent plans. While their knowledge differs, a node that does
+// not read the log may be asked; it refuses the request.
 func NewPlan(sizes Sizes, self string, zone string, known []Node) Plan {
 	sizes = sizes.orDefault()
 	if len(known) <= sizes.MaxDirectNodes {
