--- a/internal/platformnode/admission.go
+++ b/internal/platformnode/admission.go
@@ -73,9 +73,9 @@
 	return jitterRetryAfter(result.New(result.NotReady, "%s", detail).WithRetryAfter(notReadyRetryAfter))
 }
 
-// maxDenialAge is the largest age of a configuration by which a node denies a route or a key. A
-// follower that is in touch with the log reads at least every 0.7 s. With an older
-// configuration the caller is told to retry, so that it may reach another node.
+// maxDenialAge is the largest age of a configuration by which a node denies a route or a key.
+// A follower that reaches the log reads at least every 0.7 s. With an older configuration the
+// caller is told to retry, so that it may reach another node.
 const maxDenialAge = 1500 * time.Millisecond
 
 // deny returns the denial if the node has the newest configuration, else a NotReady error: a
--- a/internal/platformnode/admission_test.go
+++ b/internal/platformnode/admission_test.go
@@ -39,10 +39,10 @@
 	admitted, err := node.Admit(t.Context(), "h", "/x", "of-t")
 	require.NoError(t, err)
 	require.Equal(t, "T", admitted.Tenant.Name)
-	permits := node.keyCheck(admitted, "of-t")
-	require.NoError(t, permits())
+	checkKey := node.keyCheck(admitted, "of-t")
+	require.NoError(t, checkKey())
 	node.ApplyCatalog(catalogWithKeys(t, 2))
-	require.True(t, result.Is(permits(), result.Unauthenticated))
+	require.True(t, result.Is(checkKey(), result.Unauthenticated))
 	_, err = node.Admit(t.Context(), "h", "/x", "of-t")
 	require.True(t, result.Is(err, result.Unauthenticated))
 }
--- a/internal/platformnode/batch.go
+++ b/internal/platformnode/batch.go
@@ -44,8 +44,8 @@
 	return nil
 }
 
-// resubmissionError returns the result of submitting a job that is already known: an error if it
-// belongs to another tenant.
+// resubmissionError returns the result of submitting a job that is already known: an error if
+// it belongs to another tenant.
 func resubmissionError(id string, otherTenant bool) error {
 	if otherTenant {
 		return result.New(result.JobConflict, "job id %q is already in use", id)
@@ -55,24 +55,24 @@
 
 // submit stores the items of a job and then the job itself. Items whose job is not stored
 // never run.
-func (b *jobStore) submit(ctx context.Context, id string, spec *pathbendv1.BatchJob, items []*pathbendv1.BatchItem, known func() bool) error {
+func (s *jobStore) submit(ctx context.Context, id string, spec *pathbendv1.BatchJob, items []*pathbendv1.BatchItem, known func() bool) error {
 	began := time.Now()
-	timeout := b.submitTimeout()
-	blobs, err := b.contents.PutItems(ctx, timeout, items)
+	timeout := s.submitTimeout()
+	blobs, err := s.blobs.PutItems(ctx, timeout, items)
 	if err != nil {
 		return notAccepted(err)
 	}
 	spec.ItemIds, spec.Items = itemIDs(items), blobs
 	entry := &pathbendv1.LedgerEntry{JobId: id, Fact: &pathbendv1.LedgerEntry_Submitted{Submitted: spec}}
-	return b.record(ctx, timeout-time.Since(began), known, entry)
+	return s.record(ctx, timeout-time.Since(began), known, entry)
 }
 
 // submitTimeout returns how long a submission is retried before it is refused. A node
 // that has not reached the log for a while refuses early, so that the caller can try
 // another node or come back. A node that has just started and does not follow the log yet
 // does not count as such.
-func (b *jobStore) submitTimeout() time.Duration {
-	if b.hasCurrentLog() || !b.following.Load() {
+func (s *jobStore) submitTimeout() time.Duration {
+	if s.hasCurrentLog() || !s.following.Load() {
 		return submitTimeout
 	}
 	return isolatedSubmitTimeout
@@ -181,7 +181,7 @@
 			break
 		}
 	}
-	if err := n.jobs.current(ctx, id, from); err != nil {
+	if err := n.jobs.ensureCurrent(ctx, id, from); err != nil {
 		n.logger.Log(event.BatchReadRefused, "job_id", id, "from", from, "detail", err.Error())
 		return Page{}, jitterRetryAfter(err)
 	}
@@ -194,8 +194,8 @@
 // they ask for; half of that is left for the connection and the transfer of the answer.
 const textReadTimeout = 750 * time.Millisecond
 
-// readTexts reads the texts of a page that was requested at requestedAt. If not all of them can
-// be read in time, the page is cut before the first missing one.
+// readTexts reads the texts of a page that was requested at requestedAt. If not all of them
+// can be read in time, the page is cut before the first missing one.
 func (n *Node) readTexts(ctx context.Context, id string, page Page, requestedAt time.Time) (Page, error) {
 	pageReadAt := time.Now()
 	var wanted []*pathbendv1.Blob
@@ -206,7 +206,7 @@
 	}
 	callCtx, cancel := context.WithTimeout(ctx, textReadTimeout)
 	defer cancel()
-	texts, err := n.jobs.contents.GetUntilError(callCtx, wanted)
+	texts, err := n.jobs.blobs.GetUntilError(callCtx, wanted)
 	total := page.fill(texts)
 	switch {
 	case err == nil:
@@ -246,9 +246,9 @@
 // page returns the known results of a job starting at position from, up to maxPageBytes of
 // text, and a channel that is closed at the next change. settled is true if no further
 // results can follow.
-func (b *jobStore) page(id string, from int) (page Page, changed <-chan struct{}, settled bool) {
+func (s *jobStore) page(id string, from int) (page Page, changed <-chan struct{}, settled bool) {
 	page.Results = []ledger.Result{}
-	changed = b.view(id, func(job *ledger.Job) {
+	changed = s.view(id, func(job *ledger.Job) {
 		if job == nil {
 			settled = true
 			return
@@ -281,7 +281,7 @@
 		}
 	})
 	if spec != nil {
-		items, err := n.jobs.contents.GetItems(ctx, spec)
+		items, err := n.jobs.blobs.GetItems(ctx, spec)
 		if err != nil {
 			n.logger.Log(event.BatchReadRefused, "job_id", id, "item_id", itemID, "detail", err.Error())
 			return nil, jitterRetryAfter(err)
--- a/internal/platformnode/claims.go
+++ b/internal/platformnode/claims.go
@@ -20,8 +20,9 @@
 )
 
 // claims ensures that only the holder of the job partition makes calls that a single node
-// at a time may make: orders to samplers and duties towards the platform. Before such a
-// call, a node appends a claim for its subject and reads the log up to that entry. If two
+// at a time may make: weight orders to samplers, and sampler orders and usage reports to the
+// platform. Before such a call, a node appends a claim for its subject and reads the log up
+// to that entry. If two
 // nodes both consider themselves the holder, the log puts their claims in one order: a node
 // with the lower fencing token that comes second sees the other's claim and cancels its
 // call, and a node with the higher token waits for a grace period before it acts on a
@@ -77,8 +78,8 @@
 	return superseded
 }
 
-// claimedRecently reports whether another node claimed a subject within the grace period. Calls of
-// two nodes for the same subject must be at least that far apart.
+// claimedRecently reports whether another node claimed a subject within the grace period.
+// Calls of two nodes for the same subject must be at least that far apart.
 func (c *claims) claimedRecently(subject string, now time.Time) bool {
 	recent := false
 	c.node.jobs.withLedger(func(state *ledger.Ledger) {
--- a/internal/platformnode/cold.go
+++ b/internal/platformnode/cold.go
@@ -44,8 +44,8 @@
 	return limits
 }
 
-// recordColdSamplers updates the metrics of cold samplers. It logs their number when it changes, and at
-// intervals that work waits for them. The caller holds the lock.
+// recordColdSamplers updates the metrics of cold samplers. It logs their number when it
+// changes, and at intervals that work waits for them. The caller holds the lock.
 func (e *executor) recordColdSamplers(now time.Time) {
 	status := e.scheduler.Cold(now)
 	e.node.metrics.recordCold(status)
--- a/internal/platformnode/evacuation.go
+++ b/internal/platformnode/evacuation.go
@@ -54,8 +54,8 @@
 	return count
 }
 
-// applyEvacuations passes changed evacuations to the scheduler. It is called before anything is
-// scheduled; the caller holds the lock.
+// applyEvacuations passes changed evacuations to the scheduler. It is called before anything
+// is scheduled; the caller holds the lock.
 func (e *executor) applyEvacuations() {
 	if current := e.node.evacuated.Load(); current != e.appliedEvacuations {
 		e.appliedEvacuations = current
--- a/internal/platformnode/executor.go
+++ b/internal/platformnode/executor.go
@@ -29,8 +29,8 @@
 	// samplerRefreshInterval is how often an unchanged sampler list is passed to the
 	// scheduler again, so that it forgets removed samplers whose last run has ended since.
 	samplerRefreshInterval = time.Second
-	// executorBatchDelay is the delay after a wake-up that lets simultaneous events be handled in
-	// one step.
+	// executorBatchDelay is the delay after a wake-up that lets simultaneous events be handled
+	// in one step.
 	executorBatchDelay = 4 * time.Millisecond
 	// progressInterval is how often the partial text of running items is saved.
 	progressInterval = 300 * time.Millisecond
@@ -45,10 +45,10 @@
 
 // executor runs the jobs of the job partition while this node holds it.
 type executor struct {
-	node         *Node
-	resultWriter *resultWriter
-	roll         *weights.RollingUpdate
-	woken        chan struct{}
+	node          *Node
+	resultWriter  *resultWriter
+	rollingUpdate *weights.RollingUpdate
+	wakeup        chan struct{}
 
 	changesMutex sync.Mutex
 	changes      []ledger.Change
@@ -70,8 +70,8 @@
 	// samplersAppliedAt.
 	appliedSamplers   *[]schedule.Sampler
 	samplersAppliedAt time.Time
-	// lastColdCount is the number of cold samplers logged last, coldWaitLoggedAt when work that waits
-	// for them was last logged.
+	// lastColdCount is the number of cold samplers logged last, coldWaitLoggedAt when work that
+	// waits for them was last logged.
 	lastColdCount    int
 	coldWaitLoggedAt time.Time
 	// appliedEvacuations is the set of evacuated zones passed to the scheduler most recently.
@@ -85,7 +85,7 @@
 
 func newExecutor(n *Node) *executor {
 	e := &executor{
-		node: n, roll: weights.NewRollingUpdate(maxConcurrentLoads), woken: make(chan struct{}, 1),
+		node: n, rollingUpdate: weights.NewRollingUpdate(maxConcurrentLoads), wakeup: make(chan struct{}, 1),
 		runs: make(map[schedule.Key]context.CancelFunc),
 	}
 	e.rewards = &rewarder{node: n, slots: rewardSlots{released: make(chan struct{}, 1)}}
@@ -96,7 +96,7 @@
 // wake makes the executor run its next step without waiting for the ticker.
 func (e *executor) wake() {
 	select {
-	case e.woken <- struct{}{}:
+	case e.wakeup <- struct{}{}:
 	default:
 	}
 }
@@ -115,9 +115,9 @@
 func (e *executor) drainChanges() []ledger.Change {
 	e.changesMutex.Lock()
 	defer e.changesMutex.Unlock()
-	taken := e.changes
+	drained := e.changes
 	e.changes = nil
-	return taken
+	return drained
 }
 
 func (e *executor) run(ctx context.Context) {
@@ -133,7 +133,7 @@
 		}
 		select {
 		case <-ticker.C:
-		case <-e.woken:
+		case <-e.wakeup:
 			wait.For(ctx, executorBatchDelay)
 		case <-ctx.Done():
 		}
@@ -228,7 +228,7 @@
 	e.session, e.endSession = context.WithCancel(ctx)
 	e.sessionID, e.sessionStartedAt, e.remote = rand.Uint64(), clock.CurrentMoment(), newRemoteState()
 	e.appliedCatalog = e.node.Catalog()
-	e.roll.Reset()
+	e.rollingUpdate.Reset()
 	e.applyVersions()
 	e.appliedSamplers, e.appliedEvacuations = nil, nil
 	e.applyEvacuations()
@@ -366,8 +366,8 @@
 	}
 }
 
-// logListed logs how long ago an item passed each milestone on its way to the result that
-// was just read back from the log.
+// logListed logs how long ago an item was started, completed and scored. Its result was just
+// read back from the log.
 func (e *executor) logListed(key schedule.Key, dead bool, milestones schedule.Milestones) {
 	now := time.Now()
 	e.node.logger.Log(event.ItemListed, "job_id", key.Job, "item_id", key.Item, "dead", dead,
@@ -451,7 +451,7 @@
 		e.node.logger.Log(event.ItemRunEnded, "job_id", start.Key.Job, "item_id", start.Key.Item,
 			"sampler", start.Sampler.ID, "ending", end.Ending.String(), "detail", end.Detail, "failures", verdict.Failures)
 	}
-	// A worker scores and lists the items that it completed itself.
+	// A worker itself scores the items that it completed and writes their results.
 	if verdict.Finished != nil && !verdict.Finished.Remote {
 		e.finish(*verdict.Finished)
 	}
@@ -466,8 +466,8 @@
 	e.resultWriter.addResult(key.Job, &pathbendv1.BatchResult{ItemId: key.Item, Dead: true}, nil)
 }
 
-// finish scores a complete text in a goroutine and then queues its result. An item that
-// runs remotely and is not scored yet is left to its worker. The caller holds e.mutex.
+// finish scores a complete text in a goroutine and then queues its result. If the item runs
+// remotely and is not scored yet, its worker does this instead. The caller holds e.mutex.
 func (e *executor) finish(completed schedule.Finished) {
 	scored := completed.StoredText != nil && (completed.Score != "" || completed.Reward == nil)
 	if completed.Remote && !scored {
@@ -500,7 +500,7 @@
 		e.recordDead(completed.Key, 0, "its reward call failed too often")
 		return
 	}
-	if completed.StoredText == nil && !e.node.jobs.contents.Fits(completed.Text) {
+	if completed.StoredText == nil && !e.node.jobs.blobs.Fits(completed.Text) {
 		e.recordDead(completed.Key, 0, "its text is too large for the log")
 		return
 	}
--- a/internal/platformnode/forward.go
+++ b/internal/platformnode/forward.go
@@ -82,8 +82,9 @@
 	return answer, jitterRetryAfter(err)
 }
 
-// jitterRetryAfter applies jitter of 0.6 to 1.4 to the retry delay of an error, so that callers that
-// were refused at the same time do not all retry at the same time. It returns nil for nil.
+// jitterRetryAfter multiplies the retry delay of an error by a random factor from 0.6 to 1.4,
+// so that callers that were refused at the same time do not all retry at the same time. It
+// returns nil for nil.
 func jitterRetryAfter(err error) error {
 	if err == nil {
 		return nil
--- a/internal/platformnode/jobs.go
+++ b/internal/platformnode/jobs.go
@@ -27,8 +27,8 @@
 	jobPartition = 0
 	// submitTimeout is how long a submission is retried before it is refused.
 	submitTimeout = 2500 * time.Millisecond
-	// appendTimeout bounds one append to a nearby log, not counting the distance to a remote
-	// one. After at most maxAppendHedgeDelay without an answer, a second append of the same
+	// appendTimeout bounds one append to a nearby log; the extra latency of a remote one is
+	// added to it. After at most maxAppendHedgeDelay without an answer, a second append of the same
 	// records is sent in parallel; readers drop duplicates. Further ones, up to maxAppends,
 	// are sent only if the log is unreachable, in which case it never answers calls made
 	// before it recovered, or if it answers other appends as usual, so that this answer must
@@ -56,7 +56,7 @@
 	node     *Node
 	follower *sharedlog.Follower
 	appender *sharedlog.Appender
-	contents *blobstore.Store
+	blobs    *blobstore.Store
 	// following is set once the node follows the log continuously; before that it reads the
 	// log on demand.
 	following atomic.Bool
@@ -68,27 +68,27 @@
 }
 
 func newJobStore(n *Node) *jobStore {
-	book := &jobStore{
+	store := &jobStore{
 		node: n, ledger: ledger.New(), changed: make(chan struct{}),
-		contents: blobstore.New(n.log, blobstore.Limits{
+		blobs: blobstore.New(n.log, blobstore.Limits{
 			MaxRecordBytes: n.settings.MaxRecordBytes, MaxCallBytes: n.settings.MaxCallBytes, Partitions: n.settings.Partitions,
 		}, n.metrics.recordAppend),
 	}
-	book.follower = &sharedlog.Follower{
+	store.follower = &sharedlog.Follower{
 		Log: n.log, Partition: sharedlog.Partition{Topic: jobTopic, Number: jobPartition},
-		Observer: n, Apply: book.apply, Pause: n.jobsPause, ExtraLatency: n.log.ExtraLatency,
+		Observer: n, Apply: store.apply, Pause: n.jobsPause, ExtraLatency: n.log.ExtraLatency,
 	}
-	book.appender = &sharedlog.Appender{
-		Log: n.log, Partition: book.follower.Partition, MaxBytes: n.settings.MaxCallBytes,
+	store.appender = &sharedlog.Appender{
+		Log: n.log, Partition: store.follower.Partition, MaxBytes: n.settings.MaxCallBytes,
 		Observe: n.metrics.recordAppend, ExtraLatency: n.log.AppendTime().ExtraLatency,
 	}
-	return book
+	return store
 }
 
 // appendHedgeDelay returns how long to wait for an append before sending it again in parallel,
 // and whether the log answers other appends as usual meanwhile.
-func (b *jobStore) appendHedgeDelay() (pause time.Duration, answers bool) {
-	return b.node.log.AppendTimeout(maxAppendHedgeDelay)
+func (s *jobStore) appendHedgeDelay() (pause time.Duration, answers bool) {
+	return s.node.log.AppendTimeout(maxAppendHedgeDelay)
 }
 
 // ReadFailed implements sharedlog.Observer.
@@ -101,45 +101,45 @@
 	n.logger.Log(event.LogReadRecovered, "topic", partition.Topic, "partition", partition.Number, "after_ms", after.Milliseconds())
 }
 
-func (b *jobStore) apply(offset uint64, records [][]byte) {
+func (s *jobStore) apply(offset uint64, records [][]byte) {
 	now := time.Now()
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	for i, record := range records {
-		change, err := b.ledger.Apply(record, now)
+		change, err := s.ledger.Apply(record, now)
 		if err != nil {
-			b.node.logger.Log(event.RecordSkipped, "topic", jobTopic, "offset", offset+uint64(i), "detail", err.Error())
+			s.node.logger.Log(event.RecordSkipped, "topic", jobTopic, "offset", offset+uint64(i), "detail", err.Error())
 			continue
 		}
 		if change.Kind == ledger.RequestSuspected {
-			b.applySuspect(offset+uint64(i), change.Suspect)
+			s.applySuspect(offset+uint64(i), change.Suspect)
 			continue
 		}
-		b.node.executor.jobChanged(change)
-		b.node.worker.jobChanged(change)
+		s.node.executor.jobChanged(change)
+		s.node.worker.jobChanged(change)
 	}
-	close(b.changed)
-	b.changed = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
-func (b *jobStore) applySuspect(offset uint64, suspect *pathbendv1.SuspectRequest) {
-	if err := b.node.suspects.merge(suspect); err != nil {
-		b.node.logger.Log(event.RecordSkipped, "topic", jobTopic, "offset", offset, "detail", err.Error())
+func (s *jobStore) applySuspect(offset uint64, suspect *pathbendv1.SuspectRequest) {
+	if err := s.node.suspects.merge(suspect); err != nil {
+		s.node.logger.Log(event.RecordSkipped, "topic", jobTopic, "offset", offset, "detail", err.Error())
 	}
-	b.node.executor.wake()
+	s.node.executor.wake()
 }
 
-func (b *jobStore) expire(ctx context.Context) {
+func (s *jobStore) expire(ctx context.Context) {
 	wait.Every(ctx, expireInterval, func() {
-		b.mutex.Lock()
-		defer b.mutex.Unlock()
-		b.ledger.Expire(time.Now().Add(-b.node.settings.JobRetention - jobRetentionMargin))
-		b.node.suspects.expire()
+		s.mutex.Lock()
+		defer s.mutex.Unlock()
+		s.ledger.Expire(time.Now().Add(-s.node.settings.JobRetention - jobRetentionMargin))
+		s.node.suspects.expire()
 	})
 }
 
 // await waits for a change of the ledger. It returns false if ctx ended first.
-func (b *jobStore) await(ctx context.Context, changed <-chan struct{}) bool {
+func (s *jobStore) await(ctx context.Context, changed <-chan struct{}) bool {
 	select {
 	case <-changed:
 		return true
@@ -150,24 +150,24 @@
 
 // view calls read with a job, or nil if the job is unknown, under the ledger's lock. It
 // returns a channel that is closed at the next change.
-func (b *jobStore) view(id string, read func(job *ledger.Job)) <-chan struct{} {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	read(b.ledger.Job(id))
-	return b.changed
+func (s *jobStore) view(id string, read func(job *ledger.Job)) <-chan struct{} {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	read(s.ledger.Job(id))
+	return s.changed
 }
 
 // withLedger calls read with the entire ledger, under its lock.
-func (b *jobStore) withLedger(read func(state *ledger.Ledger)) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	read(b.ledger)
+func (s *jobStore) withLedger(read func(state *ledger.Ledger)) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	read(s.ledger)
 }
 
 // open returns the open jobs in order of arrival.
-func (b *jobStore) open() []*ledger.Job {
+func (s *jobStore) open() []*ledger.Job {
 	var open []*ledger.Job
-	b.withLedger(func(state *ledger.Ledger) {
+	s.withLedger(func(state *ledger.Ledger) {
 		for _, job := range state.Jobs() {
 			if job.Open() {
 				open = append(open, job)
@@ -177,33 +177,34 @@
 	return open
 }
 
-// current ensures that the ledger holds the first from results of a job and was read within
-// the freshness limit, so that it has every record acknowledged at least the settle time
-// ago. It reads the log if necessary, and returns an error if it cannot ensure this.
-func (b *jobStore) current(ctx context.Context, id string, from int) error {
+// ensureCurrent ensures that the ledger holds the first from results of a job and was read
+// within Settings.maxStateAge, so that it has every record acknowledged at least
+// Settings.MaxStaleness ago. It reads the log if necessary, and returns an error if it cannot
+// ensure this.
+func (s *jobStore) ensureCurrent(ctx context.Context, id string, from int) error {
 	behind := false
 	inspect := func(job *ledger.Job) { behind = job == nil || len(job.Results) < from }
-	b.view(id, inspect)
-	if !behind && b.follower.Health.Age() < b.node.settings.maxStateAge() {
+	s.view(id, inspect)
+	if !behind && s.follower.Health.Age() < s.node.settings.maxStateAge() {
 		return nil
 	}
-	if err := b.refresh(ctx); err != nil {
+	if err := s.refresh(ctx); err != nil {
 		return err
 	}
-	if b.view(id, inspect); behind {
+	if s.view(id, inspect); behind {
 		return result.New(result.LogUnavailable, "result position %d has not been read by this node yet", from).WithRetryAfter(readRetryAfter)
 	}
 	return nil
 }
 
 // hasCurrentLog reports whether the log was read within maxLogReadAge.
-func (b *jobStore) hasCurrentLog() bool {
-	return b.follower.Health.Age() < maxLogReadAge
+func (s *jobStore) hasCurrentLog() bool {
+	return s.follower.Health.Age() < maxLogReadAge
 }
 
 // refresh reads all records that the log currently holds.
-func (b *jobStore) refresh(ctx context.Context) error {
-	if err := b.follower.CatchUp(ctx); err != nil {
+func (s *jobStore) refresh(ctx context.Context) error {
+	if err := s.follower.CatchUp(ctx); err != nil {
 		return result.Wrap(result.LogUnavailable, err, "read the log").WithRetryAfter(readRetryAfter)
 	}
 	return nil
@@ -214,8 +215,8 @@
 // ledger's lock whether the entries were read back, which proves that they are stored even
 // if the answer to the append was lost. If an append may have been stored, the error after
 // the timeout is not LogUnavailable.
-func (b *jobStore) record(ctx context.Context, timeout time.Duration, stored func() bool, entries ...*pathbendv1.LedgerEntry) error {
-	calls, err := b.encode(entries)
+func (s *jobStore) record(ctx context.Context, timeout time.Duration, stored func() bool, entries ...*pathbendv1.LedgerEntry) error {
+	calls, err := s.encode(entries)
 	if err != nil {
 		return err
 	}
@@ -223,14 +224,14 @@
 	defer cancel()
 	var unknown error
 	for {
-		err := b.appendAll(ctx, calls, stored)
+		err := s.appendAll(ctx, calls, stored)
 		if err == nil {
 			return nil
 		}
 		if !result.Is(err, result.LogUnavailable) {
 			unknown = err
 		}
-		b.node.logger.Log(event.LogAppendRetried, "job_id", entries[0].JobId, "entries", len(entries), "detail", err.Error())
+		s.node.logger.Log(event.LogAppendRetried, "job_id", entries[0].JobId, "entries", len(entries), "detail", err.Error())
 		if !wait.For(ctx, appendRetryPause) {
 			if unknown != nil {
 				return unknown
@@ -242,15 +243,15 @@
 
 // awaitReadBack reads the log until stored reports, under the ledger's lock, that an entry
 // was read back. It returns false if the timeout or ctx ended first.
-func (b *jobStore) awaitReadBack(ctx context.Context, timeout time.Duration, stored func() bool) bool {
+func (s *jobStore) awaitReadBack(ctx context.Context, timeout time.Duration, stored func() bool) bool {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	if _, ok := b.check(stored); ok {
+	if _, ok := s.check(stored); ok {
 		return true
 	}
 	for ctx.Err() == nil {
-		err := b.refresh(ctx)
-		if _, ok := b.check(stored); err == nil && ok {
+		err := s.refresh(ctx)
+		if _, ok := s.check(stored); err == nil && ok {
 			return true
 		}
 		wait.For(ctx, readBackPause)
@@ -263,19 +264,19 @@
 
 // encode splits entries into records and groups these into appends of at most
 // MaxCallBytes each.
-func (b *jobStore) encode(entries []*pathbendv1.LedgerEntry) ([][][]byte, error) {
+func (s *jobStore) encode(entries []*pathbendv1.LedgerEntry) ([][][]byte, error) {
 	var records [][]byte
 	for _, entry := range entries {
-		encoded, err := ledger.Encode(entry, rand.Uint64(), b.node.settings.MaxRecordBytes)
+		encoded, err := ledger.Encode(entry, rand.Uint64(), s.node.settings.MaxRecordBytes)
 		if err != nil {
 			return nil, err
 		}
 		records = append(records, encoded...)
 	}
 	var calls [][][]byte
-	size := b.node.settings.MaxCallBytes
+	size := s.node.settings.MaxCallBytes
 	for _, record := range records {
-		if size+len(record)+sharedlog.MaxRecordOverheadBytes > b.node.settings.MaxCallBytes {
+		if size+len(record)+sharedlog.MaxRecordOverheadBytes > s.node.settings.MaxCallBytes {
 			calls = append(calls, nil)
 			size = 0
 		}
@@ -285,9 +286,9 @@
 	return calls, nil
 }
 
-func (b *jobStore) appendAll(ctx context.Context, calls [][][]byte, stored func() bool) error {
+func (s *jobStore) appendAll(ctx context.Context, calls [][][]byte, stored func() bool) error {
 	for _, records := range calls {
-		if err := b.appendOne(ctx, records, stored); err != nil {
+		if err := s.appendOne(ctx, records, stored); err != nil {
 			return err
 		}
 	}
@@ -296,19 +297,19 @@
 
 // appendOne appends records. It sends a second append if the first gets no answer in time,
 // and further ones only if the log is unreachable or loses answers.
-func (b *jobStore) appendOne(ctx context.Context, records [][]byte, stored func() bool) error {
-	ctx, cancel := context.WithTimeout(ctx, appendTimeout+b.node.log.AppendTime().ExtraLatency())
+func (s *jobStore) appendOne(ctx context.Context, records [][]byte, stored func() bool) error {
+	ctx, cancel := context.WithTimeout(ctx, appendTimeout+s.node.log.AppendTime().ExtraLatency())
 	defer cancel()
 	answers := make(chan error, maxAppends)
-	send := func() { answers <- b.appender.Append(ctx, records) }
+	send := func() { answers <- s.appender.Append(ctx, records) }
 	go send()
 	sent, failed := 1, 0
 	var unknown error
-	pause, _ := b.appendHedgeDelay()
+	pause, _ := s.appendHedgeDelay()
 	hedge := time.NewTimer(pause)
 	defer hedge.Stop()
 	for {
-		changed, ok := b.check(stored)
+		changed, ok := s.check(stored)
 		if ok {
 			return nil
 		}
@@ -324,8 +325,8 @@
 				return cmp.Or(unknown, err)
 			}
 		case <-hedge.C:
-			pause, answers := b.appendHedgeDelay()
-			if sent == 1 || answers || b.follower.Health.Lost() {
+			pause, answers := s.appendHedgeDelay()
+			if sent == 1 || answers || s.follower.Health.Lost() {
 				go send()
 				sent++
 			}
@@ -339,8 +340,8 @@
 
 // check returns the channel that is closed at the next change of the ledger, and the result
 // of stored, evaluated under the ledger's lock; false if stored is nil.
-func (b *jobStore) check(stored func() bool) (<-chan struct{}, bool) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	return b.changed, stored != nil && stored()
+func (s *jobStore) check(stored func() bool) (<-chan struct{}, bool) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.changed, stored != nil && stored()
 }
--- a/internal/platformnode/listen.go
+++ b/internal/platformnode/listen.go
@@ -15,8 +15,8 @@
 // earlier process of the machine may hold them for up to 2 s.
 const listenRetryDelay = 500 * time.Millisecond
 
-// acceptsPeerCalls reports whether other nodes can call this one, to have it execute work that is
-// bound to a region or to read entries of samplers. The first port of the range is reserved
+// acceptsPeerCalls reports whether other nodes can call this one, to have it execute work that
+// is bound to a region or to read entries of samplers. The first port of the range is reserved
 // for calls to the log (see PeerAddress), so it takes a range of at least two ports.
 func (s *Settings) acceptsPeerCalls() bool { return s.PeerPorts[1] > s.PeerPorts[0] }
 
--- a/internal/platformnode/load_job.go
+++ b/internal/platformnode/load_job.go
@@ -91,7 +91,7 @@
 	if loaded.remote {
 		loaded.items, err = e.outline(ctx, job, loaded.regions)
 	} else {
-		loaded.items, err = e.node.jobs.contents.GetItems(ctx, job.Spec)
+		loaded.items, err = e.node.jobs.blobs.GetItems(ctx, job.Spec)
 	}
 	if err != nil {
 		return loaded, err
@@ -128,7 +128,7 @@
 	readers := pool.New().WithMaxGoroutines(maxConcurrentReads)
 	for itemID, progress := range partial {
 		readers.Go(func() {
-			parts, err := e.node.jobs.contents.Get(ctx, progress.Parts)
+			parts, err := e.node.jobs.blobs.Get(ctx, progress.Parts)
 			if err != nil {
 				e.logReadFailure(job.ID, itemID, err)
 				return
@@ -177,7 +177,7 @@
 		return
 	}
 	e.applyVersions()
-	e.roll.SetAllowedLag(job.Spec.Model, job.Spec.Step, e.allowedLag(job.Spec))
+	e.rollingUpdate.SetAllowedLag(job.Spec.Model, job.Spec.Step, e.allowedLag(job.Spec))
 	policy := e.schedulePolicy(job)
 	policy.Regions, policy.Topology, policy.Remote = loaded.regions, e.node.settings.Topology, loaded.remote
 	if loaded.remote {
@@ -230,12 +230,12 @@
 	return policy
 }
 
-// routePriorities is the number of route priorities within one tenant priority: configurations
-// use 0 to 2.
+// routePriorities is the number of route priorities within one tenant priority:
+// configurations use 0 to 2.
 const routePriorities = 3
 
-// schedulingRank returns the scheduling rank of a tenant's work on a route, 0 first. The tenant's
-// priority takes precedence over the route's.
+// schedulingRank returns the scheduling rank of a tenant's work on a route, 0 first. The
+// tenant's priority takes precedence over the route's.
 func (n *Node) schedulingRank(tenantName string, route *catalog.Route) int {
 	rank := min(max(route.Priority, 0), routePriorities-1)
 	if current := n.Catalog(); current != nil {
--- a/internal/platformnode/node.go
+++ b/internal/platformnode/node.go
@@ -66,11 +66,11 @@
 	scaler     *scaler
 	suspects   *suspects
 	// readers determines which nodes read the keyed topics on behalf of others. The feeds
-	// deliver the topics to this node, entries serves them to other nodes.
+	// deliver the topics to this node, entryServer serves them to other nodes.
 	readers      *readers
 	samplerFeed  *topicreader.Feed
 	operatorFeed *topicreader.Feed
-	entries      *topicreader.Server
+	entryServer  *topicreader.Server
 
 	// rejectionLimiter limits the rate of log lines about malformed records.
 	rejectionLimiter event.Limiter
@@ -92,8 +92,8 @@
 	// configured is closed once the node has a configuration.
 	configured     chan struct{}
 	configuredOnce sync.Once
-	// early is the part of the first list of samplers that has been read so far.
-	early partialSamplerList
+	// partialSamplers is the part of the first list of samplers that has been read so far.
+	partialSamplers partialSamplerList
 	// informed is closed once the node has a configuration and a complete list of samplers.
 	informed     chan struct{}
 	informedOnce sync.Once
@@ -170,9 +170,10 @@
 }
 
 const (
-	// ledgerReadInterval is the average interval between the ledger reads of starting nodes that do
-	// not need the ledger at once. The store takes about as long to send one node the ledger
-	// of a busy minute: some 500 KB at 80 MB/s, with as much bandwidth left for others.
+	// ledgerReadInterval is the average interval between the ledger reads of starting nodes
+	// that do not need the ledger at once. The log service takes about as long to send one node
+	// the ledger of a busy minute: some 500 KB at 80 MB/s, with as much bandwidth left for
+	// others.
 	ledgerReadInterval = 10 * time.Millisecond
 	// maxLedgerDelay bounds the delay of such a read, however many nodes there are. A node
 	// without the ledger reads it at the first request about a job.
@@ -295,7 +296,7 @@
 }
 
 // ApplyVersion records a weight version that a trainer announced, unless a newer one is known.
-// Every node receives it; the executor logs it.
+// Every node receives the announcements; only the executor logs them.
 func (n *Node) ApplyVersion(model string, version uint64) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -332,7 +333,7 @@
 	defer n.fleetMutex.Unlock()
 	listed := n.samplers.Load()
 	if listed == nil {
-		listed = n.early.list()
+		listed = n.partialSamplers.list()
 	}
 	if listed == nil {
 		return
--- a/internal/platformnode/partial_samplers.go
+++ b/internal/platformnode/partial_samplers.go
@@ -15,23 +15,23 @@
 	// configuration, which takes about 100 ms to arrive, and for the first samplers, which
 	// follow soon after.
 	startupTimeout = 400 * time.Millisecond
-	// notReadyRetryAfter is the retry-after hint of a node that has no configuration, or knows no
-	// sampler for the request yet.
+	// notReadyRetryAfter is the retry-after hint of a node that has no configuration, or knows
+	// no sampler for the request yet.
 	notReadyRetryAfter = 300 * time.Millisecond
-	// maxPartialListAge is how long requests may use a partly read first list of samplers. Changes
-	// to entries that were read early become known only once the whole list is read, and a
-	// leaving sampler must get no new work after 3 s.
+	// maxPartialListAge is how long requests may use a partly read first list of samplers.
+	// Changes to entries that were read early become known only once the whole list is read,
+	// and a leaving sampler must get no new work after 3 s.
 	maxPartialListAge = 2 * time.Second
 )
 
-// partialSamplerList is the part of the first sampler list that was read so far. It is used only
-// for application requests: batch jobs, and the decision whether a missing sampler is
+// partialSamplerList is the part of the first sampler list that was read so far. It is used
+// only for application requests: batch jobs, and the decision whether a missing sampler is
 // gone, need the complete list.
 type partialSamplerList struct {
 	mutex    sync.Mutex
 	samplers *[]schedule.Sampler
-	// began is when the first part was read.
-	began time.Time
+	// firstReadAt is when the first part was read.
+	firstReadAt time.Time
 	// changed is closed and reset when more is read; nil if nothing waits for it.
 	changed chan struct{}
 }
@@ -46,7 +46,7 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.samplers == nil {
-		l.began = time.Now()
+		l.firstReadAt = time.Now()
 	}
 	l.samplers = &listed
 	if l.changed != nil {
@@ -63,7 +63,7 @@
 	if l.changed == nil {
 		l.changed = make(chan struct{})
 	}
-	fresh := l.samplers != nil && time.Since(l.began) < maxPartialListAge
+	fresh := l.samplers != nil && time.Since(l.firstReadAt) < maxPartialListAge
 	return fresh && slices.ContainsFunc(*l.samplers, usable), l.changed
 }
 
@@ -73,7 +73,7 @@
 	if n.samplers.Load() != nil {
 		return
 	}
-	n.early.update(listed)
+	n.partialSamplers.update(listed)
 	n.updateFleet()
 }
 
@@ -94,8 +94,7 @@
 
 // awaitSampler waits, on a node that has just started, until it knows a sampler for the
 // request or the complete list; before, it cannot tell whether there is one. It waits for the
-// shorter of startupTimeout and half of the time to the deadline, and then returns
-// NotReady.
+// shorter of startupTimeout and half of the time to the deadline, and then returns NotReady.
 func (n *Node) awaitSampler(ctx context.Context, request *dispatch.Request) error {
 	if n.samplers.Load() != nil {
 		return nil
@@ -107,7 +106,7 @@
 	ctx, cancel := context.WithTimeout(ctx, min(startupTimeout, time.Until(request.Deadline)/2))
 	defer cancel()
 	for {
-		found, changed := n.early.find(usable)
+		found, changed := n.partialSamplers.find(usable)
 		if found {
 			return nil
 		}
--- a/internal/platformnode/ports.go
+++ b/internal/platformnode/ports.go
@@ -107,8 +107,9 @@
 
 // Scaler orders samplers from the platform.
 type Scaler interface {
-	// OrderSamplers returns nil once the platform accepted the order. It is idempotent.
-	OrderSamplers(ctx context.Context, right exclusive.Permit, order SamplerOrder) error
+	// OrderSamplers orders samplers under a permit of this node. It returns nil once the
+	// platform accepted the order, and is idempotent.
+	OrderSamplers(ctx context.Context, permit exclusive.Permit, order SamplerOrder) error
 }
 
 // Scored is the content of an answer to a reward call.
@@ -125,12 +126,12 @@
 	Zone string
 	// Topology maps zones to regions.
 	Topology locality.Topology
-	// EvacuationDeadline is the time after its acknowledgement within which an evacuation must be
-	// in force; 0 if zones are not evacuated.
+	// EvacuationDeadline is the time after its acknowledgement within which an evacuation must
+	// be in force; 0 if zones are not evacuated.
 	EvacuationDeadline time.Duration
-	// ColdFactor and ColdSlack bound the requests that a cold sampler may get in any second from
-	// all nodes together: ColdFactor times the rate that its service declares, plus ColdSlack.
-	// Both are 0 if there is no such bound.
+	// ColdFactor and ColdSlack bound the requests that a cold sampler may get in any second
+	// from all nodes together: ColdFactor times the rate that its service declares, plus
+	// ColdSlack. Both are 0 if there is no such bound.
 	ColdFactor float64
 	ColdSlack  float64
 	// PeerPorts are the first and last port on which nodes may listen for calls of each other,
@@ -154,7 +155,8 @@
 	MinAssignmentTTL time.Duration
 	// OrderGrace is the minimum time between orders of two different nodes to one sampler.
 	OrderGrace time.Duration
-	// MaxStaleness bounds the age of the state by which a node denies that a job or a result exists.
+	// MaxStaleness bounds the age of the state by which a node denies that a job or a result
+	// exists.
 	MaxStaleness time.Duration
 	// JobRetention is how long jobs can be read after their submission.
 	JobRetention time.Duration
@@ -209,5 +211,6 @@
 	}
 }
 
-// maxStateAge returns the largest age of the state by which a node denies that something exists.
+// maxStateAge returns the largest age of the state by which a node denies that a job or a
+// result exists. It leaves answerMargin of MaxStaleness for the transit of the answer.
 func (s *Settings) maxStateAge() time.Duration { return max(s.MaxStaleness-answerMargin, answerMargin) }
--- a/internal/platformnode/read_pause.go
+++ b/internal/platformnode/read_pause.go
@@ -31,12 +31,13 @@
 	// minSharedPause replaces minSamplersPause if a few nodes read the entries on behalf
 	// of the others, as their pause delays all other nodes.
 	minSharedPause = 100 * time.Millisecond
-	// drainWindowParts divides DrainDeadline, the time after which a leaving sampler must get no new
-	// work. A node that reads the entries from another node uses one such part for its long
-	// poll and one for the pause after it; together with the age of a lagging reader, 1.2 s,
-	// both stay within that time. Otherwise every entry would cause a call to each node while
-	// samplers join: up to 9,000 calls per second from 954 nodes that pause for 0.1 s.
-	drainWindowParts = 4
+	// drainDeadlineParts divides Settings.DrainDeadline, the time after which a leaving sampler
+	// must get no new work. A node that reads the entries from another node uses one such part
+	// for its long poll and one for the pause after it; together with the age of a lagging
+	// reader's entries, 1.2 s, both stay within that time. With a shorter pause every entry
+	// would cause a call of each node while samplers join: up to 9,000 calls per second from
+	// 954 nodes that pause for 0.1 s.
+	drainDeadlineParts = 4
 )
 
 // SamplersPause returns the pause between two reads of the samplers' entries by this node.
@@ -46,24 +47,23 @@
 	case plan.Shared && plan.ReadsLog:
 		return minSharedPause
 	case len(plan.Parents) > 0:
-		return max(n.settings.DrainDeadline/drainWindowParts, minSharedPause)
+		return max(n.settings.DrainDeadline/drainDeadlineParts, minSharedPause)
 	}
 	return n.readPause(minSamplersPause, samplersReadShare)
 }
 
 // SamplersPoll returns the duration of this node's long polls for the samplers' entries, 0
-// for the default, which is short enough to detect that the log has become
-// unreachable.
+// for the default, which is short enough to detect that the log has become unreachable.
 func (n *Node) SamplersPoll() time.Duration {
 	if len(n.readers.Plan().Parents) == 0 {
 		return 0
 	}
-	return n.settings.DrainDeadline / drainWindowParts
+	return n.settings.DrainDeadline / drainDeadlineParts
 }
 
 // readPause returns the pause with which all nodes together use the fraction share of the
-// log's read limit. It is between minPause and maxReadPause, and minPause if the number of nodes
-// or the read limit is unknown.
+// log's read limit. It is between minPause and maxReadPause, and minPause if the number of
+// nodes or the read limit is unknown.
 func (n *Node) readPause(minPause time.Duration, share float64) time.Duration {
 	announced, ok := n.directory.Announced()
 	if !ok || n.settings.ReadsPerSecond <= 0 {
--- a/internal/platformnode/readers.go
+++ b/internal/platformnode/readers.go
@@ -53,9 +53,9 @@
 	r.readAll = readAll
 }
 
-// wanted returns the services whose samplers this node needs: those to which requests of
-// clients and reward calls may go. The executor needs all services.
-func (r *readers) wanted() fanout.Groups {
+// requiredGroups returns the services whose samplers this node needs: those to which requests
+// of clients and reward calls may go. The executor needs all services.
+func (r *readers) requiredGroups() fanout.Groups {
 	r.mutex.Lock()
 	readAll := r.readAll
 	r.mutex.Unlock()
@@ -66,9 +66,9 @@
 	return fanout.Only(current.RequestServices()...)
 }
 
-// IsCandidate implements ownership.Preparation: if some nodes read for the others, these are the
-// candidates for the jobs, as they already have the list of samplers.
-func (r *readers) IsCandidate() (stands bool, candidates int) {
+// IsCandidate implements ownership.Preparation: if some nodes read for the others, these are
+// the candidates for the jobs, as they already have the list of samplers.
+func (r *readers) IsCandidate() (isCandidate bool, candidates int) {
 	plan := r.Plan()
 	return plan.ReadsLog, plan.Readers
 }
@@ -99,12 +99,12 @@
 		Log: n.log, Plan: n.readers.Plan, Caller: n.peers, Counter: n.metrics, Logger: n.logger,
 	}
 	samplers, operator := shared, shared
-	samplers.Topic, samplers.GroupOf, samplers.RequiredGroups = topics.Samplers, topics.serviceOf, n.readers.wanted
+	samplers.Topic, samplers.GroupOf, samplers.RequiredGroups = topics.Samplers, topics.serviceOf, n.readers.requiredGroups
 	operator.Topic, operator.GroupOf, operator.RequiredGroups = topics.Operator, ungrouped, fanout.All
 	// Routes are small, and no request can be served without them.
 	operator.SkipReaderWait = true
 	n.samplerFeed, n.operatorFeed = topicreader.New(samplers), topicreader.New(operator)
-	n.entries = topicreader.NewServer(n.samplerFeed, n.operatorFeed)
+	n.entryServer = topicreader.NewServer(n.samplerFeed, n.operatorFeed)
 }
 
 // serviceOf calls ServiceOf if it is set; otherwise entries have no service.
@@ -141,12 +141,12 @@
 type peerHandler struct{ node *Node }
 
 // HandlePeer implements peer.Handler.
-func (c peerHandler) HandlePeer(ctx context.Context, call *pathbendv1.Envelope) (*pathbendv1.Envelope, error) {
+func (h peerHandler) HandlePeer(ctx context.Context, call *pathbendv1.Envelope) (*pathbendv1.Envelope, error) {
 	request := call.GetReadEntries()
 	if request == nil {
-		return c.node.worker.HandlePeer(ctx, call)
+		return h.node.worker.HandlePeer(ctx, call)
 	}
-	answer, err := c.node.entries.Serve(ctx, request)
+	answer, err := h.node.entryServer.Serve(ctx, request)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/platformnode/remote.go
+++ b/internal/platformnode/remote.go
@@ -149,15 +149,15 @@
 }
 
 // abandonUnserved closes the link to a worker that the log did not serve. It keeps the link
-// if the log does not serve this node either, as another worker would fare no better.
+// if the log does not serve this node either, as it then may not serve another worker.
 func (l *workerLink) abandonUnserved(detail string) {
 	if l.executor.node.jobs.hasCurrentLog() {
 		l.abandon(detail)
 	}
 }
 
-// reconcileRemoteJobs removes remote jobs that the scheduler no longer has and looks for workers
-// for jobs without one. The caller holds the lock.
+// reconcileRemoteJobs removes remote jobs that the scheduler no longer has and looks for
+// workers for jobs without one. The caller holds the lock.
 func (e *executor) reconcileRemoteJobs() {
 	workerMissing := false
 	for id, job := range e.remote.jobs {
@@ -256,8 +256,9 @@
 	}
 }
 
-// sessionTime returns the time since the start of the session, the clock of send times. It
-// is not that of the link, as a session may have several links to a worker in succession.
+// sessionTime returns the time since the start of the session, by which send times are
+// stated. The start of the link would not do, as a session may have several links to a worker
+// in succession.
 func (l *workerLink) sessionTime() time.Duration { return l.sessionStart.Age() }
 
 // call makes one call to the worker. It fills in the session and the send time.
--- a/internal/platformnode/remote_test.go
+++ b/internal/platformnode/remote_test.go
@@ -56,8 +56,8 @@
 	return built
 }
 
-// lockedLinkTo calls openLink under the executor's lock.
-func (e *executor) lockedLinkTo(regions locality.Regions) *workerLink {
+// openLinkLocked calls openLink under the executor's lock.
+func (e *executor) openLinkLocked(regions locality.Regions) *workerLink {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.openLink(regions)
@@ -68,23 +68,23 @@
 // delayed, and the worker would execute no start.
 func TestSendTimesContinueAcrossLinksOfASession(t *testing.T) {
 	runWithExecutor(t, locality.Only("south"), func(t *testing.T, e *executor) {
-		var way remoterun.DelayEstimator
-		heldUp := func(l *workerLink) time.Duration { return way.Delay(time.Now(), l.sessionTime()) }
-		first := e.lockedLinkTo(locality.Only("south"))
-		require.Zero(t, heldUp(first))
+		var delays remoterun.DelayEstimator
+		delayOf := func(l *workerLink) time.Duration { return delays.Delay(time.Now(), l.sessionTime()) }
+		first := e.openLinkLocked(locality.Only("south"))
+		require.Zero(t, delayOf(first))
 		first.abandon("test")
-		require.Nil(t, e.lockedLinkTo(locality.Only("south")), "the worker is in its cooldown")
+		require.Nil(t, e.openLinkLocked(locality.Only("south")), "the worker is in its cooldown")
 		time.Sleep(workerCooldown)
-		next := e.lockedLinkTo(locality.Only("south"))
+		next := e.openLinkLocked(locality.Only("south"))
 		require.NotSame(t, first, next)
-		require.Zero(t, heldUp(next))
+		require.Zero(t, delayOf(next))
 	})
 }
 
 func TestWorkerIsKeptWhenTheJobItselfCannotBeRead(t *testing.T) {
 	for _, unserved := range []bool{false, true} {
 		runWithExecutor(t, locality.Only("south"), func(t *testing.T, e *executor) {
-			l := e.lockedLinkTo(locality.Only("south"))
+			l := e.openLinkLocked(locality.Only("south"))
 			answered := make(chan error, 1)
 			go func() {
 				_, err := e.outline(t.Context(), &ledger.Job{ID: "j"}, locality.Only("south"))
@@ -117,7 +117,7 @@
 func submitJob(t *testing.T, e *executor) *bodyLog {
 	t.Helper()
 	item := &pathbendv1.BatchItem{Id: "i", Body: []byte("secret")}
-	blobs, err := e.node.jobs.contents.PutItems(t.Context(), time.Second, []*pathbendv1.BatchItem{item})
+	blobs, err := e.node.jobs.blobs.PutItems(t.Context(), time.Second, []*pathbendv1.BatchItem{item})
 	require.NoError(t, err)
 	spec := &pathbendv1.BatchJob{Host: "h", Path: "/", ItemIds: []string{"i"}, Items: blobs}
 	records, err := ledger.Encode(&pathbendv1.LedgerEntry{JobId: "j", Fact: &pathbendv1.LedgerEntry_Submitted{Submitted: spec}}, 1, 1<<10)
--- a/internal/platformnode/result_writer.go
+++ b/internal/platformnode/result_writer.go
@@ -23,8 +23,8 @@
 	// storeTimeout is the timeout of one attempt to store results, which is then repeated.
 	storeTimeout = 5 * time.Second
 	// roundOverlapDelay is how long the next round waits for the previous one before it starts
-	// concurrently, as the answers of the previous one may be lost. maxConcurrentRounds bounds the
-	// concurrent rounds.
+	// concurrently, as the answers of the previous one may be lost. maxConcurrentRounds bounds
+	// the concurrent rounds.
 	roundOverlapDelay   = 200 * time.Millisecond
 	maxConcurrentRounds = 4
 	// progressTimeout is the timeout of appending partial texts. It is short because newer
@@ -47,8 +47,8 @@
 
 // resultWriter appends results and progress of items to the log in batches.
 type resultWriter struct {
-	node  *Node
-	woken chan struct{}
+	node   *Node
+	wakeup chan struct{}
 	// rounds is a semaphore with one token per round of appends in progress.
 	rounds chan struct{}
 
@@ -59,59 +59,59 @@
 
 func newResultWriter(n *Node) *resultWriter {
 	return &resultWriter{
-		node: n, woken: make(chan struct{}, 1), rounds: make(chan struct{}, maxConcurrentRounds),
+		node: n, wakeup: make(chan struct{}, 1), rounds: make(chan struct{}, maxConcurrentRounds),
 		results:  make(resultsByJob),
 		progress: make(partsByJob),
 	}
 }
 
-func (l *resultWriter) addResult(jobID string, listed *pathbendv1.BatchResult, text []byte) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.results[jobID] = append(l.results[jobID], pendingResult{listed: listed, text: text})
-	l.wake()
+func (w *resultWriter) addResult(jobID string, listed *pathbendv1.BatchResult, text []byte) {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	w.results[jobID] = append(w.results[jobID], pendingResult{listed: listed, text: text})
+	w.wake()
 }
 
-func (l *resultWriter) addProgress(unsaved partsByJob) {
+func (w *resultWriter) addProgress(unsaved partsByJob) {
 	if len(unsaved) == 0 {
 		return
 	}
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
 	for jobID, items := range unsaved {
-		l.progress[jobID] = append(l.progress[jobID], items...)
+		w.progress[jobID] = append(w.progress[jobID], items...)
 	}
-	l.wake()
+	w.wake()
 }
 
-func (l *resultWriter) wake() {
+func (w *resultWriter) wake() {
 	select {
-	case l.woken <- struct{}{}:
+	case w.wakeup <- struct{}{}:
 	default:
 	}
 }
 
 // run starts rounds of appends whenever results or progress are added, until ctx ends.
-func (l *resultWriter) run(ctx context.Context) {
+func (w *resultWriter) run(ctx context.Context) {
 	var rounds conc.WaitGroup
 	defer rounds.Wait()
 	for {
 		select {
-		case <-l.woken:
+		case <-w.wakeup:
 		case <-ctx.Done():
 			return
 		}
 		wait.For(ctx, resultLinger)
-		if !l.acquireRound(ctx) {
+		if !w.acquireRound(ctx) {
 			return
 		}
 		ended := make(chan struct{})
 		rounds.Go(func() {
 			defer close(ended)
-			defer l.releaseRounds(1)
-			l.round(ctx)
+			defer w.releaseRounds(1)
+			w.round(ctx)
 		})
-		overlap := time.NewTimer(roundOverlapDelay + l.node.log.AppendTime().ExtraLatency())
+		overlap := time.NewTimer(roundOverlapDelay + w.node.log.AppendTime().ExtraLatency())
 		select {
 		case <-ended:
 		case <-overlap.C:
@@ -122,73 +122,73 @@
 
 // flush appends everything pending and waits for the rounds in progress, until all results
 // are stored or no longer needed, or ctx ends.
-func (l *resultWriter) flush(ctx context.Context) {
-	if l.acquireRound(ctx) {
-		l.round(ctx)
-		l.releaseRounds(1)
+func (w *resultWriter) flush(ctx context.Context) {
+	if w.acquireRound(ctx) {
+		w.round(ctx)
+		w.releaseRounds(1)
 	}
 	for acquired := range maxConcurrentRounds {
-		if !l.acquireRound(ctx) {
-			l.releaseRounds(acquired)
+		if !w.acquireRound(ctx) {
+			w.releaseRounds(acquired)
 			return
 		}
 	}
-	l.releaseRounds(maxConcurrentRounds)
+	w.releaseRounds(maxConcurrentRounds)
 }
 
-func (l *resultWriter) acquireRound(ctx context.Context) bool {
+func (w *resultWriter) acquireRound(ctx context.Context) bool {
 	select {
-	case l.rounds <- struct{}{}:
+	case w.rounds <- struct{}{}:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-func (l *resultWriter) releaseRounds(count int) {
+func (w *resultWriter) releaseRounds(count int) {
 	for range count {
-		<-l.rounds
+		<-w.rounds
 	}
 }
 
 // round appends everything pending, until it is stored or no longer needed, or ctx ends. A
 // round may last as long as the log is down.
-func (l *resultWriter) round(ctx context.Context) {
-	results, progress := l.takePending()
+func (w *resultWriter) round(ctx context.Context) {
+	results, progress := w.takePending()
 	for ctx.Err() == nil {
-		results = l.withoutListed(results)
-		if len(results) == 0 || l.appendResults(ctx, results) == nil {
+		results = w.withoutListed(results)
+		if len(results) == 0 || w.appendResults(ctx, results) == nil {
 			break
 		}
 	}
 	if len(progress) > 0 && ctx.Err() == nil {
-		l.appendProgress(ctx, progress)
+		w.appendProgress(ctx, progress)
 	}
 }
 
 // appendResults stores the texts, then the entries that refer to them. Reading the entries
 // back proves that they are stored, even if the answer to the append was lost.
-func (l *resultWriter) appendResults(ctx context.Context, results resultsByJob) error {
-	if err := l.storeResultTexts(ctx, results); err != nil {
+func (w *resultWriter) appendResults(ctx context.Context, results resultsByJob) error {
+	if err := w.storeResultTexts(ctx, results); err != nil {
 		return err
 	}
-	stored := func() bool { return l.allListed(results) }
-	return l.node.jobs.record(ctx, storeTimeout, stored, resultEntries(results)...)
+	stored := func() bool { return w.allListed(results) }
+	return w.node.jobs.record(ctx, storeTimeout, stored, resultEntries(results)...)
 }
 
 // appendProgress stores parts of texts. It does not retry beyond its timeout: what is lost
 // is generated again.
-func (l *resultWriter) appendProgress(ctx context.Context, progress partsByJob) {
-	err := l.storeProgressTexts(ctx, progress)
+func (w *resultWriter) appendProgress(ctx context.Context, progress partsByJob) {
+	err := w.storeProgressTexts(ctx, progress)
 	if err == nil {
-		err = l.node.jobs.record(ctx, progressTimeout, nil, progressEntries(progress)...)
+		err = w.node.jobs.record(ctx, progressTimeout, nil, progressEntries(progress)...)
 	}
 	if err != nil {
-		l.node.logger.Log(event.LogAppendRetried, "jobs", len(progress), "detail", err.Error())
+		w.node.logger.Log(event.LogAppendRetried, "jobs", len(progress), "detail", err.Error())
 	}
 }
 
-func (l *resultWriter) storeResultTexts(ctx context.Context, results resultsByJob) error {
+func (w *resultWriter) storeResultTexts(ctx context.Context, results resultsByJob) error {
 	var unstored []*pathbendv1.BatchResult
 	var texts [][]byte
 	for _, jobID := range slices.Sorted(maps.Keys(results)) {
@@ -198,10 +198,10 @@
 			}
 		}
 	}
-	return l.storeTexts(ctx, blobstore.Texts, texts, func(i int, blob *pathbendv1.Blob) { unstored[i].Text = blob })
+	return w.storeTexts(ctx, blobstore.Texts, texts, func(i int, blob *pathbendv1.Blob) { unstored[i].Text = blob })
 }
 
-func (l *resultWriter) storeProgressTexts(ctx context.Context, progress partsByJob) error {
+func (w *resultWriter) storeProgressTexts(ctx context.Context, progress partsByJob) error {
 	var unstored []*pathbendv1.ItemProgress
 	var texts [][]byte
 	for _, jobID := range slices.Sorted(maps.Keys(progress)) {
@@ -209,13 +209,13 @@
 			unstored, texts = append(unstored, part.Progress), append(texts, part.Text)
 		}
 	}
-	return l.storeTexts(ctx, blobstore.TextParts, texts, func(i int, blob *pathbendv1.Blob) { unstored[i].Text = blob })
+	return w.storeTexts(ctx, blobstore.TextParts, texts, func(i int, blob *pathbendv1.Blob) { unstored[i].Text = blob })
 }
 
 // storeTexts stores texts as blobs and calls name with the reference of each that was stored,
 // even if it returns an error because others were not.
-func (l *resultWriter) storeTexts(ctx context.Context, kind blobstore.Kind, texts [][]byte, name func(i int, blob *pathbendv1.Blob)) error {
-	blobs, err := l.node.jobs.contents.Put(ctx, kind, storeTimeout, texts)
+func (w *resultWriter) storeTexts(ctx context.Context, kind blobstore.Kind, texts [][]byte, name func(i int, blob *pathbendv1.Blob)) error {
+	blobs, err := w.node.jobs.blobs.Put(ctx, kind, storeTimeout, texts)
 	for i, blob := range blobs {
 		name(i, blob)
 	}
@@ -223,21 +223,21 @@
 }
 
 // takePending removes and returns everything pending.
-func (l *resultWriter) takePending() (resultsByJob, partsByJob) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	results, progress := l.results, l.progress
-	l.results = make(resultsByJob)
-	l.progress = make(partsByJob)
+func (w *resultWriter) takePending() (resultsByJob, partsByJob) {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	results, progress := w.results, w.progress
+	w.results = make(resultsByJob)
+	w.progress = make(partsByJob)
 	return results, progress
 }
 
 // withoutListed returns the results without those that the ledger already lists and those of
 // jobs that are no longer open.
-func (l *resultWriter) withoutListed(results resultsByJob) resultsByJob {
+func (w *resultWriter) withoutListed(results resultsByJob) resultsByJob {
 	remaining := make(resultsByJob, len(results))
 	for jobID, listed := range results {
-		l.node.jobs.view(jobID, func(job *ledger.Job) {
+		w.node.jobs.view(jobID, func(job *ledger.Job) {
 			if job == nil || !job.Open() {
 				return
 			}
@@ -253,9 +253,9 @@
 
 // allListed reports whether all results were read back, ignoring those of unknown and
 // ended jobs. The caller holds the ledger's lock.
-func (l *resultWriter) allListed(results resultsByJob) bool {
+func (w *resultWriter) allListed(results resultsByJob) bool {
 	for jobID, listed := range results {
-		job := l.node.jobs.ledger.Job(jobID)
+		job := w.node.jobs.ledger.Job(jobID)
 		if job == nil || job.Ended {
 			continue
 		}
--- a/internal/platformnode/rewards.go
+++ b/internal/platformnode/rewards.go
@@ -19,8 +19,8 @@
 	// attempt, up to maxRewardTimeout.
 	rewardTimeout    = 500 * time.Millisecond
 	maxRewardTimeout = 2 * time.Second
-	// rewardRetryPause is the pause before the first retry of a reward call. It doubles with each
-	// attempt, up to maxRewardRetryPause.
+	// rewardRetryPause is the pause before the first retry of a reward call. It doubles with
+	// each attempt, up to maxRewardRetryPause.
 	rewardRetryPause    = 20 * time.Millisecond
 	maxRewardRetryPause = 400 * time.Millisecond
 	// rewardSlotsDivisor limits concurrent reward calls to a service's slots divided by it, but
@@ -74,8 +74,8 @@
 }
 
 // score repeats the reward call of a complete text until it is answered or the result is
-// no longer wanted. It returns the stamp that proves the answer; alive is false if the
-// call failed too often and the item must be given up.
+// no longer wanted. It returns the stamp that proves the answer; alive is false if the call
+// failed too often, so that the item must be recorded as dead.
 func (r *rewarder) score(ctx context.Context, completed schedule.Finished, wanted func() bool) (stamp string, alive bool) {
 	failures := 0
 	var excluded []string
--- a/internal/platformnode/scaler.go
+++ b/internal/platformnode/scaler.go
@@ -128,19 +128,19 @@
 
 // order gives an order and reports whether the platform accepted it.
 func (s *scaler) order(ctx context.Context, service string, order scaling.Order, peak, reserve int) bool {
-	right, ok := s.node.claims.AcquirePermit(ctx, "duty/scale/"+service+"/"+order.Zone)
+	permit, ok := s.node.claims.AcquirePermit(ctx, "duty/scale/"+service+"/"+order.Zone)
 	if !ok {
 		return false
 	}
 	callCtx, cancel := context.WithTimeout(ctx, samplerOrderTimeout)
 	defer cancel()
 	request := SamplerOrder{Service: service, Zone: order.Zone, Desired: order.Desired, Spot: true}
-	if err := s.node.ports.Scaler.OrderSamplers(callCtx, right, request); err != nil {
+	if err := s.node.ports.Scaler.OrderSamplers(callCtx, permit, request); err != nil {
 		s.node.logger.Log(event.SamplersUnordered, "service", service, "zone", order.Zone, "desired", order.Desired,
-			"spot", true, "fence", right.Fence, "detail", err.Error())
+			"spot", true, "fence", permit.Fence, "detail", err.Error())
 		return false
 	}
 	s.node.logger.Log(event.SamplersOrdered, "service", service, "zone", order.Zone, "desired", order.Desired,
-		"spot", true, "fence", right.Fence, "peak", peak, "reserve", reserve)
+		"spot", true, "fence", permit.Fence, "peak", peak, "reserve", reserve)
 	return true
 }
--- a/internal/platformnode/split_brain.go
+++ b/internal/platformnode/split_brain.go
@@ -16,7 +16,8 @@
 	// node to indicate another executor. Smaller differences are normal: the report is some
 	// 100 ms old, and runs start and end meanwhile.
 	minForeignRuns = 4
-	// minConsecutiveReports is the number of consecutive such reports that prove another executor.
+	// minConsecutiveReports is the number of consecutive such reports that prove another
+	// executor.
 	minConsecutiveReports = 3
 )
 
--- a/internal/platformnode/suspects.go
+++ b/internal/platformnode/suspects.go
@@ -25,7 +25,7 @@
 	maxQuarantineDelay = 5 * time.Second
 )
 
-// suspects holds the requests and items during whose execution back ends ended, and shares
+// suspects holds the requests and items during whose execution back ends crashed, and shares
 // them with the other nodes through the log.
 type suspects struct {
 	node *Node
@@ -89,7 +89,7 @@
 // read. An entry has some 100 bytes, which each node reads along with the jobs. The
 // alternatives cost more: a separate keyed topic would need another long poll on each node,
 // and calls between nodes would not reach nodes that start later and, with 420 nodes, would
-// take 419 calls for each ended back end.
+// take 419 calls for each crashed back end.
 type suspectPublisher struct {
 	node *Node
 	item bool
@@ -131,9 +131,9 @@
 	return s.items.QuarantinedUntil(itemDigest(itemID))
 }
 
-// Suspect implements schedule.Quarantine. A single ended sampler does not make an item suspect:
-// if many samplers are lost at once, every item that ran there would need a sampler of its
-// own, for example 87 items that had run on 44 samplers within a day.
+// Suspect implements schedule.Quarantine. A single crash does not make an item suspect: if
+// many samplers are lost at once, every item that ran there would need a sampler of its own,
+// for example 87 items that had run on 44 samplers within a day.
 func (s *suspects) Suspect(itemID string) bool {
 	return !s.items.Empty() && s.items.CrashCount(itemDigest(itemID)) >= quarantine.CrashLimit-1
 }
--- a/internal/platformnode/weights.go
+++ b/internal/platformnode/weights.go
@@ -20,8 +20,8 @@
 	firstPollDelay    = 900 * time.Millisecond
 	minPollInterval   = 60 * time.Millisecond
 	maxPollsPerSecond = 1000
-	// loadTimeout bounds the wait for an ordered version. After it the roll decides anew what
-	// the sampler needs.
+	// loadTimeout bounds the wait for an ordered version. After it the rolling update decides
+	// again what the sampler needs.
 	loadTimeout = 4 * time.Second
 )
 
@@ -35,33 +35,33 @@
 	if len(targets) == 0 {
 		return
 	}
-	e.roll.SetDemand(e.scheduler.PeakDemand(now))
-	for _, step := range e.roll.Next(now, rollFleet{executor: e, now: now}, targets) {
-		sampler, ok := e.scheduler.Sampler(step.SamplerID)
+	e.rollingUpdate.SetDemand(e.scheduler.PeakDemand(now))
+	for _, update := range e.rollingUpdate.Next(now, rollFleet{executor: e, now: now}, targets) {
+		sampler, ok := e.scheduler.Sampler(update.SamplerID)
 		if !ok {
-			e.roll.Done(step, false, now)
+			e.rollingUpdate.Done(update, false, now)
 			continue
 		}
 		session, scheduler := e.session, e.scheduler
 		e.work.Go(func() {
 			began := time.Now()
-			reached := e.moveToVersion(session, scheduler, sampler, step)
+			reached := e.moveToVersion(session, scheduler, sampler, update)
 			e.mutex.Lock()
 			defer e.mutex.Unlock()
 			if e.scheduler != scheduler {
 				return
 			}
-			scheduler.SetLoading(sampler.Incarnation(), step.Model, false)
-			e.roll.Done(step, reached, time.Now())
+			scheduler.SetLoading(sampler.Incarnation(), update.Model, false)
+			e.rollingUpdate.Done(update, reached, time.Now())
 			e.node.metrics.recordVersionMove(reached, time.Since(began))
 			e.wake()
 		})
 	}
 }
 
-// rollFleet presents the samplers to the weight roll, as the executor knows them. It leaves
-// out evacuated samplers, so that samplers that get work are updated in their place. The
-// executor's lock is held while it is used.
+// rollFleet presents the samplers to the rolling update, as the executor knows them. It
+// leaves out evacuated samplers, so that samplers that get work are updated in their place.
+// The executor's lock is held while it is used.
 type rollFleet struct {
 	executor *executor
 	now      time.Time
@@ -100,41 +100,41 @@
 
 // moveToVersion orders one sampler to load a version, unless it serves or loads it already,
 // and waits for it. It returns whether the sampler reported the version.
-func (e *executor) moveToVersion(ctx context.Context, scheduler *schedule.Scheduler, sampler schedule.Sampler, step weights.Update) bool {
+func (e *executor) moveToVersion(ctx context.Context, scheduler *schedule.Scheduler, sampler schedule.Sampler, update weights.Update) bool {
 	report, err := e.requestReport(ctx, sampler)
 	if err != nil {
-		e.node.logger.Log(event.WeightsFailed, "sampler", sampler.ID, "model", step.Model, "version", step.Version, "detail", err.Error())
+		e.node.logger.Log(event.WeightsFailed, "sampler", sampler.ID, "model", update.Model, "version", update.Version, "detail", err.Error())
 		return false
 	}
 	e.recordVersions(scheduler, sampler, report.Versions)
-	if report.Versions[step.Model] >= step.Version {
+	if report.Versions[update.Model] >= update.Version {
 		return true
 	}
 	if report.Busy {
-		return e.awaitVersion(ctx, scheduler, sampler, step)
+		return e.awaitVersion(ctx, scheduler, sampler, update)
 	}
-	right, ok := e.node.claims.AcquirePermit(ctx, sampler.ID)
+	permit, ok := e.node.claims.AcquirePermit(ctx, sampler.ID)
 	if !ok || ctx.Err() != nil || e.node.evacuated.Load().Contains(sampler.Zone) {
 		return false
 	}
-	e.setLoading(scheduler, sampler, step)
+	e.setLoading(scheduler, sampler, update)
 	callCtx, cancel := context.WithTimeout(ctx, controlTimeout)
 	answer, err := e.node.ports.Control.Order(callCtx, sampler, VersionOrder{
-		Model: step.Model, Version: step.Version, Holder: right.Holder, Fence: right.Fence,
-		FinishRuns: e.singleVersion(scheduler, step.Model), AfterOrders: report.Orders,
+		Model: update.Model, Version: update.Version, Holder: permit.Holder, Fence: permit.Fence,
+		FinishRuns: e.singleVersion(scheduler, update.Model), AfterOrders: report.Orders,
 	})
 	cancel()
 	detail := ""
 	if err != nil {
 		detail = err.Error()
 	}
-	e.node.logger.Log(event.WeightsOrdered, "sampler", sampler.ID, "model", step.Model, "version", step.Version,
-		"fence", right.Fence, "after_orders", report.Orders, "answer", int(answer), "detail", detail)
+	e.node.logger.Log(event.WeightsOrdered, "sampler", sampler.ID, "model", update.Model, "version", update.Version,
+		"fence", permit.Fence, "after_orders", report.Orders, "answer", int(answer), "detail", detail)
 	switch answer {
 	case OrderAccepted, OrderUnknown, OrderConflict:
-		return e.awaitVersion(ctx, scheduler, sampler, step)
+		return e.awaitVersion(ctx, scheduler, sampler, update)
 	case OrderAlreadyServing:
-		e.recordVersions(scheduler, sampler, map[string]uint64{step.Model: step.Version})
+		e.recordVersions(scheduler, sampler, map[string]uint64{update.Model: update.Version})
 		return true
 	default:
 		return false
@@ -143,8 +143,8 @@
 
 // awaitVersion polls a sampler until it serves a version. It returns false after loadTimeout,
 // if the order counts as lost, or if the sampler's zone is evacuated.
-func (e *executor) awaitVersion(ctx context.Context, scheduler *schedule.Scheduler, sampler schedule.Sampler, step weights.Update) bool {
-	e.setLoading(scheduler, sampler, step)
+func (e *executor) awaitVersion(ctx context.Context, scheduler *schedule.Scheduler, sampler schedule.Sampler, update weights.Update) bool {
+	e.setLoading(scheduler, sampler, update)
 	start := time.Now()
 	wait.For(ctx, firstPollDelay)
 	idleReports := 0
@@ -152,7 +152,7 @@
 		report, err := e.requestReport(ctx, sampler)
 		if err == nil {
 			e.recordVersions(scheduler, sampler, report.Versions)
-			if report.Versions[step.Model] >= step.Version && !report.Busy {
+			if report.Versions[update.Model] >= update.Version && !report.Busy {
 				return true
 			}
 			if idleReports = countIdleReports(idleReports, report); idleReports > maxIdleReports {
@@ -169,7 +169,7 @@
 func (e *executor) pollInterval() time.Duration {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return max(minPollInterval, time.Duration(e.roll.InProgress())*time.Second/maxPollsPerSecond)
+	return max(minPollInterval, time.Duration(e.rollingUpdate.InProgress())*time.Second/maxPollsPerSecond)
 }
 
 // maxIdleReports is how many consecutive reports may show neither the version nor an order in
@@ -184,8 +184,8 @@
 	return previous + 1
 }
 
-// requestReport requests a sampler's status. It returns an error if another incarnation than the
-// listed one answers; the list will soon contain the newer one.
+// requestReport requests a sampler's status. It returns an error if another incarnation than
+// the listed one answers; the list will soon contain the newer one.
 func (e *executor) requestReport(ctx context.Context, sampler schedule.Sampler) (SamplerReport, error) {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
@@ -215,8 +215,8 @@
 }
 
 // setLoading tells the scheduler that a sampler is changing weights.
-func (e *executor) setLoading(scheduler *schedule.Scheduler, sampler schedule.Sampler, step weights.Update) {
+func (e *executor) setLoading(scheduler *schedule.Scheduler, sampler schedule.Sampler, update weights.Update) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	scheduler.SetLoading(sampler.Incarnation(), step.Model, true)
+	scheduler.SetLoading(sampler.Incarnation(), update.Model, true)
 }
--- a/internal/platformnode/weights_test.go
+++ b/internal/platformnode/weights_test.go
@@ -57,12 +57,12 @@
 	return node.executor
 }
 
-// canClaim claims the right to order a sampler and reports whether that succeeded.
-func canClaim(t *testing.T, e *executor, samplerID string) bool {
+// canAcquirePermit acquires a permit to order a sampler and reports whether that succeeded.
+func canAcquirePermit(t *testing.T, e *executor, samplerID string) bool {
 	t.Helper()
-	right, ok := e.node.claims.AcquirePermit(t.Context(), samplerID)
+	permit, ok := e.node.claims.AcquirePermit(t.Context(), samplerID)
 	if ok {
-		require.Equal(t, e.node.ownership.Generation(), right.Fence)
+		require.Equal(t, e.node.ownership.Generation(), permit.Fence)
 	}
 	return ok
 }
@@ -70,8 +70,8 @@
 func TestNewHolderOrdersImmediatelyWithoutEarlierOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := &jobsLog{}
-		require.True(t, canClaim(t, newHolder("a", 4, log), "s"))
-		require.True(t, canClaim(t, newHolder("a", 5, log), "s"), "the same machine after a restart")
+		require.True(t, canAcquirePermit(t, newHolder("a", 4, log), "s"))
+		require.True(t, canAcquirePermit(t, newHolder("a", 5, log), "s"), "the same machine after a restart")
 	})
 }
 
@@ -82,10 +82,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		log := &jobsLog{}
 		former, next := newHolder("former", 4, log), newHolder("next", 5, log)
-		require.True(t, canClaim(t, former, "s1"))
-		require.True(t, canClaim(t, next, "s2"))
-		require.False(t, canClaim(t, former, "s3"), "the former holder may not order any sampler")
-		require.True(t, canClaim(t, next, "s4"))
+		require.True(t, canAcquirePermit(t, former, "s1"))
+		require.True(t, canAcquirePermit(t, next, "s2"))
+		require.False(t, canAcquirePermit(t, former, "s3"), "the former holder may not order any sampler")
+		require.True(t, canAcquirePermit(t, next, "s4"))
 	})
 }
 
@@ -93,12 +93,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		log := &jobsLog{}
 		former, next := newHolder("former", 4, log), newHolder("next", 5, log)
-		require.True(t, canClaim(t, former, "s1"))
-		require.False(t, canClaim(t, next, "s1"))
-		require.True(t, canClaim(t, next, "s2"))
+		require.True(t, canAcquirePermit(t, former, "s1"))
+		require.False(t, canAcquirePermit(t, next, "s1"))
+		require.True(t, canAcquirePermit(t, next, "s2"))
 		time.Sleep(3*time.Second + 2*ownership.OrderMargin)
 		next.node.ownership.ApplyAssignment(ownershiptest.NewAssignment(5, jobPartition), clock.CurrentMoment())
-		require.True(t, canClaim(t, next, "s1"))
+		require.True(t, canAcquirePermit(t, next, "s1"))
 	})
 }
 
@@ -107,7 +107,7 @@
 func TestNoOrderUntilTheClaimIsReadBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := &jobsLog{hidden: 1}
-		require.False(t, canClaim(t, newHolder("a", 4, log), "s"))
+		require.False(t, canAcquirePermit(t, newHolder("a", 4, log), "s"))
 	})
 }
 
@@ -120,6 +120,6 @@
 	for i := range 2500 {
 		members = append(members, weights.Member{ID: fmt.Sprint(i), Versions: map[string]uint64{"m": 1}})
 	}
-	require.Len(t, e.roll.Next(time.Now(), weights.MemberList(members), map[string]uint64{"m": 2}), 500)
+	require.Len(t, e.rollingUpdate.Next(time.Now(), weights.MemberList(members), map[string]uint64{"m": 2}), 500)
 	require.Equal(t, 500*time.Second/maxPollsPerSecond, e.pollInterval())
 }
--- a/internal/platformnode/worker.go
+++ b/internal/platformnode/worker.go
@@ -105,7 +105,8 @@
 	err  error
 }
 
-// textKey identifies a text. An item may have a second one, generated ahead for a later job.
+// textKey identifies a text. An item may have a second one, which a speculative run generates
+// ahead for a later job.
 type textKey struct {
 	item  string
 	ahead bool
@@ -203,7 +204,7 @@
 }
 
 // applyChange stops the runs of items that have a result, and those of a job that ended or is
-// complete, except for runs ahead of a later job. The caller holds the lock.
+// complete, except for speculative runs for a later job. The caller holds the lock.
 func (w *worker) applyChange(change ledger.Change, now time.Time) {
 	for _, listed := range change.NewResults {
 		w.stopRuns(func(run *workerRun) bool { return run.key.Item == listed.ItemID })
@@ -232,9 +233,9 @@
 	}
 }
 
-// removeExpired removes jobs that ended longer than schedule.SpeculativeRunGracePeriod ago and stops their
-// remaining runs, which are ahead of a later job. It also removes texts that no run has
-// continued within textRetention. The caller holds the lock.
+// removeExpired removes jobs that ended longer than schedule.SpeculativeRunGracePeriod ago and
+// stops their remaining runs, which are speculative runs for a later job. It also removes
+// texts that no run has continued within textRetention. The caller holds the lock.
 func (w *worker) removeExpired(now time.Time) {
 	for id, job := range w.jobs {
 		if !job.endedAt.IsZero() && now.Sub(job.endedAt) > schedule.SpeculativeRunGracePeriod {
@@ -249,18 +250,18 @@
 	}
 }
 
-// saveProgress hands the new events of running items to the lister, which writes them to
-// the log. Items with fewer than minEvents unsaved events are left out. The caller holds the
+// saveProgress passes the new events of running items to the result writer, which appends
+// them to the log. Items with fewer than minEvents unsaved events are left out. The caller holds the
 // lock.
 func (w *worker) saveProgress(minEvents uint64, now time.Time) {
 	unsaved := make(partsByJob)
-	w.node.jobs.withLedger(func(jobs *ledger.Ledger) {
+	w.node.jobs.withLedger(func(state *ledger.Ledger) {
 		for _, run := range w.runs {
 			text := w.texts[textKey{item: run.key.Item, ahead: run.key.Speculative}]
 			if run.key.Speculative || text == nil || text.isComplete {
 				continue
 			}
-			if part, ok := text.Unsaved(run.key.Item, minEvents, jobs, rand.Uint64, now); ok {
+			if part, ok := text.Unsaved(run.key.Item, minEvents, state, rand.Uint64, now); ok {
 				unsaved[run.key.Job] = append(unsaved[run.key.Job], part)
 			}
 		}
--- a/internal/platformnode/worker_runs.go
+++ b/internal/platformnode/worker_runs.go
@@ -68,7 +68,7 @@
 	if err := w.node.checkBodiesAllowed(spec); err != nil {
 		return nil, err
 	}
-	items, err := w.node.jobs.contents.GetItems(ctx, spec)
+	items, err := w.node.jobs.blobs.GetItems(ctx, spec)
 	if err != nil {
 		return nil, err
 	}
@@ -256,14 +256,14 @@
 func (w *worker) loggedText(ctx context.Context, key schedule.Key, acceptance schedule.VersionConstraint) *heldText {
 	text := &heldText{}
 	var progress ledger.Progress
-	w.node.jobs.withLedger(func(jobs *ledger.Ledger) { progress, _ = jobs.Progress(key.Item) })
+	w.node.jobs.withLedger(func(state *ledger.Ledger) { progress, _ = state.Progress(key.Item) })
 	w.mutex.Lock()
 	held := w.texts[textKey{item: key.Item, ahead: key.Speculative}]
 	w.mutex.Unlock()
 	if progress.Events == 0 || !acceptance.Accepts(progress.Versions) || held != nil && held.Events() >= progress.Events {
 		return text
 	}
-	parts, err := w.node.jobs.contents.Get(ctx, progress.Parts)
+	parts, err := w.node.jobs.blobs.Get(ctx, progress.Parts)
 	if err != nil {
 		w.node.executor.logReadFailure(key.Job, key.Item, err)
 		return text
--- a/internal/platformnode/worker_test.go
+++ b/internal/platformnode/worker_test.go
@@ -146,7 +146,7 @@
 func (f *workerFixture) dropBodies(readDelay time.Duration) {
 	job := f.jobs["j"]
 	delete(f.jobs, "j")
-	blobs, err := f.node.jobs.contents.PutItems(f.t.Context(), time.Second, slices.Collect(maps.Values(job.items)))
+	blobs, err := f.node.jobs.blobs.PutItems(f.t.Context(), time.Second, slices.Collect(maps.Values(job.items)))
 	require.NoError(f.t, err)
 	f.node.jobs.view("j", func(known *ledger.Job) { known.Spec.Items = blobs })
 	f.log.readDelay = readDelay
--- a/internal/platformsim/mutants_test.go
+++ b/internal/platformsim/mutants_test.go
@@ -39,7 +39,7 @@
 		mutation.Replace("internal/platformnode/batch.go", "if result.Is(err, result.LogUnknown) || result.Is(err, result.LogUnavailable) {", "if false {"),
 	}},
 	{Promise: "LOST: a 404 needs a look at the log", Edits: []mutation.Edit{
-		mutation.Replace("internal/platformnode/jobs.go", "if err := b.follower.CatchUp(ctx); err != nil {", "if err := ctx.Err(); err != nil {"),
+		mutation.Replace("internal/platformnode/jobs.go", "if err := s.follower.CatchUp(ctx); err != nil {", "if err := ctx.Err(); err != nil {"),
 	}},
 	{Promise: "MIXED: an answer belongs to its request", Edits: []mutation.Edit{
 		mutation.Replace("platform/protocol.go", "echoed != \"\" && echoed != requestID {", "false && echoed != requestID {"),
