--- a/internal/remoterun/choose.go
+++ b/internal/remoterun/choose.go
@@ -16,10 +16,11 @@
 	Millicores uint64
 }
 
-// ChooseWorker returns the worker for items that must stay in the given regions, or false if no node
-// there is eligible. It picks the node with the highest rendezvous hash among those with a large
-// machine, or among all if none is large. Every executor makes the same choice, so that a
-// successor finds the texts that the worker holds. avoided reports nodes that failed recently.
+// ChooseWorker returns the worker for items that must stay in the given regions, or false if no
+// node there is eligible. It picks the node with the highest rendezvous hash among those whose
+// machines count as large beside the largest eligible one. Every executor makes the same choice,
+// so that a successor finds the texts that the worker holds. avoided reports nodes that failed
+// recently.
 func ChooseWorker(nodes []Node, topology locality.Topology, regions locality.Regions, avoided func(name string) bool) (Node, bool) {
 	var eligible []Node
 	view := election.View{}
--- a/internal/remoterun/session.go
+++ b/internal/remoterun/session.go
@@ -9,8 +9,8 @@
 // Session identifies a period in which one node is the executor of a share of the batch jobs.
 type Session struct {
 	Executor string
-	// Generation is that of the share of the jobs. It increases with every change of
-	// the share's assignment.
+	// Generation is the generation of that share. It increases with every change of the share's
+	// assignment.
 	Generation uint64
 	// ID is a random number that tells sessions of one generation apart.
 	ID uint64
@@ -33,9 +33,9 @@
 // within that maximum.
 const baselineWindow = 10 * time.Second
 
-// DelayEstimator estimates by how much the calls of a session were delayed, from their send times on the
-// caller's clock and their arrival times on the local one. The clocks may differ by any offset,
-// and may drift slowly. The zero value has observed no call.
+// DelayEstimator estimates by how much the calls of a session were delayed, from their send
+// times on the caller's clock and their arrival times on the local one. The clocks may differ by
+// any offset, and may drift slowly. The zero value has observed no call.
 type DelayEstimator struct {
 	// firstArrival is the arrival time of the first call, from which transit times are counted.
 	firstArrival time.Time
@@ -48,14 +48,14 @@
 
 // Delay returns how much longer a call was in transit than the fastest recent one. Calls before
 // a pause remain the baseline after it, however long the pause was.
-func (w *DelayEstimator) Delay(arrived time.Time, sent time.Duration) time.Duration {
-	if w.firstArrival.IsZero() {
-		w.firstArrival, w.windowStart, w.minimum, w.previousMinimum = arrived, arrived, -sent, -sent
+func (e *DelayEstimator) Delay(arrived time.Time, sent time.Duration) time.Duration {
+	if e.firstArrival.IsZero() {
+		e.firstArrival, e.windowStart, e.minimum, e.previousMinimum = arrived, arrived, -sent, -sent
 	}
-	transit := arrived.Sub(w.firstArrival) - sent
-	if arrived.Sub(w.windowStart) > baselineWindow {
-		w.previousMinimum, w.minimum, w.windowStart = w.minimum, transit, arrived
+	transit := arrived.Sub(e.firstArrival) - sent
+	if arrived.Sub(e.windowStart) > baselineWindow {
+		e.previousMinimum, e.minimum, e.windowStart = e.minimum, transit, arrived
 	}
-	w.minimum = min(w.minimum, transit)
-	return transit - min(w.minimum, w.previousMinimum)
+	e.minimum = min(e.minimum, transit)
+	return transit - min(e.minimum, e.previousMinimum)
 }
