--- a/internal/coldlimit/budget.go
+++ b/internal/coldlimit/budget.go
@@ -21,24 +21,25 @@
 type Limits struct {
 	// ColdDuration is how long a sampler is cold after its start.
 	ColdDuration time.Duration
-	// ColdPerSecond is the maximum number of requests in any second to a cold sampler. It may be 0.
+	// ColdPerSecond is the maximum number of requests in any second to a cold sampler. It may
+	// be 0.
 	ColdPerSecond int
-	// WarmPerSecond is the maximum number of requests in any second to any other sampler, which may
-	// have restarted without this node having noticed. It may be 0.
+	// WarmPerSecond is the maximum number of requests in any second to any other sampler, which
+	// may have restarted without this node having noticed. It may be 0.
 	WarmPerSecond int
 }
 
-// NewLimits returns the limits of a service whose samplers are cold for coldFor after a
-// start and can then handle perSecond requests per second. All senders together may send a
-// cold sampler perSecond*overFactor+slack requests in any second. Each sender gets an equal
-// share, and no more than perSecond for a sampler known to be cold. The limits are at least one request per second. A coldFor, perSecond or
-// overFactor of 0 or less gives the zero Limits.
-func NewLimits(coldFor time.Duration, perSecond, overFactor, slack float64) Limits {
-	if coldFor <= 0 || perSecond <= 0 || overFactor <= 0 {
+// NewLimits returns the limits of a service whose samplers are cold for coldDuration after a
+// start and handle perSecond requests per second while they are cold. All senders together may
+// send a cold sampler perSecond*factor+slack requests in any second. Each sender gets an equal
+// share, and no more than perSecond for a sampler known to be cold. The limits are at least one
+// request per second. A coldDuration, perSecond or factor of 0 or less gives the zero Limits.
+func NewLimits(coldDuration time.Duration, perSecond, factor, slack float64) Limits {
+	if coldDuration <= 0 || perSecond <= 0 || factor <= 0 {
 		return Limits{}
 	}
-	share := (perSecond*overFactor + slack) / maxSenders
-	return Limits{ColdDuration: coldFor, ColdPerSecond: atLeastOne(min(perSecond, share)), WarmPerSecond: atLeastOne(share)}
+	share := (perSecond*factor + slack) / maxSenders
+	return Limits{ColdDuration: coldDuration, ColdPerSecond: atLeastOne(min(perSecond, share)), WarmPerSecond: atLeastOne(share)}
 }
 
 func atLeastOne(requests float64) int { return max(int(requests), 1) }
@@ -62,9 +63,10 @@
 // SetLimits replaces the limits. Requests already counted stay counted.
 func (b *Budget) SetLimits(limits Limits) { b.limits = limits }
 
-// UpdateColdRemaining records the remaining cold time in the sampler's list entry; it never shortens the
-// cold time known so far. A value equal to the previous one is ignored: it belongs to the
-// same entry, which is applied repeatedly with the list, and must not keep the sampler cold.
+// UpdateColdRemaining records the remaining cold time in the sampler's list entry; it never
+// shortens the cold time known so far. A value equal to the previous one is ignored: it belongs
+// to the same entry, which is applied repeatedly with the list, and must not keep the sampler
+// cold.
 func (b *Budget) UpdateColdRemaining(remaining time.Duration, now time.Time) {
 	if remaining == b.listedCold {
 		return
@@ -73,9 +75,9 @@
 	b.extendCold(remaining, now)
 }
 
-// AssumeColdStart records that the sampler may have restarted, because it is new to this node while
-// there is traffic, or because it did not answer. It counts as cold for the time that
-// follows a start.
+// AssumeColdStart records that the sampler may have restarted, because it is new to this node
+// while there is traffic, or because it did not answer. It counts as cold for
+// Limits.ColdDuration from now on.
 func (b *Budget) AssumeColdStart(now time.Time) { b.extendCold(b.limits.ColdDuration, now) }
 
 // extendCold makes the sampler cold for at least a duration from now on.
@@ -113,8 +115,8 @@
 	return len(b.sent)
 }
 
-// NextAvailable returns the earliest time at which a request may be sent; now if one may be sent
-// at once.
+// NextAvailable returns the earliest time at which a request may be sent; now if one may be
+// sent at once.
 func (b *Budget) NextAvailable(now time.Time) time.Time {
 	if b.Available(now) > 0 {
 		return now
--- a/internal/coldlimit/budget_test.go
+++ b/internal/coldlimit/budget_test.go
@@ -44,9 +44,9 @@
 func TestTwoSendersStayWithinTheLimitDuringATakeover(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		perSecond := rapid.Float64Range(1, 12).Draw(t, "per second")
-		overFactor := rapid.Float64Range(1, 2).Draw(t, "over")
+		factor := rapid.Float64Range(1, 2).Draw(t, "over")
 		slack := rapid.Float64Range(1, 6).Draw(t, "slack")
-		limits := NewLimits(3*time.Second, perSecond, overFactor, slack)
+		limits := NewLimits(3*time.Second, perSecond, factor, slack)
 		var budgets [executors]Budget
 		for i := range budgets {
 			budgets[i].SetLimits(limits)
@@ -77,7 +77,7 @@
 				}
 			}
 		}
-		require.LessOrEqual(t, float64(maxPerSecondWhileCold(arrivals)), perSecond*overFactor+slack)
+		require.LessOrEqual(t, float64(maxPerSecondWhileCold(arrivals)), perSecond*factor+slack)
 	})
 }
 
@@ -149,7 +149,7 @@
 	require.True(t, budget.Cold(start.Add(4500*time.Millisecond)))
 }
 
-func TestNextIsWhenTheWindowAllowsARequest(t *testing.T) {
+func TestNextAvailableIsWhenTheWindowAllowsARequest(t *testing.T) {
 	var budget Budget
 	budget.SetLimits(Limits{ColdDuration: 3 * time.Second, ColdPerSecond: 2, WarmPerSecond: 2})
 	require.Equal(t, start, budget.NextAvailable(start))
