--- a/internal/relay/selector.go
+++ b/internal/relay/selector.go
@@ -32,11 +32,12 @@
 	// ProbeTimeout is how long such a call waits for the direct path before it goes through a
 	// peer as well.
 	ProbeTimeout = 60 * time.Millisecond
-	// minBackoff is for how long no peer is tried after a peer got no answer either, as when
-	// the service is down for all nodes. It doubles up to maxBackoff.
+	// minBackoff is how long no peer is tried after the service refused a peer as well, as when
+	// it is down for all nodes, or after a peer failed while calls went directly. It doubles up
+	// to maxBackoff.
 	minBackoff = 500 * time.Millisecond
 	maxBackoff = 4 * time.Second
-	// avoidPeriod is for how long a peer is not selected after it failed to relay a call.
+	// avoidPeriod is how long a peer is not selected after it failed to relay a call.
 	avoidPeriod = 3 * time.Second
 )
 
@@ -47,8 +48,8 @@
 	Address string
 }
 
-// Selector tracks whether a node's direct path to the log service is silent, and selects the peers
-// that relay its calls if so. It is safe for concurrent use.
+// Selector tracks whether a node's direct path to the log service is silent, and selects the
+// peers that relay its calls if so. It is safe for concurrent use.
 type Selector struct {
 	self Peer
 
@@ -61,25 +62,26 @@
 	nextProbe    time.Time
 	backoffUntil time.Time
 	backoff      time.Duration
-	// avoidUntil holds, by name, the peers that failed to relay a call.
+	// avoidUntil holds the time until which a peer that failed to relay a call is not selected,
+	// by name.
 	avoidUntil map[string]time.Time
-	// switched is closed and replaced when calls begin to go through peers.
-	switched chan struct{}
+	// relayingStarted is closed and replaced when calls begin to go through peers.
+	relayingStarted chan struct{}
 }
 
-// NewSelector returns the state of a node whose calls go directly to the service.
+// NewSelector returns the selector of a node whose calls go directly to the service.
 func NewSelector(self Peer) *Selector {
-	return &Selector{self: self, avoidUntil: make(map[string]time.Time), switched: make(chan struct{})}
+	return &Selector{self: self, avoidUntil: make(map[string]time.Time), relayingStarted: make(chan struct{})}
 }
 
-// Relaying reports whether calls go through peers, and whether this call, if mayProbe allows it,
-// is to try the direct path first. If calls go directly, switched is closed once they begin to
-// go through peers; otherwise it is nil.
-func (s *Selector) Relaying(mayProbe bool, now time.Time) (relaying, probe bool, switched <-chan struct{}) {
+// Relaying reports whether calls go through peers, and whether this call, if mayProbe allows
+// it, is to try the direct path first. If calls go directly, relayingStarted is closed once they
+// begin to go through peers; otherwise it is nil.
+func (s *Selector) Relaying(mayProbe bool, now time.Time) (relaying, probe bool, relayingStarted <-chan struct{}) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if !s.relaying {
-		return false, false, s.switched
+		return false, false, s.relayingStarted
 	}
 	if probe = mayProbe && !now.Before(s.nextProbe); probe {
 		s.nextProbe = now.Add(probeInterval)
@@ -87,8 +89,8 @@
 	return true, probe, nil
 }
 
-// SilenceTimeout returns the time without an answer after which the direct path counts as silent, in
-// addition to the time for which the service was asked to hold a call.
+// SilenceTimeout returns the time without an answer after which the direct path counts as
+// silent, in addition to the time for which the service was asked to hold a call.
 func (s *Selector) SilenceTimeout() time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -100,16 +102,16 @@
 	return max(minSilenceTimeout, silenceLatencyFactor*s.meanLatency)
 }
 
-// MayRelay reports whether a call that failed or got no answer may go through peers: the direct
-// path is silent for all calls, and no backoff is in force.
+// MayRelay reports whether a call that failed or got no answer may go through peers: the
+// direct path is silent for all calls, and no backoff is in force.
 func (s *Selector) MayRelay(now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return now.Sub(s.answeredAt) >= s.silenceTimeout() && !now.Before(s.backoffUntil)
 }
 
-// AcceptsRelays reports whether this node may relay calls of its peers: its own calls go directly to
-// the service, which answered one recently.
+// AcceptsRelays reports whether this node may relay calls of its peers: its own calls go
+// directly to the service, which answered one recently.
 func (s *Selector) AcceptsRelays(now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -120,8 +122,8 @@
 // of its peers. Every node makes a call at least once a second.
 const maxAnswerAge = 1500 * time.Millisecond
 
-// RecordAnswer records an answer on the direct path, upon which calls go directly again. took is the
-// latency of the call, 0 for one that the service was asked to hold.
+// RecordAnswer records an answer on the direct path, upon which calls go directly again. took
+// is the latency of the call, 0 for one that the service was asked to hold.
 func (s *Selector) RecordAnswer(took time.Duration, now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -131,8 +133,8 @@
 	}
 }
 
-// RecordRelayed records that a peer relayed a call successfully. It reports whether calls begin to go
-// through peers, which they do if the direct path is silent.
+// RecordRelayed records that a peer relayed a call successfully. It reports whether calls begin
+// to go through peers, which they do if the direct path is silent.
 func (s *Selector) RecordRelayed(now time.Time) (started bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -141,14 +143,14 @@
 		return false
 	}
 	s.relaying, s.nextProbe = true, now.Add(probeInterval)
-	close(s.switched)
-	s.switched = make(chan struct{})
+	close(s.relayingStarted)
+	s.relayingStarted = make(chan struct{})
 	return true
 }
 
-// RecordRelayFailure records that a peer failed to relay a call. serviceDown is set if the peer reached
-// the service, which refused it as well; the peer is not at fault then, and calls go directly
-// until a backoff has passed.
+// RecordRelayFailure records that a peer failed to relay a call. serviceDown is set if the peer
+// reached the service, which refused it as well; the peer is not at fault then, and calls go
+// directly until a backoff has passed.
 func (s *Selector) RecordRelayFailure(peer string, serviceDown bool, now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -164,8 +166,9 @@
 	}
 }
 
-// SelectPeers returns up to limit peers in the order in which this node tries them: those of its own
-// zone first, then by a hash that gives each node a different order, which spreads the load.
+// SelectPeers returns up to limit peers in the order in which this node tries them: those of
+// its own zone first, then by a hash that gives each node a different order, which spreads the
+// load.
 func (s *Selector) SelectPeers(peers []Peer, limit int, now time.Time) []Peer {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/relay/selector_test.go
+++ b/internal/relay/selector_test.go
@@ -75,10 +75,10 @@
 
 func TestWaitingCallsAreNotifiedOfTheSwitchToPeers(t *testing.T) {
 	s := newTestSelector()
-	_, _, switched := s.Relaying(true, start)
+	_, _, relayingStarted := s.Relaying(true, start)
 	s.RecordRelayed(start)
 	select {
-	case <-switched:
+	case <-relayingStarted:
 	default:
 		t.Fatal("calls that wait on the direct path were not notified")
 	}
