--- a/internal/platformnode/append_test.go
+++ b/internal/platformnode/append_test.go
@@ -52,7 +52,7 @@
 	return sharedlog.Batch{}, l.answer(ctx)
 }
 
-// Guards against waiting for hanging appends after an outage of the log: results were listed
+// Guards against waiting for hanging appends after an outage of the log: results were stored
 // 0.8 s after its recovery, while another executor generated the texts again.
 func TestAppendIsStoredSoonAfterASilentLogRecovers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -126,7 +126,7 @@
 }
 
 // Guards against waiting for lost answers: while the log lost half of its answers for 5.4 s,
-// no result was listed for 6 s, because each pair of unanswered appends was waited for
+// no result was stored for 6 s, because each pair of unanswered appends was waited for
 // until its timeout of 1.5 s.
 func TestAppendIsRepeatedSoonWhenItsAnswersAreLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/platformnode/batch.go
+++ b/internal/platformnode/batch.go
@@ -199,9 +199,9 @@
 func (n *Node) readTexts(ctx context.Context, id string, page Page, requestedAt time.Time) (Page, error) {
 	pageReadAt := time.Now()
 	var wanted []*pathbendv1.Blob
-	for _, listed := range page.Results {
-		if listed.Text != nil {
-			wanted = append(wanted, listed.Text)
+	for _, itemResult := range page.Results {
+		if itemResult.Text != nil {
+			wanted = append(wanted, itemResult.Text)
 		}
 	}
 	callCtx, cancel := context.WithTimeout(ctx, textReadTimeout)
@@ -228,9 +228,9 @@
 	total = len(p.Results)
 	p.Next -= total
 	p.Texts = make([][]byte, 0, total)
-	for _, listed := range p.Results {
+	for _, itemResult := range p.Results {
 		var text []byte
-		if listed.Text != nil {
+		if itemResult.Text != nil {
 			if len(texts) == 0 {
 				break
 			}
@@ -257,11 +257,11 @@
 		page.Next = from
 		settled = job.Ended || job.Complete()
 		bytes := 0
-		for _, listed := range job.Results[min(from, len(job.Results)):] {
-			if bytes += int(listed.Text.GetBytes()); bytes > maxPageBytes && len(page.Results) > 0 {
+		for _, itemResult := range job.Results[min(from, len(job.Results)):] {
+			if bytes += int(itemResult.Text.GetBytes()); bytes > maxPageBytes && len(page.Results) > 0 {
 				break
 			}
-			page.Results = append(page.Results, listed)
+			page.Results = append(page.Results, itemResult)
 		}
 		page.Next += len(page.Results)
 	})
--- a/internal/platformnode/executor.go
+++ b/internal/platformnode/executor.go
@@ -352,13 +352,13 @@
 		e.node.logger.Log(event.BatchEnded, "job_id", change.Job.ID, "listed", change.ResultCount,
 			"items", change.Job.ItemCount(), "stopped", len(stopped))
 	case ledger.ResultsAdded:
-		for _, listed := range change.NewResults {
-			key := schedule.Key{Job: change.Job.ID, Item: listed.ItemID}
+		for _, itemResult := range change.NewResults {
+			key := schedule.Key{Job: change.Job.ID, Item: itemResult.ItemID}
 			milestones, stopped := e.scheduler.RemoveItem(key)
 			for _, run := range stopped {
 				e.cancel(run)
 			}
-			e.logListed(key, listed.Dead, milestones)
+			e.logItemResult(key, itemResult.Dead, milestones)
 		}
 		if change.Complete {
 			e.scheduler.DropJob(change.Job.ID, time.Now())
@@ -366,9 +366,9 @@
 	}
 }
 
-// logListed logs how long ago an item was started, completed and scored. Its result was just
+// logItemResult logs how long ago an item was started, completed and scored. Its result was just
 // read back from the log.
-func (e *executor) logListed(key schedule.Key, dead bool, milestones schedule.Milestones) {
+func (e *executor) logItemResult(key schedule.Key, dead bool, milestones schedule.Milestones) {
 	now := time.Now()
 	e.node.logger.Log(event.ItemListed, "job_id", key.Job, "item_id", key.Item, "dead", dead,
 		"sampler", milestones.Sampler, "events", milestones.Events, "runs", milestones.Runs,
--- a/internal/platformnode/load_job.go
+++ b/internal/platformnode/load_job.go
@@ -78,8 +78,8 @@
 
 // Finished implements schedule.StoredTextSource.
 func (j loadedJob) Finished(itemID string) (ledger.Result, bool) {
-	listed, ok := j.finished[itemID]
-	return listed, ok
+	finished, ok := j.finished[itemID]
+	return finished, ok
 }
 
 // readJob loads a job's items and their partial texts. Items whose partial text cannot be
@@ -148,14 +148,14 @@
 	e.node.logger.Log(event.JobUnread, "job_id", jobID, "item_id", itemID, "detail", err.Error())
 }
 
-// knownTexts returns what the ledger knows of items: results listed by an earlier job, and
-// partial texts. An item has both if its listed text was too old for a later job, which
-// started it again.
+// knownTexts returns what the ledger knows of items: results of an earlier job, and partial
+// texts. An item has both if the text of its result was too old for a later job, which started
+// it again.
 func knownTexts(state *ledger.Ledger, items []*pathbendv1.BatchItem) (finished map[string]ledger.Result, partial map[string]ledger.Progress) {
 	finished, partial = make(map[string]ledger.Result), make(map[string]ledger.Progress)
 	for _, item := range items {
-		if listed, ok := state.FinishedResult(item.Id); ok {
-			finished[item.Id] = listed
+		if finishedResult, ok := state.FinishedResult(item.Id); ok {
+			finished[item.Id] = finishedResult
 		}
 		if progress, ok := state.Progress(item.Id); ok {
 			partial[item.Id] = progress
--- a/internal/platformnode/load_job_test.go
+++ b/internal/platformnode/load_job_test.go
@@ -22,11 +22,11 @@
 	}
 }
 
-// Guards against lost partial texts. An item was listed in a job whose group stayed
+// Guards against lost partial texts. An item had a result in a job whose group stayed
 // incomplete, and a later job that required newer weights started it again. When the
 // executor was lost, the five longest items of the step started from scratch, although the
 // log held most of their texts.
-func TestPartialTextOfARestartedItemIsFoundBesideItsListedOne(t *testing.T) {
+func TestPartialTextOfARestartedItemIsFoundBesideItsResult(t *testing.T) {
 	known := ledger.New()
 	for _, job := range []string{"old", "new"} {
 		apply(t, known, &pathbendv1.LedgerEntry{JobId: job, Fact: &pathbendv1.LedgerEntry_Submitted{
--- a/internal/platformnode/result_writer.go
+++ b/internal/platformnode/result_writer.go
@@ -34,8 +34,8 @@
 
 // pendingResult is a result that has not been read back from the log yet.
 type pendingResult struct {
-	listed *pathbendv1.BatchResult
-	// text is stored as a blob first, unless listed already refers to one.
+	entry *pathbendv1.BatchResult
+	// text is stored as a blob first, unless entry already refers to one.
 	text []byte
 }
 
@@ -65,10 +65,10 @@
 	}
 }
 
-func (w *resultWriter) addResult(jobID string, listed *pathbendv1.BatchResult, text []byte) {
+func (w *resultWriter) addResult(jobID string, entry *pathbendv1.BatchResult, text []byte) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.results[jobID] = append(w.results[jobID], pendingResult{listed: listed, text: text})
+	w.results[jobID] = append(w.results[jobID], pendingResult{entry: entry, text: text})
 	w.wake()
 }
 
@@ -156,7 +156,7 @@
 func (w *resultWriter) round(ctx context.Context) {
 	results, progress := w.takePending()
 	for ctx.Err() == nil {
-		results = w.withoutListed(results)
+		results = w.withoutRecorded(results)
 		if len(results) == 0 || w.appendResults(ctx, results) == nil {
 			break
 		}
@@ -172,7 +172,7 @@
 	if err := w.storeResultTexts(ctx, results); err != nil {
 		return err
 	}
-	stored := func() bool { return w.allListed(results) }
+	stored := func() bool { return w.allRecorded(results) }
 	return w.node.jobs.record(ctx, storeTimeout, stored, resultEntries(results)...)
 }
 
@@ -193,8 +193,8 @@
 	var texts [][]byte
 	for _, jobID := range slices.Sorted(maps.Keys(results)) {
 		for _, result := range results[jobID] {
-			if result.listed.Text == nil && !result.listed.Dead {
-				unstored, texts = append(unstored, result.listed), append(texts, result.text)
+			if result.entry.Text == nil && !result.entry.Dead {
+				unstored, texts = append(unstored, result.entry), append(texts, result.text)
 			}
 		}
 	}
@@ -232,17 +232,17 @@
 	return results, progress
 }
 
-// withoutListed returns the results without those that the ledger already lists and those of
+// withoutRecorded returns the results without those that the ledger already has and those of
 // jobs that are no longer open.
-func (w *resultWriter) withoutListed(results resultsByJob) resultsByJob {
+func (w *resultWriter) withoutRecorded(results resultsByJob) resultsByJob {
 	remaining := make(resultsByJob, len(results))
-	for jobID, listed := range results {
+	for jobID, jobResults := range results {
 		w.node.jobs.view(jobID, func(job *ledger.Job) {
 			if job == nil || !job.Open() {
 				return
 			}
-			for _, result := range listed {
-				if !job.HasResult(result.listed.ItemId) {
+			for _, result := range jobResults {
+				if !job.HasResult(result.entry.ItemId) {
 					remaining[jobID] = append(remaining[jobID], result)
 				}
 			}
@@ -251,15 +251,15 @@
 	return remaining
 }
 
-// allListed reports whether all results were read back, ignoring those of unknown and
+// allRecorded reports whether all results were read back, ignoring those of unknown and
 // ended jobs. The caller holds the ledger's lock.
-func (w *resultWriter) allListed(results resultsByJob) bool {
-	for jobID, listed := range results {
+func (w *resultWriter) allRecorded(results resultsByJob) bool {
+	for jobID, jobResults := range results {
 		job := w.node.jobs.ledger.Job(jobID)
 		if job == nil || job.Ended {
 			continue
 		}
-		if !slices.ContainsFunc(listed, func(result pendingResult) bool { return !job.HasResult(result.listed.ItemId) }) {
+		if !slices.ContainsFunc(jobResults, func(result pendingResult) bool { return !job.HasResult(result.entry.ItemId) }) {
 			continue
 		}
 		return false
@@ -270,11 +270,11 @@
 func resultEntries(results resultsByJob) []*pathbendv1.LedgerEntry {
 	var entries []*pathbendv1.LedgerEntry
 	for _, jobID := range slices.Sorted(maps.Keys(results)) {
-		listed := &pathbendv1.BatchResults{}
+		batch := &pathbendv1.BatchResults{}
 		for _, result := range results[jobID] {
-			listed.Results = append(listed.Results, result.listed)
+			batch.Results = append(batch.Results, result.entry)
 		}
-		entries = append(entries, &pathbendv1.LedgerEntry{JobId: jobID, Fact: &pathbendv1.LedgerEntry_Listed{Listed: listed}})
+		entries = append(entries, &pathbendv1.LedgerEntry{JobId: jobID, Fact: &pathbendv1.LedgerEntry_Listed{Listed: batch}})
 	}
 	return entries
 }
--- a/internal/platformnode/worker.go
+++ b/internal/platformnode/worker.go
@@ -206,10 +206,10 @@
 // applyChange stops the runs of items that have a result, and those of a job that ended or is
 // complete, except for speculative runs for a later job. The caller holds the lock.
 func (w *worker) applyChange(change ledger.Change, now time.Time) {
-	for _, listed := range change.NewResults {
-		w.stopRuns(func(run *workerRun) bool { return run.key.Item == listed.ItemID })
-		delete(w.texts, textKey{item: listed.ItemID})
-		delete(w.texts, textKey{item: listed.ItemID, ahead: true})
+	for _, itemResult := range change.NewResults {
+		w.stopRuns(func(run *workerRun) bool { return run.key.Item == itemResult.ItemID })
+		delete(w.texts, textKey{item: itemResult.ItemID})
+		delete(w.texts, textKey{item: itemResult.ItemID, ahead: true})
 	}
 	if change.Kind != ledger.JobEnded && !change.Complete {
 		return
--- a/internal/platformnode/worker_runs.go
+++ b/internal/platformnode/worker_runs.go
@@ -304,7 +304,7 @@
 	w.finishing[key] = struct{}{}
 	w.mutex.Unlock()
 	completed.Reward, completed.Tenant = job.items[key.Item].Reward, job.spec.Tenant
-	w.scoreAndList(completed)
+	w.scoreAndQueueResult(completed)
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	delete(w.finishing, key)
@@ -324,9 +324,9 @@
 	return false
 }
 
-// scoreAndList makes the reward call, if there is one, and writes the result of the item
+// scoreAndQueueResult makes the reward call, if there is one, and queues the result of the item
 // unless it is no longer needed.
-func (w *worker) scoreAndList(completed schedule.Finished) {
+func (w *worker) scoreAndQueueResult(completed schedule.Finished) {
 	stamp, alive := "", true
 	if completed.Reward != nil {
 		stamp, alive = w.node.executor.rewards.score(w.lifetime, completed, func() bool { return w.needsResult(completed.Key) })
