--- a/internal/platformnode/evacuation_test.go
+++ b/internal/platformnode/evacuation_test.go
@@ -64,7 +64,7 @@
 	e.node.ApplyEvacuations([]string{"a"})
 	e.applyEvacuations()
 	var ordered []string
-	for _, member := range (rollFleet{executor: e, now: time.Now()}).Members() {
+	for _, member := range (samplerFleet{executor: e, now: time.Now()}).Members() {
 		ordered = append(ordered, member.ID)
 	}
 	require.Equal(t, []string{"b1", "b2"}, ordered)
--- a/internal/platformnode/node.go
+++ b/internal/platformnode/node.go
@@ -94,9 +94,9 @@
 	configuredOnce sync.Once
 	// partialSamplers is the part of the first list of samplers that has been read so far.
 	partialSamplers partialSamplerList
-	// informed is closed once the node has a configuration and a complete list of samplers.
-	informed     chan struct{}
-	informedOnce sync.Once
+	// initialized is closed once the node has a configuration and a complete list of samplers.
+	initialized     chan struct{}
+	initializedOnce sync.Once
 
 	// configurationAgeFunc returns the time since the configuration was last known to be the
 	// newest. It is nil if the configuration always counts as the newest.
@@ -115,10 +115,10 @@
 func New(settings Settings, ports Ports, logger *event.Logger) *Node {
 	n := &Node{
 		settings: settings, ports: ports, logger: logger, log: sharedlog.NewMeteredLog(ports.Log, ports.Group),
-		fleet:     fleet.NewForPlatform(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), settings.place(), logger),
-		exchanger: dispatch.NewExchanger(ports.Network),
-		versions:  make(map[string]uint64),
-		informed:  make(chan struct{}),
+		fleet:       fleet.NewForPlatform(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), settings.location(), logger),
+		exchanger:   dispatch.NewExchanger(ports.Network),
+		versions:    make(map[string]uint64),
+		initialized: make(chan struct{}),
 
 		configured: make(chan struct{}), lifetime: context.Background(),
 	}
@@ -162,7 +162,7 @@
 // could not execute the jobs of its share.
 func (n *Node) joinGroup(ctx context.Context) {
 	select {
-	case <-n.informed:
+	case <-n.initialized:
 		n.awaitAnnouncements(ctx)
 		n.ownership.Run(ctx)
 	case <-ctx.Done():
@@ -187,7 +187,7 @@
 // the ledger after 3.3 s.
 func (n *Node) followJobs(ctx context.Context) {
 	select {
-	case <-n.informed:
+	case <-n.initialized:
 	case <-ctx.Done():
 		return
 	}
@@ -254,7 +254,7 @@
 	}
 	n.updateFleet()
 	n.configuredOnce.Do(func() { close(n.configured) })
-	n.checkInformed()
+	n.checkInitialized()
 	n.executor.wake()
 }
 
@@ -262,9 +262,9 @@
 // request needs it, so larger data is better read afterwards.
 func (n *Node) Configured() <-chan struct{} { return n.configured }
 
-func (n *Node) checkInformed() {
+func (n *Node) checkInitialized() {
 	if n.catalog.Load() != nil && n.samplers.Load() != nil {
-		n.informedOnce.Do(func() { close(n.informed) })
+		n.initializedOnce.Do(func() { close(n.initialized) })
 	}
 }
 
@@ -322,7 +322,7 @@
 func (n *Node) ApplySamplers(samplers []schedule.Sampler) {
 	n.samplers.Store(&samplers)
 	n.updateFleet()
-	n.checkInformed()
+	n.checkInitialized()
 	n.executor.wake()
 }
 
--- a/internal/platformnode/partial_samplers.go
+++ b/internal/platformnode/partial_samplers.go
@@ -112,7 +112,7 @@
 		}
 		select {
 		case <-changed:
-		case <-n.informed:
+		case <-n.initialized:
 			return nil
 		case <-ctx.Done():
 			return notReady("sampler list not read yet")
--- a/internal/platformnode/regions.go
+++ b/internal/platformnode/regions.go
@@ -10,8 +10,8 @@
 	"github.com/pathbend/pathbend/internal/routing"
 )
 
-// place returns the location of the node for routing decisions.
-func (s *Settings) place() routing.NodeLocation {
+// location returns the location of the node for routing decisions.
+func (s *Settings) location() routing.NodeLocation {
 	return routing.NodeLocation{Node: s.Name, Zone: s.Zone, Topology: s.Topology}
 }
 
--- a/internal/platformnode/weights.go
+++ b/internal/platformnode/weights.go
@@ -36,7 +36,7 @@
 		return
 	}
 	e.rollingUpdate.SetDemand(e.scheduler.PeakDemand(now))
-	for _, update := range e.rollingUpdate.Next(now, rollFleet{executor: e, now: now}, targets) {
+	for _, update := range e.rollingUpdate.Next(now, samplerFleet{executor: e, now: now}, targets) {
 		sampler, ok := e.scheduler.Sampler(update.SamplerID)
 		if !ok {
 			e.rollingUpdate.Done(update, false, now)
@@ -59,19 +59,19 @@
 	}
 }
 
-// rollFleet presents the samplers to the rolling update, as the executor knows them. It
+// samplerFleet presents the samplers to the rolling update, as the executor knows them. It
 // leaves out evacuated samplers, so that samplers that get work are updated in their place.
 // The executor's lock is held while it is used.
-type rollFleet struct {
+type samplerFleet struct {
 	executor *executor
 	now      time.Time
 }
 
 // Size implements weights.Fleet.
-func (f rollFleet) Size() int { return f.executor.scheduler.SamplerCount() }
+func (f samplerFleet) Size() int { return f.executor.scheduler.SamplerCount() }
 
 // Members implements weights.Fleet.
-func (f rollFleet) Members() []weights.Member {
+func (f samplerFleet) Members() []weights.Member {
 	var members []weights.Member
 	for _, load := range f.executor.scheduler.Loads() {
 		if !load.Evacuated {
@@ -82,7 +82,7 @@
 }
 
 // Member implements weights.Fleet.
-func (f rollFleet) Member(id string) (weights.Member, bool) {
+func (f samplerFleet) Member(id string) (weights.Member, bool) {
 	load, known := f.executor.scheduler.Load(id)
 	if !known || load.Evacuated {
 		return weights.Member{}, false
