--- a/internal/platformnode/node.go
+++ b/internal/platformnode/node.go
@@ -66,11 +66,11 @@
 	scaler     *scaler
 	suspects   *suspects
 	// readers determines which nodes read the keyed topics on behalf of others. The feeds
-	// deliver the topics to this node, entries serves them to other nodes.
+	// deliver the topics to this node, entryServer serves them to other nodes.
 	readers      *readers
 	samplerFeed  *topicreader.Feed
 	operatorFeed *topicreader.Feed
-	entries      *topicreader.Server
+	entryServer  *topicreader.Server
 
 	// rejectionLimiter limits the rate of log lines about malformed records.
 	rejectionLimiter event.Limiter
@@ -92,11 +92,11 @@
 	// configured is closed once the node has a configuration.
 	configured     chan struct{}
 	configuredOnce sync.Once
-	// early is the part of the first list of samplers that has been read so far.
-	early partialSamplerList
-	// informed is closed once the node has a configuration and a complete list of samplers.
-	informed     chan struct{}
-	informedOnce sync.Once
+	// partialSamplers is the part of the first list of samplers that has been read so far.
+	partialSamplers partialSamplerList
+	// initialized is closed once the node has a configuration and a complete list of samplers.
+	initialized     chan struct{}
+	initializedOnce sync.Once
 
 	// configurationAgeFunc returns the time since the configuration was last known to be the
 	// newest. It is nil if the configuration always counts as the newest.
@@ -115,10 +115,10 @@
 func New(settings Settings, ports Ports, logger *event.Logger) *Node {
 	n := &Node{
 		settings: settings, ports: ports, logger: logger, log: sharedlog.NewMeteredLog(ports.Log, ports.Group),
-		fleet:     fleet.NewForPlatform(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), settings.place(), logger),
-		exchanger: dispatch.NewExchanger(ports.Network),
-		versions:  make(map[string]uint64),
-		informed:  make(chan struct{}),
+		fleet:       fleet.NewForPlatform(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())), settings.location(), logger),
+		exchanger:   dispatch.NewExchanger(ports.Network),
+		versions:    make(map[string]uint64),
+		initialized: make(chan struct{}),
 
 		configured: make(chan struct{}), lifetime: context.Background(),
 	}
@@ -162,7 +162,7 @@
 // could not execute the jobs of its share.
 func (n *Node) joinGroup(ctx context.Context) {
 	select {
-	case <-n.informed:
+	case <-n.initialized:
 		n.awaitAnnouncements(ctx)
 		n.ownership.Run(ctx)
 	case <-ctx.Done():
@@ -170,9 +170,10 @@
 }
 
 const (
-	// ledgerReadInterval is the average interval between the ledger reads of starting nodes that do
-	// not need the ledger at once. The store takes about as long to send one node the ledger
-	// of a busy minute: some 500 KB at 80 MB/s, with as much bandwidth left for others.
+	// ledgerReadInterval is the average interval between the ledger reads of starting nodes
+	// that do not need the ledger at once. The log service takes about as long to send one node
+	// the ledger of a busy minute: some 500 KB at 80 MB/s, with as much bandwidth left for
+	// others.
 	ledgerReadInterval = 10 * time.Millisecond
 	// maxLedgerDelay bounds the delay of such a read, however many nodes there are. A node
 	// without the ledger reads it at the first request about a job.
@@ -186,7 +187,7 @@
 // the ledger after 3.3 s.
 func (n *Node) followJobs(ctx context.Context) {
 	select {
-	case <-n.informed:
+	case <-n.initialized:
 	case <-ctx.Done():
 		return
 	}
@@ -253,7 +254,7 @@
 	}
 	n.updateFleet()
 	n.configuredOnce.Do(func() { close(n.configured) })
-	n.checkInformed()
+	n.checkInitialized()
 	n.executor.wake()
 }
 
@@ -261,9 +262,9 @@
 // request needs it, so larger data is better read afterwards.
 func (n *Node) Configured() <-chan struct{} { return n.configured }
 
-func (n *Node) checkInformed() {
+func (n *Node) checkInitialized() {
 	if n.catalog.Load() != nil && n.samplers.Load() != nil {
-		n.informedOnce.Do(func() { close(n.informed) })
+		n.initializedOnce.Do(func() { close(n.initialized) })
 	}
 }
 
@@ -295,7 +296,7 @@
 }
 
 // ApplyVersion records a weight version that a trainer announced, unless a newer one is known.
-// Every node receives it; the executor logs it.
+// Every node receives the announcements; only the executor logs them.
 func (n *Node) ApplyVersion(model string, version uint64) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -321,7 +322,7 @@
 func (n *Node) ApplySamplers(samplers []schedule.Sampler) {
 	n.samplers.Store(&samplers)
 	n.updateFleet()
-	n.checkInformed()
+	n.checkInitialized()
 	n.executor.wake()
 }
 
@@ -332,7 +333,7 @@
 	defer n.fleetMutex.Unlock()
 	listed := n.samplers.Load()
 	if listed == nil {
-		listed = n.early.list()
+		listed = n.partialSamplers.list()
 	}
 	if listed == nil {
 		return
