--- a/internal/node/generate.go
+++ b/internal/node/generate.go
@@ -58,15 +58,16 @@
 	request engine.GenerateRequest
 	// minVersion is the lowest weight version whose tokens are accepted.
 	minVersion uint64
-	// onPlaced is called with the id of each engine that is picked, before the attempt at it.
-	onPlaced func(engineID string)
+	// onEngineSelected is called with the id of each engine that is selected, before the
+	// request is sent to it.
+	onEngineSelected func(engineID string)
 	// onChunk is called with each chunk of the stream. An error ends the attempt.
 	onChunk func(chunk engine.Chunk) error
 }
 
 // Generate implements rollout.Generator. It makes one attempt and returns the finish reason
 // of the last chunk.
-func (g *generator) Generate(ctx context.Context, tenantName, modelName string, start rollout.AttemptRequest, progress rollout.Progress) (string, error) {
+func (g *generator) Generate(ctx context.Context, tenantName, modelName string, attemptRequest rollout.AttemptRequest, progress rollout.Progress) (string, error) {
 	document, _ := g.node.Current()
 	if document == nil {
 		return "", errModelRemoved
@@ -80,16 +81,16 @@
 	err := g.run(ctx, attempt{
 		tenant: tenantName,
 		route: routing.Request{
-			Pool: model.Pool, Zone: g.node.settings.Zone, Model: model.Name, MinVersion: start.MinVersion,
-			PrefixHash: prefixHash(start.Prompt.Prompt), Excluded: start.Exclude,
+			Pool: model.Pool, Zone: g.node.settings.Zone, Model: model.Name, MinVersion: attemptRequest.MinVersion,
+			PrefixHash: prefixHash(attemptRequest.Prompt.Prompt), Excluded: attemptRequest.Exclude,
 		},
 		request: engine.GenerateRequest{
-			RequestID: g.node.NewID(), Model: model.Name, Adapter: model.Adapter, Prompt: start.Prompt.Prompt,
-			MaxTokens: start.Prompt.MaxTokens, Seed: start.Seed, ResumeTokens: start.Resume,
-			Priority: min(minRolloutPriority+int(start.Age/rolloutPriorityInterval), maxRolloutPriority),
+			RequestID: g.node.NewID(), Model: model.Name, Adapter: model.Adapter, Prompt: attemptRequest.Prompt.Prompt,
+			MaxTokens: attemptRequest.Prompt.MaxTokens, Seed: attemptRequest.Seed, ResumeTokens: attemptRequest.Resume,
+			Priority: min(minRolloutPriority+int(attemptRequest.Age/rolloutPriorityInterval), maxRolloutPriority),
 		},
-		minVersion: start.MinVersion,
-		onPlaced:   progress.EngineSelected,
+		minVersion:       attemptRequest.MinVersion,
+		onEngineSelected: progress.EngineSelected,
 		onChunk: func(chunk engine.Chunk) error {
 			reason = chunk.FinishReason
 			if !progress.Chunk(chunk.Tokens, chunk.Version) {
@@ -127,7 +128,7 @@
 				Prompt: completion.Prompt, MaxTokens: completion.MaxTokens, Seed: completion.Seed, ResumeTokens: delivered,
 				Priority: gateway.EnginePriority(completion.Priority),
 			},
-			onPlaced: func(id string) { engineID = id },
+			onEngineSelected: func(id string) { engineID = id },
 			onChunk: func(chunk engine.Chunk) error {
 				delivered = append(delivered, chunk.Tokens...)
 				err := onChunk(chunk)
@@ -168,7 +169,7 @@
 		if endpoint == nil {
 			return errNoEngine
 		}
-		a.onPlaced(endpoint.ID)
+		a.onEngineSelected(endpoint.ID)
 		startedAt := time.Now()
 		err := g.stream(ctx, endpoint, a)
 		g.node.fleet.Report(endpoint, dispatchReport(ctx, err, time.Since(startedAt)))
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -360,8 +360,8 @@
 	return n.Ready() && listed && n.members.usableCount() >= nodes && ready == member
 }
 
-// MemberStatusOf returns the status of a member as known to this node, or the empty string if the
-// member is unknown.
+// MemberStatusOf returns the status of a member as known to this node, or the empty string if
+// the member is unknown.
 func (n *Node) MemberStatusOf(id string) string {
 	member, ok := n.members.get(id)
 	if !ok {
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -36,9 +36,9 @@
 `
 
 // reserve returns an address with a free port.
-func reserve(t *testing.T, reserved *network.ReservingNetwork) string {
+func reserve(t *testing.T, reservingNetwork *network.ReservingNetwork) string {
 	t.Helper()
-	address, err := reserved.Reserve()
+	address, err := reservingNetwork.Reserve()
 	require.NoError(t, err)
 	return address
 }
@@ -59,10 +59,10 @@
 	require.NoError(t, err)
 	settings := DefaultSettings()
 	settings.Name, settings.Zone = "n", "z"
-	reserved := network.NewReservingNetwork()
-	settings.HTTPAddress, settings.PeerAddress, settings.AdminAddress = reserve(t, reserved), reserve(t, reserved), reserve(t, reserved)
+	reservingNetwork := network.NewReservingNetwork()
+	settings.HTTPAddress, settings.PeerAddress, settings.AdminAddress = reserve(t, reservingNetwork), reserve(t, reservingNetwork), reserve(t, reservingNetwork)
 	settings.LogAddress, settings.MachinesAddress = address, address
-	node, err := New(settings, reserved, event.Discard())
+	node, err := New(settings, reservingNetwork, event.Discard())
 	require.NoError(t, err)
 	require.NoError(t, node.Start())
 	t.Cleanup(func() {
