--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -52,10 +52,10 @@
 // NewForPlatform returns an empty fleet for a node at the given location whose endpoints
 // send no load reports.
 func NewForPlatform(random *rand.Rand, location routing.NodeLocation, logger *event.Logger) *Fleet {
-	hosted := New(random, logger)
-	hosted.applicationProfile = routing.NewPlatformProfile(random, location)
-	hosted.allowedRegion = routing.AllowedRegion{Topology: location.Topology}
-	return hosted
+	platformFleet := New(random, logger)
+	platformFleet.applicationProfile = routing.NewPlatformProfile(random, location)
+	platformFleet.allowedRegion = routing.AllowedRegion{Topology: location.Topology}
+	return platformFleet
 }
 
 // Update replaces the endpoints with those of a machine list. Nodes in the list are
