--- a/internal/delivery/delivery_test.go
+++ b/internal/delivery/delivery_test.go
@@ -45,10 +45,10 @@
 
 func TestFreshnessAtTheLimits(t *testing.T) {
 	limit := FreshnessLimit{MaxVersions: 2, MaxAge: time.Minute}
-	started := time.Unix(100, 0)
-	require.True(t, limit.Fresh(5, started, started.Add(59*time.Second), 7))
-	require.False(t, limit.Fresh(5, started, started, 8))
-	require.False(t, limit.Fresh(5, started, started.Add(time.Minute), 5))
+	startedAt := time.Unix(100, 0)
+	require.True(t, limit.Fresh(5, startedAt, startedAt.Add(59*time.Second), 7))
+	require.False(t, limit.Fresh(5, startedAt, startedAt, 8))
+	require.False(t, limit.Fresh(5, startedAt, startedAt.Add(time.Minute), 5))
 	require.Equal(t, uint64(5), limit.MinVersion(7))
 	require.Zero(t, limit.MinVersion(1))
 }
--- a/internal/delivery/sample.go
+++ b/internal/delivery/sample.go
@@ -69,10 +69,10 @@
 	return FreshnessLimit{MaxVersions: freshness.MaxVersions, MaxAge: freshness.MaxAge}
 }
 
-// Fresh reports whether a sample whose oldest token was requested at started and whose
+// Fresh reports whether a sample whose oldest token was requested at startedAt and whose
 // oldest version is oldest may be delivered to a trainer at trainerVersion.
-func (l FreshnessLimit) Fresh(oldest uint64, started, now time.Time, trainerVersion uint64) bool {
-	return oldest+l.MaxVersions >= trainerVersion && now.Sub(started) < l.MaxAge
+func (l FreshnessLimit) Fresh(oldest uint64, startedAt, now time.Time, trainerVersion uint64) bool {
+	return oldest+l.MaxVersions >= trainerVersion && now.Sub(startedAt) < l.MaxAge
 }
 
 // MinVersion returns the lowest weight version whose tokens may be delivered to a
--- a/internal/rollout/bench_test.go
+++ b/internal/rollout/bench_test.go
@@ -19,15 +19,15 @@
 		runtime.ReadMemStats(&before)
 		policy := Policy{Freshness: delivery.FreshnessLimit{MaxVersions: 1, MaxAge: time.Hour}, MaxConcurrentAttempts: slots, CarryOver: true}
 		job := NewJob(testSpec(slots), policy, baseTime)
-		for _, started := range job.StartAttempts(baseTime) {
+		for _, request := range job.StartAttempts(baseTime) {
 			for first := 0; first < tokens; first += chunkSize {
 				chunkTokens := make([]string, 0, chunkSize)
 				for i := range chunkSize {
 					chunkTokens = append(chunkTokens, fmt.Sprintf("token%d", first+i))
 				}
-				job.AddTokens(baseTime, started.Slot, started.Attempt, chunkTokens, 1)
+				job.AddTokens(baseTime, request.Slot, request.Attempt, chunkTokens, 1)
 			}
-			job.CompleteAttempt(baseTime, started.Slot, started.Attempt, "stop")
+			job.CompleteAttempt(baseTime, request.Slot, request.Attempt, "stop")
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
--- a/internal/rollout/handover.go
+++ b/internal/rollout/handover.go
@@ -53,13 +53,13 @@
 // longestPartial returns the longest token sequence that the attempts of a slot have
 // generated; false if there is none.
 func longestPartial(s *slot, index int, now time.Time) (HandoverSlot, bool) {
-	tokens, segments, started := s.partialTokens, s.partialSegments, s.partialStartedAt
+	tokens, segments, startedAt := s.partialTokens, s.partialSegments, s.partialStartedAt
 	for _, running := range s.attempts {
 		if len(running.tokens) > len(tokens) {
-			tokens, segments, started = running.tokens, running.segments, running.started
+			tokens, segments, startedAt = running.tokens, running.segments, running.startedAt
 		}
 	}
-	partial := HandoverSlot{Slot: index, Tokens: tokens, Segments: segments, AgeMS: now.Sub(started).Milliseconds()}
+	partial := HandoverSlot{Slot: index, Tokens: tokens, Segments: segments, AgeMS: now.Sub(startedAt).Milliseconds()}
 	return partial, len(tokens) > 0
 }
 
@@ -73,14 +73,14 @@
 			continue
 		}
 		s := &job.slots[imported.Slot]
-		started := now.Add(-time.Duration(imported.AgeMS) * time.Millisecond)
+		startedAt := now.Add(-time.Duration(imported.AgeMS) * time.Millisecond)
 		if imported.FinishReason == "" {
-			s.partialTokens, s.partialSegments, s.partialStartedAt = imported.Tokens, imported.Segments, started
+			s.partialTokens, s.partialSegments, s.partialStartedAt = imported.Tokens, imported.Segments, startedAt
 			continue
 		}
 		s.sample = &delivery.Sample{
 			Slot: imported.Slot, Group: handover.Spec.Prompts[s.promptIndex].Group, Tokens: imported.Tokens,
-			Segments: imported.Segments, FinishReason: imported.FinishReason, Attempt: imported.Attempt, StartedAt: started,
+			Segments: imported.Segments, FinishReason: imported.FinishReason, Attempt: imported.Attempt, StartedAt: startedAt,
 		}
 	}
 	return job
--- a/internal/rollout/job.go
+++ b/internal/rollout/job.go
@@ -65,7 +65,7 @@
 	engine       string
 	tokens       []string
 	segments     []delivery.Segment
-	started      time.Time
+	startedAt    time.Time
 	lastProgress time.Time
 }
 
@@ -238,7 +238,7 @@
 			j.counters.Stale++
 		}
 		for _, running := range slices.Clone(s.attempts) {
-			if len(running.segments) > 0 && !j.isFresh(running.segments, running.started, now) {
+			if len(running.segments) > 0 && !j.isFresh(running.segments, running.startedAt, now) {
 				j.dropAttempt(s, running)
 				j.cancelled = append(j.cancelled, running.id)
 				j.counters.Stale++
@@ -247,8 +247,8 @@
 	}
 }
 
-func (j *Job) isFresh(segments []delivery.Segment, started, now time.Time) bool {
-	return j.policy.Freshness.Fresh(delivery.OldestVersion(segments), started, now, j.trainerVersion)
+func (j *Job) isFresh(segments []delivery.Segment, startedAt, now time.Time) bool {
+	return j.policy.Freshness.Fresh(delivery.OldestVersion(segments), startedAt, now, j.trainerVersion)
 }
 
 func (j *Job) dropAttempt(s *slot, dropped *attempt) {
@@ -259,16 +259,16 @@
 // StartAttempts returns the attempts to start now: first those of slots without a
 // running attempt, in slot order, then second attempts of slots without progress.
 func (j *Job) StartAttempts(now time.Time) []AttemptRequest {
-	var starts []AttemptRequest
+	var requests []AttemptRequest
 	for i := range j.slots {
 		if j.running >= j.policy.MaxConcurrentAttempts {
-			return starts
+			return requests
 		}
 		if j.canStart(&j.slots[i], now) {
-			starts = append(starts, j.startAttempt(i, now))
+			requests = append(requests, j.startAttempt(i, now))
 		}
 	}
-	return append(starts, j.startHedges(now)...)
+	return append(requests, j.startHedges(now)...)
 }
 
 func (j *Job) canStart(s *slot, now time.Time) bool {
@@ -276,7 +276,7 @@
 }
 
 func (j *Job) startHedges(now time.Time) []AttemptRequest {
-	var starts []AttemptRequest
+	var requests []AttemptRequest
 	if j.policy.HedgeAfter == 0 {
 		return nil
 	}
@@ -287,10 +287,10 @@
 		}
 		if now.Sub(s.attempts[0].lastProgress) >= j.policy.HedgeAfter {
 			j.counters.Hedged++
-			starts = append(starts, j.startAttempt(i, now))
+			requests = append(requests, j.startAttempt(i, now))
 		}
 	}
-	return starts
+	return requests
 }
 
 func (j *Job) startAttempt(index int, now time.Time) AttemptRequest {
@@ -299,25 +299,25 @@
 		s.firstStart = now
 	}
 	j.attemptCount++
-	added := &attempt{id: fmt.Sprintf("%s/%d/%d", j.spec.JobID, index, j.attemptCount), started: now, lastProgress: now}
+	added := &attempt{id: fmt.Sprintf("%s/%d/%d", j.spec.JobID, index, j.attemptCount), startedAt: now, lastProgress: now}
 	prompt := j.spec.Prompts[s.promptIndex]
-	start := AttemptRequest{
+	request := AttemptRequest{
 		Slot: index, Attempt: added.id, Prompt: prompt, Seed: prompt.Seed + uint64(s.indexInGroup),
 		MinVersion: j.policy.Freshness.MinVersion(j.trainerVersion), Age: now.Sub(s.firstStart),
 	}
 	for _, other := range s.attempts {
-		start.Exclude = append(start.Exclude, other.engine)
+		request.Exclude = append(request.Exclude, other.engine)
 	}
 	if len(s.attempts) == 0 && s.partialTokens != nil {
-		added.tokens, added.segments, added.started = s.partialTokens, s.partialSegments, s.partialStartedAt
-		start.Resume = slices.Clone(s.partialTokens)
+		added.tokens, added.segments, added.startedAt = s.partialTokens, s.partialSegments, s.partialStartedAt
+		request.Resume = slices.Clone(s.partialTokens)
 		s.partialTokens, s.partialSegments = nil, nil
 		j.counters.Resumed++
 	}
 	s.attempts = append(s.attempts, added)
 	j.running++
 	j.counters.Started++
-	return start
+	return request
 }
 
 // findAttempt returns a slot and its running attempt; the attempt is nil if it was cancelled.
@@ -366,7 +366,7 @@
 	j.cancelAttempts(s)
 	s.sample = &delivery.Sample{
 		Slot: index, Group: j.spec.Prompts[s.promptIndex].Group, Tokens: running.tokens, Segments: running.segments,
-		FinishReason: reason, Attempt: id, StartedAt: running.started,
+		FinishReason: reason, Attempt: id, StartedAt: running.startedAt,
 	}
 }
 
@@ -387,7 +387,7 @@
 	j.counters.Failed++
 	s.retryAt = until
 	longer := len(running.tokens) > len(s.partialTokens)
-	if j.policy.CarryOver && longer && j.isFresh(running.segments, running.started, now) {
-		s.partialTokens, s.partialSegments, s.partialStartedAt = running.tokens, running.segments, running.started
+	if j.policy.CarryOver && longer && j.isFresh(running.segments, running.startedAt, now) {
+		s.partialTokens, s.partialSegments, s.partialStartedAt = running.tokens, running.segments, running.startedAt
 	}
 }
--- a/internal/rollout/manager.go
+++ b/internal/rollout/manager.go
@@ -28,7 +28,7 @@
 // Generator runs one attempt on an engine until it ends. It returns the finish
 // reason, or an error if the attempt failed.
 type Generator interface {
-	Generate(ctx context.Context, tenant, model string, start AttemptRequest, progress Progress) (finishReason string, err error)
+	Generate(ctx context.Context, tenant, model string, request AttemptRequest, progress Progress) (finishReason string, err error)
 }
 
 const (
@@ -120,10 +120,10 @@
 	if m.draining {
 		return
 	}
-	for _, start := range running.job.StartAttempts(now) {
+	for _, request := range running.job.StartAttempts(now) {
 		ctx, cancel := context.WithCancel(m.ctx)
-		running.cancels[start.Attempt] = cancel
-		m.waitGroup.Go(func() { m.run(ctx, running, start) })
+		running.cancels[request.Attempt] = cancel
+		m.waitGroup.Go(func() { m.run(ctx, running, request) })
 	}
 }
 
@@ -157,19 +157,19 @@
 type attemptProgress struct {
 	manager *Manager
 	running *runningJob
-	start   AttemptRequest
+	request AttemptRequest
 }
 
 func (p *attemptProgress) EngineSelected(engine string) {
 	p.manager.mutex.Lock()
 	defer p.manager.mutex.Unlock()
-	p.running.job.SetEngine(p.start.Slot, p.start.Attempt, engine)
+	p.running.job.SetEngine(p.request.Slot, p.request.Attempt, engine)
 }
 
 func (p *attemptProgress) Chunk(tokens []string, version uint64) bool {
 	p.manager.mutex.Lock()
 	defer p.manager.mutex.Unlock()
-	return p.running.job.AddTokens(clock.Now(), p.start.Slot, p.start.Attempt, tokens, version)
+	return p.running.job.AddTokens(clock.Now(), p.request.Slot, p.request.Attempt, tokens, version)
 }
 
 // maxQuarantineRetryDelay limits the retry delay of a slot whose prompt is quarantined,
@@ -184,22 +184,22 @@
 	return min(max(result.From(err).RetryAfter, retryDelay), maxQuarantineRetryDelay)
 }
 
-func (m *Manager) run(ctx context.Context, running *runningJob, start AttemptRequest) {
-	progress := &attemptProgress{manager: m, running: running, start: start}
-	reason, err := m.generator.Generate(ctx, running.key.tenant, running.model, start, progress)
+func (m *Manager) run(ctx context.Context, running *runningJob, request AttemptRequest) {
+	progress := &attemptProgress{manager: m, running: running, request: request}
+	reason, err := m.generator.Generate(ctx, running.key.tenant, running.model, request, progress)
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if cancel, ok := running.cancels[start.Attempt]; ok {
+	if cancel, ok := running.cancels[request.Attempt]; ok {
 		cancel()
-		delete(running.cancels, start.Attempt)
+		delete(running.cancels, request.Attempt)
 	}
 	if err != nil {
 		now := clock.Now()
-		running.job.FailAttemptUntil(now, now.Add(retryDelayFor(err)), start.Slot, start.Attempt)
-		m.logger.Log(event.SampleRestarted, "job", running.key.id, "slot", start.Slot, "error", err.Error())
+		running.job.FailAttemptUntil(now, now.Add(retryDelayFor(err)), request.Slot, request.Attempt)
+		m.logger.Log(event.SampleRestarted, "job", running.key.id, "slot", request.Slot, "error", err.Error())
 		return
 	}
-	running.job.CompleteAttempt(clock.Now(), start.Slot, start.Attempt, reason)
+	running.job.CompleteAttempt(clock.Now(), request.Slot, request.Attempt, reason)
 	m.stopCancelled(running)
 	running.notify()
 	m.advance(running, clock.Now())
