--- a/internal/keyed/answers.go
+++ b/internal/keyed/answers.go
@@ -16,7 +16,7 @@
 	maxStoreBytes = 64 << 20
 )
 
-// Stored is the outcome of an execution, stored for duplicate requests.
+// Outcome is the result of an execution, stored for duplicate requests.
 type Outcome struct {
 	Status int
 	Header http.Header
