--- a/internal/catalog/admission.go
+++ b/internal/catalog/admission.go
@@ -11,9 +11,9 @@
 	if c.Keys == nil {
 		return credential.Tenant{}, nil
 	}
-	tenant, held := c.Keys.TenantByKey(key)
+	tenant, found := c.Keys.TenantByKey(key)
 	switch {
-	case held:
+	case found:
 		return tenant, nil
 	case key == "":
 		return tenant, result.New(result.Unauthenticated, "request has no API key")
