--- a/internal/metering/aggregator.go
+++ b/internal/metering/aggregator.go
@@ -50,7 +50,7 @@
 	case *pathbendv1.UsageEntry_Accepted:
 		a.stateOf(Window(fact.Accepted.Window)).accepted = true
 	default:
-		return result.New(result.RecordMalformed, "usage entry without a fact")
+		return result.New(result.RecordMalformed, "usage entry contains neither counts nor a decision nor an acceptance")
 	}
 	return nil
 }
--- a/internal/metering/recorder.go
+++ b/internal/metering/recorder.go
@@ -27,8 +27,8 @@
 	Log       sharedlog.Log
 	Partition sharedlog.Partition
 	Clock     *Clock
-	// GatherInterval returns the time for which counts are gathered before they are appended. Counts
-	// that a process has not appended are lost when it is killed.
+	// GatherInterval returns the time for which counts are gathered before they are
+	// appended. Counts that a process has not appended are lost when it is killed.
 	GatherInterval func() time.Duration
 	Logger         *event.Logger
 
--- a/internal/metering/reporter.go
+++ b/internal/metering/reporter.go
@@ -50,8 +50,8 @@
 	Sender    Sender
 	Clock     *Clock
 	Logger    *event.Logger
-	// WindowLength is the length of a window; ReportDueAfter is how long after the end of a window its report
-	// is due.
+	// WindowLength is the length of a window; ReportDueAfter is how long after the end of a
+	// window its report is due.
 	WindowLength, ReportDueAfter time.Duration
 	// GatherInterval returns the time for which recorders gather counts before they append them.
 	GatherInterval func() time.Duration
