--- a/internal/explain/diagnosis.go
+++ b/internal/explain/diagnosis.go
@@ -55,8 +55,8 @@
 		if result.Code(last.Fields.Int("code")) == result.ZoneEvacuated && zones != "" {
 			return outcome, zones
 		}
-		if silence := silenceCause(last, all); silence != "" {
-			return outcome, silence
+		if gap := lineGapCause(last, all); gap != "" {
+			return outcome, gap
 		}
 		if region := regionCause(last); region != "" && failed == 0 {
 			return outcome, region
@@ -109,9 +109,9 @@
 	return "its route and tenant are bound to regions: " + line.Fields.String("detail")
 }
 
-// silenceCause reports a gap in the lines of a node before the given line, empty if there
+// lineGapCause reports a gap in the lines of a node before the given line, empty if there
 // is none. Lines within burst before it are taken as written with it.
-func silenceCause(line Line, all []Line) string {
+func lineGapCause(line Line, all []Line) string {
 	const minGap = 2 * time.Second
 	const burst = 50 * time.Millisecond
 	previous, ok := Line{}, false
