--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -206,10 +206,10 @@
 }
 
 // handle applies a peer's heartbeat and returns the acknowledgement.
-func (m *members) handle(beat *pathbendv1.Heartbeat) *pathbendv1.Heartbeat {
-	m.applyGossip(beat)
+func (m *members) handle(heartbeat *pathbendv1.Heartbeat) *pathbendv1.Heartbeat {
+	m.applyGossip(heartbeat)
 	m.mutex.Lock()
-	reply := m.stateMachine.HandleHeartbeat(time.Now(), decodeHeartbeat(beat))
+	reply := m.stateMachine.HandleHeartbeat(time.Now(), decodeHeartbeat(heartbeat))
 	m.requestGossip()
 	m.mutex.Unlock()
 	m.logChanges()
@@ -217,11 +217,11 @@
 }
 
 // applyGossip applies the announced versions and leaving endpoints that a heartbeat carries.
-func (m *members) applyGossip(beat *pathbendv1.Heartbeat) {
-	for _, version := range beat.GetVersions() {
+func (m *members) applyGossip(heartbeat *pathbendv1.Heartbeat) {
+	for _, version := range heartbeat.GetVersions() {
 		m.raiseVersion(weights.ModelKey{Tenant: version.Tenant, Model: version.Model}, version.Version)
 	}
-	for _, leaving := range beat.GetLeaving() {
+	for _, leaving := range heartbeat.GetLeaving() {
 		m.node.fleet.MarkLeavingFromPeer(leaving.Id)
 	}
 }
@@ -287,9 +287,9 @@
 
 // encode encodes a heartbeat and adds the configuration revision, the announced versions and
 // the leaving endpoints.
-func (m *members) encode(beat membership.Heartbeat) *pathbendv1.Heartbeat {
-	encoded := &pathbendv1.Heartbeat{From: beat.From, Digest: beat.Digest, Full: beat.Full}
-	for _, member := range beat.Updates {
+func (m *members) encode(heartbeat membership.Heartbeat) *pathbendv1.Heartbeat {
+	encoded := &pathbendv1.Heartbeat{From: heartbeat.From, Digest: heartbeat.Digest, Full: heartbeat.Full}
+	for _, member := range heartbeat.Updates {
 		encoded.Updates = append(encoded.Updates, &pathbendv1.Member{
 			Id: member.ID, Address: member.Address, HttpAddress: member.HTTPAddress, Zone: member.Zone,
 			Status: pathbendv1.MemberStatus(member.Status), Version: member.Version,
@@ -314,18 +314,18 @@
 // decodeHeartbeat decodes the membership part of a heartbeat. Updates with an unknown status
 // are ignored.
 func decodeHeartbeat(encoded *pathbendv1.Heartbeat) membership.Heartbeat {
-	beat := membership.Heartbeat{From: encoded.GetFrom(), Digest: encoded.GetDigest(), Full: encoded.GetFull()}
+	heartbeat := membership.Heartbeat{From: encoded.GetFrom(), Digest: encoded.GetDigest(), Full: encoded.GetFull()}
 	for _, member := range encoded.GetUpdates() {
 		status := membership.Status(member.Status)
 		if status < membership.Alive || status > membership.Dead {
 			continue
 		}
-		beat.Updates = append(beat.Updates, membership.Member{
+		heartbeat.Updates = append(heartbeat.Updates, membership.Member{
 			ID: member.Id, Address: member.Address, HTTPAddress: member.HttpAddress, Zone: member.Zone,
 			Status: status, Version: member.Version,
 		})
 	}
-	return beat
+	return heartbeat
 }
 
 // owners returns the members that are not dead in rank order for a job, those that take new
--- a/internal/node/quotas.go
+++ b/internal/node/quotas.go
@@ -26,11 +26,11 @@
 	node *Node
 
 	mutex sync.Mutex
-	// ledgers, meters and shares are by the name of the tenant. ledgers divide the
-	// rates that this node owns, meters measure this node's demand.
-	ledgers map[string]*quota.Allocator
-	meters  map[string]*quota.Meter
-	shares  map[string]grantedShare
+	// allocators, meters and shares are by the name of the tenant. allocators divide
+	// the rates that this node owns, meters measure this node's demand.
+	allocators map[string]*quota.Allocator
+	meters     map[string]*quota.Meter
+	shares     map[string]grantedShare
 }
 
 // grantedShare is a share of a rate and the time at which it was received.
@@ -41,7 +41,7 @@
 
 func newQuotas(n *Node) *quotas {
 	return &quotas{
-		node: n, ledgers: make(map[string]*quota.Allocator), meters: make(map[string]*quota.Meter),
+		node: n, allocators: make(map[string]*quota.Allocator), meters: make(map[string]*quota.Meter),
 		shares: make(map[string]grantedShare),
 	}
 }
@@ -128,12 +128,12 @@
 	}
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	ledger, ok := q.ledgers[call.Tenant]
+	allocator, ok := q.allocators[call.Tenant]
 	if !ok {
-		ledger = quota.NewAllocator()
-		q.ledgers[call.Tenant] = ledger
+		allocator = quota.NewAllocator()
+		q.allocators[call.Tenant] = allocator
 	}
-	share := ledger.Report(time.Now(), call.From, call.Demand, tenant.Spec.Capacity.RequestsPerSecond)
+	share := allocator.Report(time.Now(), call.From, call.Demand, tenant.Spec.Capacity.RequestsPerSecond)
 	return &pathbendv1.RateShare{RequestsPerSecond: share}, nil
 }
 
--- a/internal/node/weights.go
+++ b/internal/node/weights.go
@@ -100,13 +100,13 @@
 // missing.
 func (w *weightUpdater) reconcileModel(ctx context.Context, tenant string, model *config.Model) {
 	name := leaseName(tenant, model.Name)
-	held := w.node.lease(name)
-	if held.Holder != w.node.id {
-		w.claimIfHolderMissing(ctx, name, held)
+	currentLease := w.node.lease(name)
+	if currentLease.Holder != w.node.id {
+		w.claimIfHolderMissing(ctx, name, currentLease)
 		return
 	}
 	if w.node.draining.Load() {
-		w.release(ctx, held)
+		w.release(ctx, currentLease)
 		return
 	}
 	target := w.target(tenant, model)
@@ -120,7 +120,7 @@
 		w.planners[name] = planner
 	}
 	for _, order := range planner.Next(time.Now(), states, target) {
-		w.background.Go(func() { w.execute(ctx, planner, model, engines, order, target, held.Token) })
+		w.background.Go(func() { w.execute(ctx, planner, model, engines, order, target, currentLease.Token) })
 	}
 	if target.Version > 0 && w.reachedVersions[name] != target.Version && weights.Reached(states, target) {
 		w.reachedVersions[name] = target.Version
@@ -130,15 +130,15 @@
 
 // lease returns a lease by the state that this node has applied.
 func (n *Node) lease(name string) lease.Lease {
-	var held lease.Lease
-	n.follower.View(func(stateMachine *controlstate.Machine) { held = stateMachine.Leases().Get(name) })
-	return held
+	var currentLease lease.Lease
+	n.follower.View(func(stateMachine *controlstate.Machine) { currentLease = stateMachine.Leases().Get(name) })
+	return currentLease
 }
 
 // claimIfHolderMissing claims a lease without a live holder if this node ranks highest for
 // it.
-func (w *weightUpdater) claimIfHolderMissing(ctx context.Context, name string, held lease.Lease) {
-	member, known := w.node.members.get(held.Holder)
+func (w *weightUpdater) claimIfHolderMissing(ctx context.Context, name string, currentLease lease.Lease) {
+	member, known := w.node.members.get(currentLease.Holder)
 	if known && member.Status != membership.Dead {
 		delete(w.holderMissingSince, name)
 		return
@@ -154,14 +154,14 @@
 		return
 	}
 	w.appendOnce(ctx, name, &pathbendv1.Record{Body: &pathbendv1.Record_LeaseClaim{LeaseClaim: &pathbendv1.LeaseClaim{
-		Name: name, Holder: w.node.id, Replaces: held.Token,
+		Name: name, Holder: w.node.id, Replaces: currentLease.Token,
 	}}})
 }
 
 // release releases a lease that this node holds.
-func (w *weightUpdater) release(ctx context.Context, held lease.Lease) {
-	w.appendOnce(ctx, held.Name, &pathbendv1.Record{Body: &pathbendv1.Record_LeaseRelease{LeaseRelease: &pathbendv1.LeaseRelease{
-		Name: held.Name, Token: held.Token,
+func (w *weightUpdater) release(ctx context.Context, currentLease lease.Lease) {
+	w.appendOnce(ctx, currentLease.Name, &pathbendv1.Record{Body: &pathbendv1.Record_LeaseRelease{LeaseRelease: &pathbendv1.LeaseRelease{
+		Name: currentLease.Name, Token: currentLease.Token,
 	}}})
 }
 
@@ -176,8 +176,8 @@
 	w.appending[name] = true
 	w.background.Go(func() {
 		w.node.appendRecord(ctx, record)
-		if held := w.node.lease(name); held.Holder == w.node.id {
-			w.node.logger.Log(event.LeaseTaken, "lease", name, "token", held.Token)
+		if currentLease := w.node.lease(name); currentLease.Holder == w.node.id {
+			w.node.logger.Log(event.LeaseTaken, "lease", name, "token", currentLease.Token)
 		}
 		w.mutex.Lock()
 		defer w.mutex.Unlock()
@@ -213,12 +213,12 @@
 // report is recent.
 func engineState(id string, model *config.Model, load engine.LoadReport, responding bool) weights.EngineState {
 	state := weights.EngineState{ID: id, Responding: responding}
-	for _, held := range load.Models {
-		if held.Model != model.Name {
+	for _, modelState := range load.Models {
+		if modelState.Model != model.Name {
 			continue
 		}
-		state.Serving, state.Prepared, state.Broken = held.Serving, held.Prepared, held.Broken
-		for _, adapter := range held.Adapters {
+		state.Serving, state.Prepared, state.Broken = modelState.Serving, modelState.Prepared, modelState.Broken
+		for _, adapter := range modelState.Adapters {
 			state.HasAdapter = state.HasAdapter || adapter == model.Adapter
 		}
 	}
