--- a/client/client.go
+++ b/client/client.go
@@ -248,6 +248,8 @@
 // retryable reports whether another attempt is safe and may succeed. mayRepeat allows one
 // after an attempt that may have run.
 func retryable(failure *Error, mayRepeat bool) bool {
+	// An invalid request (1xxx), an unknown or conflicting job (4001, 4002) and the lost outcome
+	// of a key get the same response from every node.
 	permanent := failure.Code >= 1000 && failure.Code < 2000 || failure.Code >= 4000 && failure.Code < 4003 || failure.Name == "key_outcome_lost"
 	if permanent {
 		return false
