--- a/internal/idempotency/idempotency_test.go
+++ b/internal/idempotency/idempotency_test.go
@@ -11,7 +11,7 @@
 	"github.com/pathbend/pathbend/internal/shard"
 )
 
-var start = time.Unix(1000, 0)
+var baseTime = time.Unix(1000, 0)
 
 // cluster is a set of replicas that apply rosters at different times.
 type cluster struct {
@@ -67,20 +67,20 @@
 func (c *cluster) applyNextRoster(id string) {
 	if c.applied[id]+1 < len(c.tables) {
 		c.applied[id]++
-		c.replicas[id].ApplyRoster(c.tables[c.applied[id]], start)
+		c.replicas[id].ApplyRoster(c.tables[c.applied[id]], baseTime)
 	}
 }
 
 // runSyncs runs the due fetches of one node once.
 func (c *cluster) runSyncs(id string) {
-	for _, task := range c.replicas[id].DueSyncs(start) {
+	for _, task := range c.replicas[id].DueSyncs(baseTime) {
 		for _, source := range task.Sources {
 			if c.down[source] || c.replicas[source] == nil {
 				continue
 			}
-			entries, ok := c.replicas[source].Export(task.Shard, task.Generation, task.FormerGeneration, start)
+			entries, ok := c.replicas[source].Export(task.Shard, task.Generation, task.FormerGeneration, baseTime)
 			if ok {
-				c.replicas[id].ApplyEntries(task, source, entries, start)
+				c.replicas[id].ApplyEntries(task, source, entries, baseTime)
 			}
 		}
 	}
@@ -114,7 +114,7 @@
 			continue
 		}
 		claim := Claim{Shard: shard.Of(key), Generation: group.Generation, Key: key, Binding: binding}
-		round.Add(c.replicas[member].Claim(claim, start))
+		round.Add(c.replicas[member].Claim(claim, baseTime))
 	}
 	return round.Verdict()
 }
@@ -165,7 +165,7 @@
 	c.converge()
 	require.Equal(t, Unavailable, c.claim("node-3", "k", "r", reachAll))
 	for _, id := range []string{"node-0", "node-3", "node-4"} {
-		c.replicas[id].DueSyncs(start.Add(KeyLifetime))
+		c.replicas[id].DueSyncs(baseTime.Add(KeyLifetime))
 	}
 	require.Equal(t, Won, c.claim("node-3", "k", "r", reachAll))
 }
@@ -173,15 +173,15 @@
 func TestReleasedKeyCanBeClaimedAgain(t *testing.T) {
 	replica := newCluster(1).replicas["node-0"]
 	claim := Claim{Shard: 1, Generation: 1, Key: "k", Binding: Binding{"node-0", "r1"}}
-	require.Equal(t, Grant{Bound, claim.Binding}, replica.Claim(claim, start))
+	require.Equal(t, Grant{Bound, claim.Binding}, replica.Claim(claim, baseTime))
 	other := claim
 	other.Binding.RequestID = "r2"
-	require.Equal(t, Grant{Bound, claim.Binding}, replica.Claim(other, start))
+	require.Equal(t, Grant{Bound, claim.Binding}, replica.Claim(other, baseTime))
 	claim.Release = true
-	replica.Claim(claim, start)
-	require.Equal(t, Grant{Bound, other.Binding}, replica.Claim(other, start))
+	replica.Claim(claim, baseTime)
+	require.Equal(t, Grant{Bound, other.Binding}, replica.Claim(other, baseTime))
 	require.Equal(t, 1, replica.Keys())
-	replica.Expire(start.Add(KeyLifetime))
+	replica.Expire(baseTime.Add(KeyLifetime))
 	require.Zero(t, replica.Keys())
 }
 
--- a/internal/keyed/executor.go
+++ b/internal/keyed/executor.go
@@ -72,14 +72,14 @@
 // already holds the key.
 func (e *Executor) Do(ctx context.Context, request *dispatch.Request) (*dispatch.Answer, error) {
 	key := request.Tenant + "\n" + request.IdempotencyKey
-	outcome := e.claim(ctx, key, request.Deadline)
+	claimed := e.claim(ctx, key, request.Deadline)
 	switch {
-	case outcome.verdict == idempotency.Won:
-		return e.execute(ctx, key, outcome.binding, request)
-	case outcome.hasHolder:
+	case claimed.verdict == idempotency.Won:
+		return e.execute(ctx, key, claimed.binding, request)
+	case claimed.hasHolder:
 		// Another request holds the key at one replica at least. It may have run,
 		// so this request must not be reported as not run.
-		return e.replay(ctx, key, outcome.holder, request.Deadline)
+		return e.replay(ctx, key, claimed.holder, request.Deadline)
 	default:
 		return nil, result.New(result.KeyUnavailable, "no majority of the replicas bound the key").
 			WithRetryAfter(keyRetryAfter)
@@ -108,20 +108,20 @@
 	var previous []idempotency.Binding
 	for {
 		binding := idempotency.Binding{Executor: e.selfID, RequestID: e.newID()}
-		outcome := e.claimRound(ctx, key, binding)
-		if outcome.hasHolder && slices.Contains(previous, outcome.holder) {
-			e.release(key, outcome.holder)
-			outcome = claimResult{verdict: idempotency.Unavailable, binding: binding}
+		claimed := e.claimRound(ctx, key, binding)
+		if claimed.hasHolder && slices.Contains(previous, claimed.holder) {
+			e.release(key, claimed.holder)
+			claimed = claimResult{verdict: idempotency.Unavailable, binding: binding}
 		}
 		previous = append(previous, binding)
-		if outcome.verdict == idempotency.Won || outcome.verdict == idempotency.Taken {
-			return outcome
+		if claimed.verdict == idempotency.Won || claimed.verdict == idempotency.Taken {
+			return claimed
 		}
 		e.release(key, binding)
 		delay := claimRetryDelay + time.Duration(xxhash.Sum64String(binding.RequestID)%uint64(claimRetryDelay))
 		if !time.Now().Add(delay).Before(retryUntil) || !wait.For(ctx, delay) {
-			outcome.verdict = idempotency.Unavailable
-			return outcome
+			claimed.verdict = idempotency.Unavailable
+			return claimed
 		}
 	}
 }
@@ -134,12 +134,12 @@
 // claimRound sends a claim to all members of the group at once and returns as soon as
 // the round is decided.
 func (e *Executor) claimRound(ctx context.Context, key string, binding idempotency.Binding) claimResult {
-	outcome := claimResult{verdict: idempotency.Unavailable, binding: binding}
+	claimed := claimResult{verdict: idempotency.Unavailable, binding: binding}
 	index := shard.Of(key)
 	group := e.replicas.Group(index)
 	round := idempotency.NewRound(binding, len(group.Members), shard.Quorum(group.Members))
 	if len(group.Members) == 0 {
-		return outcome
+		return claimed
 	}
 	claim := idempotency.Claim{Shard: index, Generation: group.Generation, Key: key, Binding: binding}
 	answers := make(chan claimAnswer, len(group.Members))
@@ -162,12 +162,12 @@
 		} else {
 			round.Add(answer.grant)
 		}
-		outcome.holder, outcome.hasHolder = round.Holder()
-		if outcome.verdict = round.Verdict(); outcome.verdict != idempotency.Undecided {
-			return outcome
+		claimed.holder, claimed.hasHolder = round.Holder()
+		if claimed.verdict = round.Verdict(); claimed.verdict != idempotency.Undecided {
+			return claimed
 		}
 	}
-	return outcome
+	return claimed
 }
 
 // release withdraws the claims of a request that did not and will not run. It does
