--- a/internal/metering/aggregator.go
+++ b/internal/metering/aggregator.go
@@ -79,12 +79,12 @@
 
 // DueWindows returns, oldest first, the windows since from that have ended and whose
 // report, according to the log, the platform has not accepted.
-func (a *Aggregator) DueWindows(now time.Time, length time.Duration, from Window) []Window {
+func (a *Aggregator) DueWindows(now time.Time, windowLength time.Duration, from Window) []Window {
 	if !a.hasEntries {
 		return nil
 	}
 	var due []Window
-	for number := max(a.oldest, from); number.End(length).Before(now); number++ {
+	for number := max(a.oldest, from); number.End(windowLength).Before(now); number++ {
 		if state, ok := a.windows[number]; !ok || !state.accepted {
 			due = append(due, number)
 		}
--- a/internal/metering/counter.go
+++ b/internal/metering/counter.go
@@ -23,9 +23,9 @@
 
 // Counter counts the requests of one process. It is not safe for concurrent use.
 type Counter struct {
-	node      string
-	processID uint64
-	length    time.Duration
+	node         string
+	processID    uint64
+	windowLength time.Duration
 	// sequence is the sequence number of the newest entry.
 	sequence uint64
 	windows  map[Window]*windowCounts
@@ -45,17 +45,17 @@
 }
 
 // NewCounter returns the counter of a process that started at a time. processID
-// distinguishes the process from earlier ones of its node; length is that of a window.
-func NewCounter(node string, processID uint64, length time.Duration, startedAt time.Time) *Counter {
+// distinguishes the process from earlier ones of its node.
+func NewCounter(node string, processID uint64, windowLength time.Duration, startedAt time.Time) *Counter {
 	return &Counter{
-		node: node, processID: processID, length: length, windows: make(map[Window]*windowCounts),
-		lastClosed: WindowAt(startedAt, length) - 1 - predecessorWindows,
+		node: node, processID: processID, windowLength: windowLength, windows: make(map[Window]*windowCounts),
+		lastClosed: WindowAt(startedAt, windowLength) - 1 - predecessorWindows,
 	}
 }
 
 // Count counts a request of a tenant in the window in which the request began.
 func (c *Counter) Count(tenant string, startedAt time.Time) {
-	counts := c.countsOf(WindowAt(startedAt, c.length))
+	counts := c.countsOf(WindowAt(startedAt, c.windowLength))
 	counts.byTenant[tenant]++
 	counts.saved = false
 }
@@ -73,7 +73,7 @@
 // Advance closes the windows that ended at least closeDelay ago, also those without a
 // request, and drops those that are older than retainedWindows.
 func (c *Counter) Advance(now time.Time) {
-	newest := WindowAt(now.Add(-closeDelay), c.length) - 1
+	newest := WindowAt(now.Add(-closeDelay), c.windowLength) - 1
 	for number := max(c.lastClosed+1, newest-retainedWindows); number <= newest; number++ {
 		ended := c.countsOf(number)
 		ended.closed, ended.saved = true, false
--- a/internal/metering/metering_test.go
+++ b/internal/metering/metering_test.go
@@ -11,17 +11,17 @@
 	pathbendv1 "github.com/pathbend/pathbend/api/pathbend/v1"
 )
 
-const length = 5 * time.Second
+const windowLength = 5 * time.Second
 
 // at returns the moment at an offset from the start of window 1000.
-func at(offset time.Duration) time.Time { return time.Unix(0, 1000*int64(length)).Add(offset) }
+func at(offset time.Duration) time.Time { return time.Unix(0, 1000*int64(windowLength)).Add(offset) }
 
 func TestWindowsCountFromTheUnixEpoch(t *testing.T) {
-	require.EqualValues(t, 353445120, WindowAt(time.Unix(1767225600, 0), length))
-	require.EqualValues(t, 1000, WindowAt(at(0), length))
-	require.EqualValues(t, 1000, WindowAt(at(length-1), length))
-	require.EqualValues(t, 1001, WindowAt(at(length), length))
-	require.True(t, Window(1000).End(length).Equal(at(length)))
+	require.EqualValues(t, 353445120, WindowAt(time.Unix(1767225600, 0), windowLength))
+	require.EqualValues(t, 1000, WindowAt(at(0), windowLength))
+	require.EqualValues(t, 1000, WindowAt(at(windowLength-1), windowLength))
+	require.EqualValues(t, 1001, WindowAt(at(windowLength), windowLength))
+	require.True(t, Window(1000).End(windowLength).Equal(at(windowLength)))
 }
 
 func apply(t require.TestingT, aggregator *Aggregator, entry *pathbendv1.UsageEntry) {
@@ -53,14 +53,14 @@
 		expected := make(map[Window]map[string]uint64)
 		var appended []*pathbendv1.UsageCounts
 		for process := range rapid.IntRange(1, 4).Draw(t, "processes") {
-			counter := NewCounter("n", uint64(process), length, at(0))
+			counter := NewCounter("n", uint64(process), windowLength, at(0))
 			for range rapid.IntRange(0, 30).Draw(t, "steps") {
 				switch rapid.IntRange(0, 3).Draw(t, "step") {
 				case 0, 1:
 					tenant := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "tenant")
 					moment := at(time.Duration(rapid.IntRange(0, 14).Draw(t, "second")) * time.Second)
 					counter.Count(tenant, moment)
-					number := WindowAt(moment, length)
+					number := WindowAt(moment, windowLength)
 					if expected[number] == nil {
 						expected[number] = make(map[string]uint64)
 					}
@@ -104,22 +104,22 @@
 
 func TestWindowsAreDueOldestFirstUntilAccepted(t *testing.T) {
 	aggregator := NewAggregator()
-	require.Empty(t, aggregator.DueWindows(at(time.Hour), length, 0), "no entries")
-	counter := NewCounter("n", 1, length, at(0))
+	require.Empty(t, aggregator.DueWindows(at(time.Hour), windowLength, 0), "no entries")
+	counter := NewCounter("n", 1, windowLength, at(0))
 	counter.Count("a", at(time.Second))
 	applyCounts(t, aggregator, counter.UnsavedEntries())
-	require.Empty(t, aggregator.DueWindows(at(length), length, 0), "window has not ended")
-	require.Equal(t, []Window{1000, 1001, 1002}, aggregator.DueWindows(at(3*length+1), length, 0), "windows without entries are due too")
-	require.Equal(t, []Window{1002}, aggregator.DueWindows(at(3*length+1), length, 1002))
+	require.Empty(t, aggregator.DueWindows(at(windowLength), windowLength, 0), "window has not ended")
+	require.Equal(t, []Window{1000, 1001, 1002}, aggregator.DueWindows(at(3*windowLength+1), windowLength, 0), "windows without entries are due too")
+	require.Equal(t, []Window{1002}, aggregator.DueWindows(at(3*windowLength+1), windowLength, 1002))
 	apply(t, aggregator, &pathbendv1.UsageEntry{Fact: &pathbendv1.UsageEntry_Accepted{Accepted: &pathbendv1.UsageAccepted{Window: 1001}}})
-	require.Equal(t, []Window{1000, 1002}, aggregator.DueWindows(at(3*length+1), length, 0))
+	require.Equal(t, []Window{1000, 1002}, aggregator.DueWindows(at(3*windowLength+1), windowLength, 0))
 	aggregator.DropBefore(1002)
-	require.Equal(t, []Window{1002}, aggregator.DueWindows(at(3*length+1), length, 0))
+	require.Equal(t, []Window{1002}, aggregator.DueWindows(at(3*windowLength+1), windowLength, 0))
 }
 
 func TestWindowIsCompleteOnceEveryRecentCloserClosedIt(t *testing.T) {
 	aggregator := NewAggregator()
-	first, second := NewCounter("one", 1, length, at(0)), NewCounter("two", 2, length, at(0))
+	first, second := NewCounter("one", 1, windowLength, at(0)), NewCounter("two", 2, windowLength, at(0))
 	write := func(counter *Counter, now time.Time) {
 		counter.Advance(now)
 		entries := counter.UnsavedEntries()
@@ -127,38 +127,38 @@
 		counter.MarkSaved(entries)
 	}
 	require.False(t, aggregator.Complete(1000), "no node closed the window")
-	write(first, at(length+closeDelay))
-	write(second, at(length+closeDelay))
+	write(first, at(windowLength+closeDelay))
+	write(second, at(windowLength+closeDelay))
 	require.True(t, aggregator.Complete(1000))
-	write(first, at(2*length+closeDelay))
+	write(first, at(2*windowLength+closeDelay))
 	require.False(t, aggregator.Complete(1001), "the second node may hold unsaved counts")
-	restarted := NewCounter("two", 3, length, at(length+time.Second))
-	write(restarted, at(2*length+closeDelay))
+	restarted := NewCounter("two", 3, windowLength, at(windowLength+time.Second))
+	write(restarted, at(2*windowLength+closeDelay))
 	require.True(t, aggregator.Complete(1001), "the next process of the node closed the window")
 }
 
 func TestWindowIsClosedAfterTheCloseDelay(t *testing.T) {
-	counter := NewCounter("n", 1, length, at(0))
-	counter.Advance(at(length + closeDelay - 1))
+	counter := NewCounter("n", 1, windowLength, at(0))
+	counter.Advance(at(windowLength + closeDelay - 1))
 	earlier := counter.UnsavedEntries()
 	require.Len(t, earlier, predecessorWindows, "windows before the start of the process")
 	for _, entry := range earlier {
 		require.Less(t, entry.Window, int64(1000))
 	}
 	counter.MarkSaved(earlier)
-	counter.Advance(at(length + closeDelay))
+	counter.Advance(at(windowLength + closeDelay))
 	entries := counter.UnsavedEntries()
 	require.Len(t, entries, 1)
 	require.True(t, entries[0].Closed)
 	counter.MarkSaved(entries)
-	counter.Count("a", at(length-1))
+	counter.Count("a", at(windowLength-1))
 	entries = counter.UnsavedEntries()
 	require.Len(t, entries, 1, "later counts are still returned")
 	require.True(t, entries[0].Closed)
 }
 
 func TestCountsThatChangeDuringAnAppendStayUnsaved(t *testing.T) {
-	counter := NewCounter("n", 1, length, at(0))
+	counter := NewCounter("n", 1, windowLength, at(0))
 	counter.Count("a", at(0))
 	entries := counter.UnsavedEntries()
 	counter.Count("a", at(1))
@@ -172,7 +172,7 @@
 func TestMalformedEntriesAreRejected(t *testing.T) {
 	aggregator := NewAggregator()
 	require.Error(t, aggregator.Apply([]byte{0xff}))
-	require.Error(t, aggregator.Apply(nil), "no fact")
+	require.Error(t, aggregator.Apply(nil), "an entry without content")
 }
 
 func FuzzBook(f *testing.F) {
@@ -196,13 +196,13 @@
 		applyCounts(t, aggregator, entries)
 		counter.MarkSaved(entries)
 	}
-	previous := NewCounter("n", 1, length, at(0))
-	write(previous, at(length+closeDelay))
-	previous.Count("a", at(length+time.Second))
-	write(previous, at(2*length+time.Second))
+	previous := NewCounter("n", 1, windowLength, at(0))
+	write(previous, at(windowLength+closeDelay))
+	previous.Count("a", at(windowLength+time.Second))
+	write(previous, at(2*windowLength+time.Second))
 	require.False(t, aggregator.Complete(1001))
-	next := NewCounter("n", 2, length, at(2*length+closeDelay+time.Second))
-	write(next, at(2*length+closeDelay+time.Second))
+	next := NewCounter("n", 2, windowLength, at(2*windowLength+closeDelay+time.Second))
+	write(next, at(2*windowLength+closeDelay+time.Second))
 	require.True(t, aggregator.Complete(1001))
 	require.Equal(t, map[string]uint64{"a": 1}, countsOf(aggregator.SumCounts(1001)), "the counts of the previous process are included")
 }
--- a/internal/metering/reporter_test.go
+++ b/internal/metering/reporter_test.go
@@ -128,12 +128,12 @@
 func (c *cluster) startNode(ctx context.Context, name string, fencingToken uint64) (*Recorder, *fakeHolder) {
 	gatherInterval := func() time.Duration { return 300 * time.Millisecond }
 	clock := &Clock{Now: time.Now}
-	recorder := NewRecorder(NewCounter(name, fencingToken, length, clock.Read()))
+	recorder := NewRecorder(NewCounter(name, fencingToken, windowLength, clock.Read()))
 	recorder.Log, recorder.Clock, recorder.GatherInterval, recorder.Logger = c.log, clock, gatherInterval, event.Discard()
 	holder := &fakeHolder{permit: exclusive.Permit{Holder: name, Fence: fencingToken}}
 	reporter := &Reporter{
 		Log: c.log, Observer: c.log, Holder: holder, Sender: c.platform, Clock: clock, Logger: event.Discard(),
-		WindowLength: length, ReportDueAfter: reportDueAfter, GatherInterval: gatherInterval,
+		WindowLength: windowLength, ReportDueAfter: reportDueAfter, GatherInterval: gatherInterval,
 	}
 	go recorder.Run(ctx)
 	go reporter.Run(ctx)
@@ -152,9 +152,9 @@
 
 // sleepIntoNextWindow sleeps until an offset into the next window and returns that window.
 func sleepIntoNextWindow(offset time.Duration) Window {
-	next := WindowAt(time.Now(), length).End(length)
+	next := WindowAt(time.Now(), windowLength).End(windowLength)
 	time.Sleep(time.Until(next.Add(offset)))
-	return WindowAt(time.Now(), length)
+	return WindowAt(time.Now(), windowLength)
 }
 
 func reportOf(reports []*pathbendv1.UsageReport, number Window) *pathbendv1.UsageReport {
@@ -176,7 +176,7 @@
 		one.Count("a", time.Now())
 		two.Count("a", time.Now())
 		two.Count("b", time.Now())
-		time.Sleep(time.Until(number.End(length).Add(4 * time.Second)))
+		time.Sleep(time.Until(number.End(windowLength).Add(4 * time.Second)))
 		require.Equal(t, map[string]uint64{"a": 2, "b": 1}, countsOf(reportOf(c.platform.reports(), number)))
 		before := len(c.platform.reports())
 		time.Sleep(900 * time.Millisecond)
@@ -195,7 +195,7 @@
 		sleepIntoNextWindow(time.Second)
 		number := sleepIntoNextWindow(time.Second)
 		stop()
-		time.Sleep(time.Until(number.End(length).Add(reportDueAfter - sendMargin - time.Second)))
+		time.Sleep(time.Until(number.End(windowLength).Add(reportDueAfter - sendMargin - time.Second)))
 		require.Nil(t, reportOf(c.platform.reports(), number))
 		time.Sleep(2 * time.Second)
 		require.NotNil(t, reportOf(c.platform.reports(), number))
@@ -212,9 +212,9 @@
 		number := sleepIntoNextWindow(time.Second)
 		one.Count("a", time.Now())
 		c.platform.setFailing(true)
-		time.Sleep(time.Until(number.End(length).Add(4 * time.Second)))
+		time.Sleep(time.Until(number.End(windowLength).Add(4 * time.Second)))
 		// Counts that arrive after the decision are not reported.
-		one.Count("a", number.End(length).Add(-time.Second))
+		one.Count("a", number.End(windowLength).Add(-time.Second))
 		second.setHeld(true)
 		c.platform.setFailing(false)
 		time.Sleep(8 * time.Second)
@@ -234,10 +234,10 @@
 		number := sleepIntoNextWindow(time.Second)
 		c.log.setUnavailable(true)
 		one.Count("a", time.Now())
-		time.Sleep(2 * length)
+		time.Sleep(2 * windowLength)
 		before := len(c.platform.reports())
 		c.log.setUnavailable(false)
-		time.Sleep(length)
+		time.Sleep(windowLength)
 		reports := c.platform.reports()[before:]
 		for i, report := range reports[1:] {
 			require.Greater(t, report.Window, reports[i].Window)
@@ -257,7 +257,7 @@
 func TestFinalAppendOfAStoppingProcessIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		clock := &Clock{Now: time.Now}
-		recorder := NewRecorder(NewCounter("n", 1, length, clock.Read()))
+		recorder := NewRecorder(NewCounter("n", 1, windowLength, clock.Read()))
 		recorder.Log, recorder.Clock, recorder.Logger = unresponsiveLog{}, clock, event.Discard()
 		recorder.GatherInterval = func() time.Duration { return time.Minute }
 		recorder.Count("a", time.Now())
--- a/internal/metering/window.go
+++ b/internal/metering/window.go
@@ -7,11 +7,11 @@
 type Window int64
 
 // WindowAt returns the window that contains a moment.
-func WindowAt(moment time.Time, length time.Duration) Window {
-	return Window(moment.UnixNano() / int64(length))
+func WindowAt(moment time.Time, windowLength time.Duration) Window {
+	return Window(moment.UnixNano() / int64(windowLength))
 }
 
 // End returns the end of the window, which is the start of the next one.
-func (w Window) End(length time.Duration) time.Time {
-	return time.Unix(0, (int64(w)+1)*int64(length))
+func (w Window) End(windowLength time.Duration) time.Time {
+	return time.Unix(0, (int64(w)+1)*int64(windowLength))
 }
