--- a/internal/metering/aggregator.go
+++ b/internal/metering/aggregator.go
@@ -50,7 +50,7 @@
 	case *pathbendv1.UsageEntry_Accepted:
 		a.stateOf(Window(fact.Accepted.Window)).accepted = true
 	default:
-		return result.New(result.RecordMalformed, "usage entry without a fact")
+		return result.New(result.RecordMalformed, "usage entry contains neither counts nor a decision nor an acceptance")
 	}
 	return nil
 }
@@ -79,12 +79,12 @@
 
 // DueWindows returns, oldest first, the windows since from that have ended and whose
 // report, according to the log, the platform has not accepted.
-func (a *Aggregator) DueWindows(now time.Time, length time.Duration, from Window) []Window {
+func (a *Aggregator) DueWindows(now time.Time, windowLength time.Duration, from Window) []Window {
 	if !a.hasEntries {
 		return nil
 	}
 	var due []Window
-	for number := max(a.oldest, from); number.End(length).Before(now); number++ {
+	for number := max(a.oldest, from); number.End(windowLength).Before(now); number++ {
 		if state, ok := a.windows[number]; !ok || !state.accepted {
 			due = append(due, number)
 		}
