--- a/internal/emulator/backend.go
+++ b/internal/emulator/backend.go
@@ -33,7 +33,7 @@
 }
 
 // BackEnd emulates an application back end. It runs each request that it
-// receives, unless a fault prevents this, and records the execution in Checker.
+// receives, unless a fault prevents this, and records the execution in its Checker.
 type BackEnd struct {
 	ID string
 	// ServiceTime is the mean time of one execution.
@@ -41,7 +41,7 @@
 	// Crasher terminates the back end on requests that carry CrashMarker; nil
 	// disables crashes.
 	Crasher *Crasher
-	truth   *Checker
+	checker *Checker
 
 	mutex   sync.Mutex
 	random  *rand.Rand
@@ -49,9 +49,9 @@
 	leaving bool
 }
 
-// NewBackEnd returns a back end that records its executions in truth.
-func NewBackEnd(id string, serviceTime time.Duration, truth *Checker, random *rand.Rand) *BackEnd {
-	return &BackEnd{ID: id, ServiceTime: serviceTime, truth: truth, random: random}
+// NewBackEnd returns a back end that records its executions in checker.
+func NewBackEnd(id string, serviceTime time.Duration, checker *Checker, random *rand.Rand) *BackEnd {
+	return &BackEnd{ID: id, ServiceTime: serviceTime, checker: checker, random: random}
 }
 
 // SetFaults replaces the injected faults.
@@ -90,7 +90,7 @@
 }
 
 // CallerRequestIDHeader is the request header that carries the caller's own request id,
-// by which Checker matches executions with outcomes.
+// by which a Checker matches executions with outcomes.
 const CallerRequestIDHeader = "Emulator-Request"
 
 // ServeHTTP implements http.Handler. The body of an answer contains the caller's
@@ -120,7 +120,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	callerRequestID := request.Header.Get(CallerRequestIDHeader)
-	b.truth.RecordExecution(Execution{
+	b.checker.RecordExecution(Execution{
 		BackEnd: b.ID, RequestID: callerRequestID, IdempotencyKey: request.Header.Get(dispatch.HeaderIdempotencyKey),
 		Tenant: request.Header.Get(dispatch.HeaderTenant), Path: request.URL.Path, Leaving: plan.leaving, At: time.Now(),
 	})
--- a/internal/emulator/caller.go
+++ b/internal/emulator/caller.go
@@ -33,12 +33,15 @@
 // regardless of how long earlier requests take, so that latencies include the
 // queueing delay caused by a stalled service.
 type Caller struct {
-	Name         string
-	Client       *client.Client
-	Rate         float64
-	Mix          []RouteTraffic
-	Checker      *Checker
-	Random       *rand.Rand
+	Name   string
+	Client *client.Client
+	// Rate is the number of requests per second.
+	Rate float64
+	// Mix is the traffic of all routes that the caller uses.
+	Mix     []RouteTraffic
+	Checker *Checker
+	Random  *rand.Rand
+
 	mutex        sync.Mutex
 	latency      *hdrhistogram.Histogram
 	lastAnswerAt map[string]time.Time
@@ -66,41 +69,41 @@
 		if !wait.Until(ctx, due) {
 			return
 		}
-		mix := c.chooseRoute()
+		traffic := c.chooseRoute()
 		c.sent++
 		id := fmt.Sprintf("%s-%d", c.Name, c.sent)
 		scheduledAt := due
-		requests.Go(func() { c.send(mix, id, scheduledAt) })
+		requests.Go(func() { c.send(traffic, id, scheduledAt) })
 	}
 }
 
 // chooseRoute draws a route with a probability in proportion to its weight.
 func (c *Caller) chooseRoute() RouteTraffic {
 	total := 0.0
-	for _, mix := range c.Mix {
-		total += mix.Weight
+	for _, traffic := range c.Mix {
+		total += traffic.Weight
 	}
 	remaining := c.Random.Float64() * total
-	for _, mix := range c.Mix {
-		if remaining -= mix.Weight; remaining < 0 {
-			return mix
+	for _, traffic := range c.Mix {
+		if remaining -= traffic.Weight; remaining < 0 {
+			return traffic
 		}
 	}
 	return c.Mix[len(c.Mix)-1]
 }
 
-func (c *Caller) send(mix RouteTraffic, id string, due time.Time) {
-	ctx, cancel := context.WithTimeout(context.Background(), mix.Timeout+time.Second)
+func (c *Caller) send(traffic RouteTraffic, id string, due time.Time) {
+	ctx, cancel := context.WithTimeout(context.Background(), traffic.Timeout+time.Second)
 	defer cancel()
-	body := make([]byte, mix.BodyBytes)
+	body := make([]byte, traffic.BodyBytes)
 	request := client.Request{
-		Route: mix.Route, Path: "/" + id, Body: body, Timeout: mix.Timeout,
-		Header: http.Header{CallerRequestIDHeader: []string{id}}, Repeatable: !mix.AtMostOnce,
+		Route: traffic.Route, Path: "/" + id, Body: body, Timeout: traffic.Timeout,
+		Header: http.Header{CallerRequestIDHeader: []string{id}}, Repeatable: !traffic.AtMostOnce,
 	}
-	if mix.AtMostOnce {
+	if traffic.AtMostOnce {
 		request.IdempotencyKey = id
 	}
-	outcome := Outcome{RequestID: id, AtMostOnce: mix.AtMostOnce, WantBody: expectedAnswer(id, "/"+mix.Route+"/"+id, body)}
+	outcome := Outcome{RequestID: id, AtMostOnce: traffic.AtMostOnce, WantBody: expectedAnswer(id, "/"+traffic.Route+"/"+id, body)}
 	response, err := c.Client.Call(ctx, request)
 	if err != nil && !errors.As(err, &outcome.Err) {
 		outcome.Err = &client.Error{Name: "client_error", Run: client.Unknown, Detail: err.Error()}
@@ -109,7 +112,7 @@
 		outcome.Body = string(response.Body)
 	}
 	c.Checker.RecordOutcome(outcome)
-	c.recordLatency(mix.Route, due, err == nil)
+	c.recordLatency(traffic.Route, due, err == nil)
 }
 
 // recordLatency records the end of a request that was due at a given time.
--- a/internal/emulator/truth.go
+++ b/internal/emulator/checker.go
@@ -44,9 +44,9 @@
 	// TraceWriter receives a line for every observation; nil for none. It must
 	// be set before the first observation.
 	TraceWriter io.Writer
-	// ExecutionsUnobserved is set if executions are not recorded because they happen in other
-	// processes. Of application requests, only the contents of answers are
-	// checked then.
+	// ExecutionsUnobserved is set if executions are not recorded because they
+	// happen in other processes. Of application requests, only the contents of
+	// answers are checked then.
 	ExecutionsUnobserved bool
 
 	mutex sync.Mutex
@@ -77,32 +77,32 @@
 }
 
 // writeTrace adds an observation and its time to the trace. The caller holds
-// t.mutex.
-func (t *Checker) writeTrace(format string, arguments ...any) {
+// c.mutex.
+func (c *Checker) writeTrace(format string, arguments ...any) {
 	line := fmt.Sprintf("%d ", time.Now().UnixNano()) + fmt.Sprintf(format, arguments...) + "\n"
-	_, _ = t.traceDigest.WriteString(line) // never fails
-	if t.TraceWriter != nil {
-		_, _ = io.WriteString(t.TraceWriter, line)
+	_, _ = c.traceDigest.WriteString(line) // never fails
+	if c.TraceWriter != nil {
+		_, _ = io.WriteString(c.TraceWriter, line)
 	}
 }
 
 // TraceHash returns a hash of all observations and their times. Equal hashes mean
 // that two simulated runs took the same course.
-func (t *Checker) TraceHash() uint64 {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	return t.traceDigest.Sum64()
+func (c *Checker) TraceHash() uint64 {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.traceDigest.Sum64()
 }
 
 // RecordExecution records that a back end ran a request. A run by a back end that
 // began to leave more than LeavePropagationLimit ago is a violation.
-func (t *Checker) RecordExecution(execution Execution) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	t.writeTrace("run %s at %s", execution.RequestID, execution.BackEnd)
-	t.executions[execution.RequestID] = append(t.executions[execution.RequestID], execution)
-	if since, ok := t.leavingSince[execution.BackEnd]; ok && execution.At.Sub(since) > LeavePropagationLimit {
-		t.addViolation("back end %s received a new request %v after it began to leave", execution.BackEnd, execution.At.Sub(since))
+func (c *Checker) RecordExecution(execution Execution) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.writeTrace("run %s at %s", execution.RequestID, execution.BackEnd)
+	c.executions[execution.RequestID] = append(c.executions[execution.RequestID], execution)
+	if since, ok := c.leavingSince[execution.BackEnd]; ok && execution.At.Sub(since) > LeavePropagationLimit {
+		c.addViolation("back end %s received a new request %v after it began to leave", execution.BackEnd, execution.At.Sub(since))
 	}
 }
 
@@ -111,70 +111,70 @@
 const LeavePropagationLimit = 3 * time.Second
 
 // RecordLeaving records when a back end began to leave.
-func (t *Checker) RecordLeaving(backEnd string, at time.Time) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	t.leavingSince[backEnd] = at
+func (c *Checker) RecordLeaving(backEnd string, at time.Time) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.leavingSince[backEnd] = at
 }
 
 // RecordOutcome records the result of a request as its caller saw it.
-func (t *Checker) RecordOutcome(outcome Outcome) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	t.outcomes = append(t.outcomes, outcome)
-	t.writeTrace("answer %s %v", outcome.RequestID, outcome.Err)
+func (c *Checker) RecordOutcome(outcome Outcome) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.outcomes = append(c.outcomes, outcome)
+	c.writeTrace("answer %s %v", outcome.RequestID, outcome.Err)
 }
 
 // ReportViolation records a violation that was detected elsewhere.
-func (t *Checker) ReportViolation(format string, arguments ...any) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	t.addViolation(format, arguments...)
+func (c *Checker) ReportViolation(format string, arguments ...any) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.addViolation(format, arguments...)
 }
 
-func (t *Checker) addViolation(format string, arguments ...any) {
-	t.violations = append(t.violations, fmt.Sprintf(format, arguments...))
+func (c *Checker) addViolation(format string, arguments ...any) {
+	c.violations = append(c.violations, fmt.Sprintf(format, arguments...))
 }
 
 // RecordSample checks a sample that a trainer received while at trainerVersion
 // against the freshness bound and the versions of its tokens.
-func (t *Checker) RecordSample(tenant string, sample *client.Sample, trainerVersion, maxVersions uint64) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	t.samples++
-	t.writeTrace("sample %s %d %v", tenant, sample.Slot, sample.Segments)
-	t.checkSegments(tenant, sample)
+func (c *Checker) RecordSample(tenant string, sample *client.Sample, trainerVersion, maxVersions uint64) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.samples++
+	c.writeTrace("sample %s %d %v", tenant, sample.Slot, sample.Segments)
+	c.checkSegments(tenant, sample)
 	oldest := oldestVersion(sample.Tokens)
 	if oldest+maxVersions < trainerVersion {
-		t.addViolation("%s: slot %d has a token of version %d, but the trainer is at version %d and the bound is %d", tenant, sample.Slot, oldest, trainerVersion, maxVersions)
+		c.addViolation("%s: slot %d has a token of version %d, but the trainer is at version %d and the bound is %d", tenant, sample.Slot, oldest, trainerVersion, maxVersions)
 	}
-	t.staleness[tenant] = append(t.staleness[tenant], trainerVersion-min(oldest, trainerVersion))
-	if t.versions[tenant] == nil {
-		t.versions[tenant] = make(map[uint64]int)
+	c.staleness[tenant] = append(c.staleness[tenant], trainerVersion-min(oldest, trainerVersion))
+	if c.versions[tenant] == nil {
+		c.versions[tenant] = make(map[uint64]int)
 	}
-	t.versions[tenant][oldest]++
+	c.versions[tenant][oldest]++
 }
 
 // checkSegments compares the versions that a sample states for its tokens with
 // those that generated them: an emulated engine writes its version into each
-// token. The caller holds t.mutex.
-func (t *Checker) checkSegments(tenant string, sample *client.Sample) {
+// token. The caller holds c.mutex.
+func (c *Checker) checkSegments(tenant string, sample *client.Sample) {
 	covered := 0
 	for _, segment := range sample.Segments {
 		if segment.From != covered || segment.To > len(sample.Tokens) || segment.To <= segment.From {
-			t.addViolation("%s: slot %d has invalid segments %v for %d tokens", tenant, sample.Slot, sample.Segments, len(sample.Tokens))
+			c.addViolation("%s: slot %d has invalid segments %v for %d tokens", tenant, sample.Slot, sample.Segments, len(sample.Tokens))
 			return
 		}
 		for index := segment.From; index < segment.To; index++ {
 			if generatedBy := tokenVersion(sample.Tokens[index]); generatedBy != segment.Version {
-				t.addViolation("%s: slot %d token %d is labelled with version %d but was generated by version %d", tenant, sample.Slot, index, segment.Version, generatedBy)
+				c.addViolation("%s: slot %d token %d is labelled with version %d but was generated by version %d", tenant, sample.Slot, index, segment.Version, generatedBy)
 				return
 			}
 		}
 		covered = segment.To
 	}
 	if covered != len(sample.Tokens) || covered == 0 {
-		t.addViolation("%s: slot %d states versions for %d of %d tokens", tenant, sample.Slot, covered, len(sample.Tokens))
+		c.addViolation("%s: slot %d states versions for %d of %d tokens", tenant, sample.Slot, covered, len(sample.Tokens))
 	}
 }
 
@@ -201,30 +201,30 @@
 	return version
 }
 
-// CheckInvariants checks the outcomes of all application requests and returns these and all
-// earlier violations, sorted.
-func (t *Checker) CheckInvariants() []string {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	found := slices.Clone(t.violations)
-	for _, outcome := range t.outcomes {
-		found = append(found, t.checkOutcome(outcome)...)
+// CheckInvariants checks the outcomes of all application requests and returns
+// these violations and all earlier ones, sorted.
+func (c *Checker) CheckInvariants() []string {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	found := slices.Clone(c.violations)
+	for _, outcome := range c.outcomes {
+		found = append(found, c.checkOutcome(outcome)...)
 	}
 	slices.Sort(found)
 	return found
 }
 
 // checkOutcome compares a request's outcome with its executions and returns the
-// violations. The caller holds t.mutex.
-func (t *Checker) checkOutcome(outcome Outcome) []string {
+// violations. The caller holds c.mutex.
+func (c *Checker) checkOutcome(outcome Outcome) []string {
 	var found []string
 	if outcome.Err == nil && outcome.Body != outcome.WantBody {
 		found = append(found, fmt.Sprintf("request %s was answered with %q instead of %q", outcome.RequestID, outcome.Body, outcome.WantBody))
 	}
-	if t.ExecutionsUnobserved {
+	if c.ExecutionsUnobserved {
 		return found
 	}
-	runs := len(t.executions[outcome.RequestID])
+	runs := len(c.executions[outcome.RequestID])
 	if outcome.AtMostOnce && runs > 1 {
 		found = append(found, fmt.Sprintf("request %s may run at most once but ran %d times", outcome.RequestID, runs))
 	}
@@ -251,21 +251,21 @@
 }
 
 // Summary returns the counts of the observations so far.
-func (t *Checker) Summary() Summary {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
+func (c *Checker) Summary() Summary {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	summary := Summary{
-		Requests: len(t.outcomes), Samples: t.samples, Refusals: make(map[string]int),
-		Versions: maps.Clone(t.versions), Staleness: maps.Clone(t.staleness),
+		Requests: len(c.outcomes), Samples: c.samples, Refusals: make(map[string]int),
+		Versions: maps.Clone(c.versions), Staleness: maps.Clone(c.staleness),
 	}
-	for _, outcome := range t.outcomes {
+	for _, outcome := range c.outcomes {
 		if outcome.Err == nil {
 			summary.Answered++
 			continue
 		}
 		summary.Refusals[fmt.Sprintf("%d %s", outcome.Err.Code, outcome.Err.Name)]++
 	}
-	for _, runs := range t.executions {
+	for _, runs := range c.executions {
 		summary.Executions += len(runs)
 	}
 	return summary
--- a/internal/emulator/crash.go
+++ b/internal/emulator/crash.go
@@ -37,17 +37,17 @@
 // Crasher terminates a back end or an engine when it runs a request that carries
 // CrashMarker.
 type Crasher struct {
-	truth *Checker
+	checker *Checker
 	// terminate ends the process and reports whether this call did so, rather than
 	// an earlier one.
 	terminate func() bool
 }
 
-// NewCrasher returns a crasher that records runs and crashes in truth. terminate
+// NewCrasher returns a crasher that records runs and crashes in checker. terminate
 // ends the process and reports whether this call did so, rather than an earlier
 // one.
-func NewCrasher(truth *Checker, terminate func() bool) *Crasher {
-	return &Crasher{truth: truth, terminate: terminate}
+func NewCrasher(checker *Checker, terminate func() bool) *Crasher {
+	return &Crasher{checker: checker, terminate: terminate}
 }
 
 // triggeredBy reports whether the content of a request crashes the process. It is
@@ -59,34 +59,34 @@
 // run runs a request that crashes the process after a delay. request identifies it
 // across its attempts.
 func (c *Crasher) run(request string, delay time.Duration) {
-	c.truth.recordCrashingRun(request)
+	c.checker.recordCrashingRun(request)
 	time.Sleep(delay)
 	if c.terminate() {
-		c.truth.recordCrash(request)
+		c.checker.recordCrash(request)
 	}
 }
 
 // recordCrashingRun counts a run, and counts it as late if all nodes have had time
 // to quarantine the request.
-func (t *Checker) recordCrashingRun(request string) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	if t.crashing[request] == nil {
-		t.crashing[request] = &crashingRequest{}
+func (c *Checker) recordCrashingRun(request string) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if c.crashing[request] == nil {
+		c.crashing[request] = &crashingRequest{}
 	}
-	t.crashingRuns.Runs++
-	known := t.crashing[request]
+	c.crashingRuns.Runs++
+	known := c.crashing[request]
 	if known.crashes >= crashLimit && time.Since(known.limitReachedAt) > CrashPropagationLimit {
 		known.lateRuns++
-		t.crashingRuns.LateRuns++
+		c.crashingRuns.LateRuns++
 	}
 }
 
 // recordCrash counts a crash and records when the request reaches crashLimit.
-func (t *Checker) recordCrash(request string) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	known := t.crashing[request]
+func (c *Checker) recordCrash(request string) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	known := c.crashing[request]
 	known.crashes++
 	if known.crashes == crashLimit {
 		known.limitReachedAt = time.Now()
@@ -94,8 +94,8 @@
 }
 
 // CrashingRuns returns how often requests ran that crash their back end or engine.
-func (t *Checker) CrashingRuns() CrashingRuns {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	return t.crashingRuns
+func (c *Checker) CrashingRuns() CrashingRuns {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.crashingRuns
 }
--- a/internal/emulator/doc.go
+++ b/internal/emulator/doc.go
@@ -5,7 +5,7 @@
 // Each component speaks the real protocol over a network.Network and takes time
 // from package time, so the same code runs in the demo on loopback, in load
 // experiments and in the simulation on a virtual clock. Faults can be injected
-// and removed at any time. Checker records what back ends executed and what
+// and removed at any time. A Checker records what back ends executed and what
 // callers and trainers received. The invariants are checked against these
 // records alone, never against the state that the service itself keeps.
 package emulator
--- a/internal/emulator/trainer.go
+++ b/internal/emulator/trainer.go
@@ -134,7 +134,7 @@
 
 // collect submits the job of a step and receives and scores all of its samples.
 func (t *Trainer) collect(ctx context.Context, number int) (Step, error) {
-	began := time.Now()
+	startedAt := time.Now()
 	step := Step{Number: number, Version: t.Version()}
 	job, err := t.submit(ctx, number)
 	if err != nil {
@@ -147,7 +147,7 @@
 		sample, err := job.Next(ctx)
 		if errors.Is(err, io.EOF) {
 			scoring.Wait()
-			step.Wait = time.Since(began)
+			step.Wait = time.Since(startedAt)
 			return step, nil
 		}
 		if err != nil {
--- a/internal/labcommand/measure.go
+++ b/internal/labcommand/measure.go
@@ -43,10 +43,10 @@
 		if rate <= 0 || duration <= 0 || bodyBytes < 0 {
 			return errors.New("--rate and --duration must be positive, --body at least 0")
 		}
-		truth := emulator.NewChecker()
-		truth.ExecutionsUnobserved = true // back ends run in other processes, so their executions are not observed
+		checker := emulator.NewChecker()
+		checker.ExecutionsUnobserved = true // back ends run in other processes, so their executions are not observed
 		caller := &emulator.Caller{
-			Name: fmt.Sprintf("load-%d", time.Now().UnixNano()), Rate: rate, Checker: truth, Random: newRandom(),
+			Name: fmt.Sprintf("load-%d", time.Now().UnixNano()), Rate: rate, Checker: checker, Random: newRandom(),
 			Client: client.New(client.Options{Addresses: splitList(nodes), Tenant: tenant, Spread: true}),
 			Mix:    []emulator.RouteTraffic{{Route: route, Weight: 1, AtMostOnce: keyed, BodyBytes: bodyBytes, Timeout: timeout}},
 		}
@@ -60,11 +60,11 @@
 			Tables:  []report.Table{latencyTable(map[string]*hdrhistogram.Histogram{route: caller.Histogram()}, []string{route})},
 			Charts:  []report.Chart{latencyChart(map[string]*hdrhistogram.Histogram{route: caller.Histogram()}, []string{route})},
 		}
-		result.Tables = append(result.Tables, outcomeTable(truth.Summary()))
+		result.Tables = append(result.Tables, outcomeTable(checker.Summary()))
 		if err := writeAndPrint(command, outDir, result); err != nil {
 			return err
 		}
-		if violations := truth.CheckInvariants(); len(violations) > 0 {
+		if violations := checker.CheckInvariants(); len(violations) > 0 {
 			return errors.Newf("%s: %w", strings.Join(violations, "; "), errViolations)
 		}
 		return nil
--- a/internal/labcommand/standin.go
+++ b/internal/labcommand/standin.go
@@ -224,8 +224,8 @@
 		Use: "backend", Short: "An application back end",
 		Example: "  pathbend-lab standin backend --id b1 --pool card-acquiring --zone fann", Args: cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
-			truth := emulator.NewChecker()
-			backEnd := emulator.NewBackEnd(machine.id, serviceTime, truth, newRandom())
+			checker := emulator.NewChecker()
+			backEnd := emulator.NewBackEnd(machine.id, serviceTime, checker, newRandom())
 			return serveUntilDone(command.Context(), machine.address, backEnd, machine.register(command, fleet.RoleBackEnd),
 				func() error { return runFaults(command.Context(), machine.faultsPath, backEnd.SetFaults) })
 		},
@@ -268,9 +268,9 @@
 	flags.IntVar(&samples, "samples", 8, "samples per prompt")
 	flags.DurationVar(&trainTime, "train-time", time.Second, "duration of training on a step")
 	command.RunE = func(command *cobra.Command, _ []string) error {
-		truth := emulator.NewChecker()
+		checker := emulator.NewChecker()
 		trainer := &emulator.Trainer{
-			Name: tenant + "-trainer", Tenant: tenant, Model: model, Checker: truth, MaxVersions: 1000,
+			Name: tenant + "-trainer", Tenant: tenant, Model: model, Checker: checker, MaxVersions: 1000,
 			Client: client.New(client.Options{Addresses: splitList(nodes), Tenant: tenant}),
 			Groups: groups, SamplesPerGroup: samples, MaxTokens: 1024, PromptBytes: 600, TrainTime: trainTime, StepsPerVersion: 1,
 		}
@@ -292,7 +292,7 @@
 			fmt.Fprintf(command.OutOrStdout(), "step %d at version %d: %d samples, %d tokens, waited %.2f s\n",
 				step.Number, step.Version, step.Samples, step.Tokens, step.Wait.Seconds())
 		}
-		if violations := truth.CheckInvariants(); len(violations) > 0 {
+		if violations := checker.CheckInvariants(); len(violations) > 0 {
 			return errors.Newf("%v: %w", violations, errViolations)
 		}
 		return nil
