--- a/internal/simulation/mutation_test.go
+++ b/internal/simulation/mutation_test.go
@@ -8,7 +8,7 @@
 	"github.com/pathbend/pathbend/internal/mutation"
 )
 
-var mutations = []mutation.Mutant{
+var mutants = []mutation.Mutant{
 	{Promise: "samples name their true versions", Edits: []mutation.Edit{mutation.Replace("internal/rollout/job.go", "AppendTokens(running.segments, len(tokens), version)",
 		"AppendTokens(running.segments, len(tokens), max(version, j.trainerVersion))")}},
 	{Promise: "no sample over the bound", Edits: []mutation.Edit{
@@ -35,5 +35,5 @@
 // TestEachMechanismIsNeeded disables one mechanism at a time and expects the
 // simulation to fail.
 func TestEachMechanismIsNeeded(t *testing.T) {
-	mutation.Simulation{Package: "./internal/simulation", Arguments: []string{"-seeds", "50"}}.RequireDetected(t, mutations)
+	mutation.Simulation{Package: "./internal/simulation", Arguments: []string{"-seeds", "50"}}.RequireDetected(t, mutants)
 }
--- a/internal/simulation/rate_test.go
+++ b/internal/simulation/rate_test.go
@@ -57,10 +57,10 @@
 	defer caller.Close()
 	var count atomic.Int64
 	var calls conc.WaitGroup
-	began := time.Now()
-	for due := began; due.Sub(began) < warmUpTime+period; due = due.Add(time.Duration(float64(time.Second) / rate)) {
+	startedAt := time.Now()
+	for due := startedAt; due.Sub(startedAt) < warmUpTime+period; due = due.Add(time.Duration(float64(time.Second) / rate)) {
 		time.Sleep(time.Until(due))
-		measured := due.Sub(began) >= warmUpTime
+		measured := due.Sub(startedAt) >= warmUpTime
 		calls.Go(func() {
 			_, err := caller.Call(context.Background(), client.Request{Route: "lookup", Repeatable: true})
 			if err == nil && measured {
--- a/internal/simulation/run.go
+++ b/internal/simulation/run.go
@@ -43,8 +43,10 @@
 	Steps map[string]int
 	// LongestGap is the longest time between two consecutive answers, by route.
 	LongestGap map[string]time.Duration
-	TraceHash  uint64
-	Segments   uint64
+	// TraceHash is the hash of all observations and their times, Segments the number of segments
+	// that the network carried.
+	TraceHash uint64
+	Segments  uint64
 }
 
 const (
@@ -121,9 +123,9 @@
 	defer watcher.Wait()
 	defer stopWatching()
 	r.tasks.Go(func() { load.Run(ctx) })
-	began := time.Now()
+	startedAt := time.Now()
 	for _, fault := range schedule.Faults {
-		time.Sleep(fault.At - time.Since(began))
+		time.Sleep(fault.At - time.Since(startedAt))
 		r.tasks.Go(func() { r.inject(fault) })
 	}
 	r.tasks.Wait()
@@ -143,8 +145,8 @@
 		}
 	}
 	for _, caller := range load.Callers {
-		for _, mix := range caller.Mix {
-			report.LongestGap[mix.Route] = caller.LongestGap(mix.Route)
+		for _, traffic := range caller.Mix {
+			report.LongestGap[traffic.Route] = caller.LongestGap(traffic.Route)
 		}
 	}
 }
