--- a/internal/platformsim/callers.go
+++ b/internal/platformsim/callers.go
@@ -48,6 +48,8 @@
 	crashSent bool
 }
 
+// newCaller returns a caller on a machine of its own. The machine's name is an input of the
+// simulated latencies, so another name changes the course of every seed.
 func (w *World) newCaller(name, zone, host string, seed uint64) *caller {
 	transport := network.NewTransport(w.environment.Network(name, zone), 0)
 	transport.DisableKeepAlives = true
@@ -96,7 +98,7 @@
 	content, err := io.ReadAll(response.Body)
 	result.status, result.header, result.body = response.StatusCode, response.Header, content
 	if err == nil && key != "" {
-		c.world.Checker.checkUnauthorized(result, path, key, c.world.tenants.keyAge(key)-time.Since(result.startedAt))
+		c.world.Checker.checkDenial(result, path, key, c.world.tenants.keyAge(key)-time.Since(result.startedAt))
 	}
 	return result, err
 }
@@ -135,21 +137,21 @@
 
 // checkAnswer checks that a response has the expected body and was produced by a back end for
 // this request.
-func (t *Checker) checkAnswer(result callResult, id, want string) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	stamp, known := t.stamps[result.header.Get(platform.HeaderServerStamp)]
+func (c *Checker) checkAnswer(result callResult, id, want string) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	stamp, known := c.stamps[result.header.Get(platform.HeaderServerStamp)]
 	if string(result.body) != want || !known || stamp.request != id {
-		t.recordViolation("MIXED", "request %s got response %q with the stamp of request %q", id, result.body, stamp.request)
+		c.recordViolation("MIXED", "request %s got response %q with the stamp of request %q", id, result.body, stamp.request)
 	}
 }
 
 // checkErrorStatus reports a violation if a valid request was answered with 404 or 400.
-func (t *Checker) checkErrorStatus(result callResult, id string) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
+func (c *Checker) checkErrorStatus(result callResult, id string) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	if result.status == http.StatusNotFound || result.status == http.StatusBadRequest {
-		t.recordViolation("DENIED", "valid request %s was answered with status %d: %s", id, result.status, result.body)
+		c.recordViolation("DENIED", "valid request %s was answered with status %d: %s", id, result.status, result.body)
 	}
 }
 
@@ -158,12 +160,12 @@
 func (c *caller) runTrainer(ctx context.Context, model string, groups, size int) {
 	var carriedOver []platform.ItemDocument
 	for step := uint64(1); ctx.Err() == nil; step++ {
-		began := time.Now()
+		startedAt := time.Now()
 		job, document := c.newStep(model, step, groups, size, carriedOver)
 		complete := false
 		if c.submit(ctx, job, document) {
 			wanted := int(float64(groups) * requiredGroupRatio)
-			complete = c.awaitGroups(ctx, job, document, wanted, began.Add(stepTimeout)) >= wanted
+			complete = c.awaitGroups(ctx, job, document, wanted, startedAt.Add(stepTimeout)) >= wanted
 			c.endJob(ctx, job)
 			carriedOver = c.incompleteItems(job, document, wanted/2, size)
 		}
@@ -178,7 +180,7 @@
 		c.world.Checker.Count("steps")
 		c.world.Checker.Count("steps of " + model)
 		c.world.publishVersion(model, step+1)
-		wait.Until(ctx, began.Add(stepInterval))
+		wait.Until(ctx, startedAt.Add(stepInterval))
 	}
 }
 
@@ -287,13 +289,13 @@
 	return page, true
 }
 
-// checkJobNotFound reports a violation if a node answers 404 for a job later than jobVisibilityDeadline
-// after the job was accepted.
-func (t *Checker) checkJobNotFound(job *jobHistory, result callResult) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
+// checkJobNotFound reports a violation if a node answers 404 for a job later than
+// jobVisibilityDeadline after the job was accepted.
+func (c *Checker) checkJobNotFound(job *jobHistory, result callResult) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	if !job.accepted.IsZero() && result.startedAt.Sub(job.accepted) > jobVisibilityDeadline {
-		t.recordViolation("LOST", "%s answers 404 for job %s %v after it was accepted", result.node, job.id, result.startedAt.Sub(job.accepted))
+		c.recordViolation("LOST", "%s answers 404 for job %s %v after it was accepted", result.node, job.id, result.startedAt.Sub(job.accepted))
 	}
 }
 
@@ -331,15 +333,15 @@
 			delivered[result.ID] = true
 		}
 	})
-	broken := make(map[string]bool)
+	incomplete := make(map[string]bool)
 	for _, item := range document.Items {
 		if !delivered[item.ID] {
-			broken[item.Group] = true
+			incomplete[item.Group] = true
 		}
 	}
 	var carriedOver []platform.ItemDocument
 	for _, item := range document.Items {
-		if broken[item.Group] && len(carriedOver) < groups*size {
+		if incomplete[item.Group] && len(carriedOver) < groups*size {
 			carriedOver = append(carriedOver, item)
 		}
 	}
@@ -360,14 +362,14 @@
 	}
 }
 
-// runUnauthorizedCaller sends requests with revoked or invalid keys, and reads jobs with the key of
-// another tenant, until ctx ends.
+// runUnauthorizedCaller sends requests with revoked or invalid keys, and reads jobs with the key
+// of another tenant, until ctx ends.
 func (c *caller) runUnauthorizedCaller(ctx context.Context) {
 	for ctx.Err() == nil {
 		wait.For(ctx, time.Second)
-		key, taken := c.world.tenants.revokedKey()
+		key, history := c.world.tenants.revokedKey()
 		id := fmt.Sprintf("x%x", c.random.Uint64())
-		c.world.Checker.RecordUnauthorizedRequest(id, taken)
+		c.world.Checker.RecordUnauthorizedRequest(id, history)
 		header := http.Header{
 			platform.HeaderRequestID: {id}, platform.HeaderDeadlineMs: {"1500"}, platform.HeaderAuthorization: {authorizationHeader(key)},
 		}
@@ -399,8 +401,8 @@
 }
 
 // randomJob returns a random recently accepted job, nil if there is none.
-func (t *Checker) randomJob(random *rand.Rand) *jobHistory {
-	accepted := t.acceptedJobs()
+func (c *Checker) randomJob(random *rand.Rand) *jobHistory {
+	accepted := c.acceptedJobs()
 	if len(accepted) == 0 {
 		return nil
 	}
--- a/internal/platformsim/cloud.go
+++ b/internal/platformsim/cloud.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// reportWindow is the length of a usage window; its report is due usageReportTimeout after the
-	// window ends.
+	// reportWindow is the length of a usage window; its report is due usageReportTimeout after
+	// the window ends.
 	reportWindow       = 5 * time.Second
 	usageReportTimeout = 10 * time.Second
 	cloudLatency       = 4 * time.Millisecond
@@ -25,11 +25,11 @@
 
 // CloudFaults are the faults of the platform's API. The zero value injects none.
 type CloudFaults struct {
-	// Down refuses every call with status 503. SlowFactor multiplies the response time if it
-	// exceeds 1. LossRatio is the share of calls that are processed but not answered.
-	Down       bool
-	SlowFactor float64
-	LossRatio  float64
+	// Down refuses every call with status 503. SlowdownFactor multiplies the response time if it
+	// exceeds 1. LostAnswerRate is the fraction of calls that are processed but not answered.
+	Down           bool
+	SlowdownFactor float64
+	LostAnswerRate float64
 }
 
 // cloudCall is a call that only one node at a time may make, with the holder and the fencing
@@ -59,72 +59,73 @@
 	}
 }
 
-// RequestStarted records that a back end started a request, and counts it in the current usage window
-// of its tenant. Further attempts of the request do not count.
-func (t *Checker) RequestStarted(id string) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	tenant := t.tenants[id]
-	if tenant == "" || t.cloud.counted[id] {
+// RequestStarted records that a back end started a request, and counts it in the current usage
+// window of its tenant. Further attempts of the request do not count.
+func (c *Checker) RequestStarted(id string) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	tenant := c.tenants[id]
+	if tenant == "" || c.cloud.counted[id] {
 		return
 	}
-	t.cloud.counted[id] = true
+	c.cloud.counted[id] = true
 	window := time.Now().UnixNano() / int64(reportWindow)
-	if t.cloud.startedCounts[window] == nil {
-		t.cloud.startedCounts[window] = make(map[string]uint64)
+	if c.cloud.startedCounts[window] == nil {
+		c.cloud.startedCounts[window] = make(map[string]uint64)
 	}
-	t.cloud.startedCounts[window][tenant]++
+	c.cloud.startedCounts[window][tenant]++
 }
 
 // checkExclusiveCall checks the fencing token of a call that only one node at a time may make,
-// and that the call comes from the holder that it names. The caller holds t.mutex.
-func (t *Checker) checkExclusiveCall(subject, node string, call cloudCall) {
-	last, known := t.cloud.lastCalls[subject]
-	t.cloud.lastCalls[subject] = call
-	if !known || call.at.Before(t.ordersIgnoredUntil) || !t.inTouch("", call.at) {
+// and that the call comes from the holder that it names. The caller holds c.mutex.
+func (c *Checker) checkExclusiveCall(subject, node string, call cloudCall) {
+	last, known := c.cloud.lastCalls[subject]
+	c.cloud.lastCalls[subject] = call
+	if !known || call.at.Before(c.ordersIgnoredUntil) || !c.inTouch("", call.at) {
 		return
 	}
 	switch {
 	case call.fencingToken < last.fencingToken:
-		t.recordViolation("ONE", "%s calls %s with fencing token %d after %s with %d", call.holder, subject, call.fencingToken, last.holder, last.fencingToken)
+		c.recordViolation("ONE", "%s calls %s with fencing token %d after %s with %d", call.holder, subject, call.fencingToken, last.holder, last.fencingToken)
 	case call.holder != last.holder && call.fencingToken == last.fencingToken:
-		t.recordViolation("ONE", "%s and %s share fencing token %d for %s", last.holder, call.holder, call.fencingToken, subject)
+		c.recordViolation("ONE", "%s and %s share fencing token %d for %s", last.holder, call.holder, call.fencingToken, subject)
 	}
-	if call.holder != node && !t.nodesUnidentified {
-		t.recordViolation("ONE", "call of holder %s for %s comes from node %s", call.holder, subject, node)
+	if call.holder != node && !c.nodesUnidentified {
+		c.recordViolation("ONE", "call of holder %s for %s comes from node %s", call.holder, subject, node)
 	}
 }
 
 // UsageReported checks a usage report: repeated reports of a window must be equal.
-func (t *Checker) UsageReported(node string, call cloudCall, report platform.UsageDocument) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	t.checkExclusiveCall("usage", node, call)
-	first, known := t.cloud.reportedCounts[report.Window]
+func (c *Checker) UsageReported(node string, call cloudCall, report platform.UsageDocument) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.checkExclusiveCall("usage", node, call)
+	first, known := c.cloud.reportedCounts[report.Window]
 	if known {
 		if !maps.Equal(first, report.Counts) {
-			t.recordViolation("ONE", "usage window %d is reported as %v and as %v", report.Window, first, report.Counts)
+			c.recordViolation("ONE", "usage window %d is reported as %v and as %v", report.Window, first, report.Counts)
 		}
 		return
 	}
-	t.cloud.reportedCounts[report.Window], t.cloud.reportedAt[report.Window] = report.Counts, call.at
-	t.counts["windows reported"]++
+	c.cloud.reportedCounts[report.Window], c.cloud.reportedAt[report.Window] = report.Counts, call.at
+	c.counts["windows reported"]++
 }
 
-// InvalidUsageReports lists the usage windows between two times whose report is missing, late or wrong.
-func (t *Checker) InvalidUsageReports(from, until time.Time) []string {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
+// InvalidUsageReports lists the usage windows between two times whose report is missing, late or
+// wrong.
+func (c *Checker) InvalidUsageReports(from, until time.Time) []string {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	var invalid []string
 	for window := from.UnixNano()/int64(reportWindow) + 1; window < until.UnixNano()/int64(reportWindow); window++ {
 		due := time.Unix(0, (window+1)*int64(reportWindow)).Add(usageReportTimeout)
 		name := strconv.FormatInt(window, 10)
-		switch at, known := t.cloud.reportedAt[window]; {
+		switch at, known := c.cloud.reportedAt[window]; {
 		case !known:
 			invalid = append(invalid, name+" missing")
 		case at.After(due):
 			invalid = append(invalid, name+" late")
-		case !maps.Equal(t.cloud.reportedCounts[window], t.cloud.startedCounts[window]) && len(t.cloud.startedCounts[window]) > 0:
+		case !maps.Equal(c.cloud.reportedCounts[window], c.cloud.startedCounts[window]) && len(c.cloud.startedCounts[window]) > 0:
 			invalid = append(invalid, name+" wrong")
 		}
 	}
@@ -153,11 +154,11 @@
 }
 
 // ScaleOrdered checks an order of samplers. The order has no effect on the number of samplers.
-func (t *Checker) ScaleOrdered(node string, call cloudCall, order platform.ScaleDocument) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	t.checkExclusiveCall("scale/"+order.Service+"/"+order.Zone, node, call)
-	t.counts["samplers ordered"] += order.Desired
+func (c *Checker) ScaleOrdered(node string, call cloudCall, order platform.ScaleDocument) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.checkExclusiveCall("scale/"+order.Service+"/"+order.Zone, node, call)
+	c.counts["samplers ordered"] += order.Desired
 }
 
 // serveCloud serves the platform's API, whose calls only one node at a time may make.
@@ -167,7 +168,7 @@
 		return
 	}
 	faults := w.cloudFaults.Load()
-	time.Sleep(time.Duration(float64(cloudLatency) * max(faults.SlowFactor, 1)))
+	time.Sleep(time.Duration(float64(cloudLatency) * max(faults.SlowdownFactor, 1)))
 	if faults.Down {
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -178,7 +179,7 @@
 		writer.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	if w.Store.randomChance(faults.LossRatio) {
+	if w.Store.randomChance(faults.LostAnswerRate) {
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/internal/platformsim/cold.go
+++ b/internal/platformsim/cold.go
@@ -67,8 +67,8 @@
 	s.cold.until = time.Now().Add(coldDuration)
 }
 
-// recordColdRequest records a request that arrived from a node. It reports whether the sampler drops
-// the request because it is overloaded.
+// recordColdRequest records a request that arrived from a node. It reports whether the sampler
+// drops the request because it is overloaded.
 func (s *Sampler) recordColdRequest(node string) (overloaded bool) {
 	window := s.checker.sendWindow()
 	s.mutex.Lock()
@@ -84,44 +84,44 @@
 
 // sendWindow returns arrivalWindow less the recent wake-up delay: requests that arrive within
 // it were sent within a second, even if they were delayed on this machine.
-func (t *Checker) sendWindow() time.Duration {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	return arrivalWindow - t.recentWakeDelay(time.Now())
+func (c *Checker) sendWindow() time.Duration {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return arrivalWindow - c.recentWakeDelay(time.Now())
 }
 
 // ColdRequestArrived checks the number of requests that a cold sampler received in a second,
-// the last of them from node. It is not checked shortly after a link of the node held traffic,
+// the last of them from node. It is not checked shortly after a link of the node held back traffic,
 // since requests that were sent at different times then arrive together.
-func (t *Checker) ColdRequestArrived(sampler, node string, count int) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	t.counts["requests to cold samplers"]++
-	if float64(count) > maxColdRequests && time.Since(t.lastHeld(node)) > minUndisturbedTime {
-		t.recordViolation("FAILBACK", "%d requests within a second reached cold sampler %s, the last from %s", count, sampler, node)
+func (c *Checker) ColdRequestArrived(sampler, node string, count int) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.counts["requests to cold samplers"]++
+	if float64(count) > maxColdRequests && time.Since(c.lastHeldTraffic(node)) > minUndisturbedTime {
+		c.recordViolation("FAILBACK", "%d requests within a second reached cold sampler %s, the last from %s", count, sampler, node)
 	}
 }
 
-// lastHeld returns when links last held traffic of a node. The caller holds t.mutex.
-func (t *Checker) lastHeld(node string) time.Time {
-	if t.nodesUnidentified {
-		return t.heldTrafficAt[""]
+// lastHeldTraffic returns when links last held back traffic of a node. The caller holds c.mutex.
+func (c *Checker) lastHeldTraffic(node string) time.Time {
+	if c.nodesUnidentified {
+		return c.heldTrafficAt[""]
 	}
-	return t.heldTrafficAt[node]
+	return c.heldTrafficAt[node]
 }
 
-// RecordHeldTraffic records that links held the traffic of a machine until now.
-func (t *Checker) RecordHeldTraffic(machine string) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	if t.nodesUnidentified {
+// RecordHeldTraffic records that links held back the traffic of a machine until now.
+func (c *Checker) RecordHeldTraffic(machine string) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if c.nodesUnidentified {
 		machine = ""
 	}
-	t.heldTrafficAt[machine] = time.Now()
+	c.heldTrafficAt[machine] = time.Now()
 }
 
-// restartZoneCold stops all samplers of a zone and starts them again, cold, once the fault is over.
-// Their entries expire in the meantime if the fault lasts long enough.
+// restartZoneCold stops all samplers of a zone and starts them again, cold, once the fault is
+// over. Their entries expire in the meantime if the fault lasts long enough.
 func (w *World) restartZoneCold(fault Fault, zone string) {
 	var stopped []*samplerMachine
 	for _, machine := range w.samplers {
--- a/internal/platformsim/crashing.go
+++ b/internal/platformsim/crashing.go
@@ -41,8 +41,8 @@
 // isCrashingBody reports whether a request body crashes every back end that runs it.
 func isCrashingBody(body []byte) bool { return bytes.Contains(body, []byte(crashMarker)) }
 
-// crashUnderRequest checks the arrival of a crashing request at a sampler, and crashes the sampler after
-// its work time.
+// crashUnderRequest checks the arrival of a crashing request at a sampler, and crashes the sampler
+// after its service time.
 func (w *World) crashUnderRequest(sampler *Sampler, key, node string) {
 	w.Checker.checkCrashingRequest(key, node)
 	time.Sleep(sampler.ServiceTime)
@@ -51,22 +51,22 @@
 
 // checkCrashingRequest reports a violation if undisturbed nodes send a request that reached
 // crashThreshold to samplers more than maxSendsAfterThreshold times.
-func (t *Checker) checkCrashingRequest(key, node string) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	history := t.crashing[key]
+func (c *Checker) checkCrashingRequest(key, node string) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	history := c.crashing[key]
 	if history == nil {
 		history = &crashHistory{}
-		t.crashing[key] = history
+		c.crashing[key] = history
 	}
 	now := time.Now()
-	t.counts[countCrashingRequests]++
-	if history.count < crashThreshold || now.Sub(history.thresholdReachedAt) <= minUndisturbedTime+t.tolerance(now) || !t.inTouch(node, now) {
+	c.counts[countCrashingRequests]++
+	if history.count < crashThreshold || now.Sub(history.thresholdReachedAt) <= minUndisturbedTime+c.tolerance(now) || !c.inTouch(node, now) {
 		return
 	}
 	history.sendsAfterThreshold++
 	if history.sendsAfterThreshold == maxSendsAfterThreshold+1 {
-		t.recordViolation("BUDGET", "%s reached samplers %d times, sent by undisturbed nodes, %v after it had crashed %d samplers",
+		c.recordViolation("BUDGET", "%s reached samplers %d times, sent by undisturbed nodes, %v after it had crashed %d samplers",
 			key, history.sendsAfterThreshold, now.Sub(history.thresholdReachedAt), crashThreshold)
 	}
 }
@@ -78,19 +78,19 @@
 )
 
 // recordCrash counts a crash that a request caused.
-func (t *Checker) recordCrash(key string) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	history := t.crashing[key]
+func (c *Checker) recordCrash(key string) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	history := c.crashing[key]
 	history.count++
 	if history.count == crashThreshold {
 		history.thresholdReachedAt = time.Now()
 	}
-	t.counts[countCrashes]++
+	c.counts[countCrashes]++
 }
 
 // crashProcess crashes a sampler under a request. Its address refuses connections until the
-// restart after crashRestartDelay; its entry expires without being withdrawn.
+// restart after crashRestartDelay; its registry entry expires instead of being deleted at once.
 func (w *World) crashProcess(sampler *Sampler, key string) {
 	w.mutex.Lock()
 	var machine *samplerMachine
@@ -118,9 +118,9 @@
 	})
 }
 
-// runCrashing repeats a request that crashes every back end running it, with a new request id
+// runCrashingClient repeats a request that crashes every back end running it, with a new request id
 // each time and at random nodes, until ctx ends.
-func (c *caller) runCrashing(ctx context.Context, number uint64) {
+func (c *caller) runCrashingClient(ctx context.Context, number uint64) {
 	path := fmt.Sprintf("%scrash/%d", applicationPrefix, number)
 	body := []byte(crashMarker)
 	for ctx.Err() == nil {
--- a/internal/platformsim/entries.go
+++ b/internal/platformsim/entries.go
@@ -25,7 +25,7 @@
 	time.Sleep(restartDelay)
 	w.environment.Restore(machine.host)
 	w.startSamplerAs(machine, previous.ID)
-	w.Checker.Count("samplers reborn")
+	w.Checker.Count("samplers restarted")
 	time.Sleep(restartDelay)
 	previous.register()
 	time.Sleep(fault.For)
--- a/internal/platformsim/entries_test.go
+++ b/internal/platformsim/entries_test.go
@@ -18,7 +18,7 @@
 	world := runSimulation(t, exampleOptions(310, logs), faults)
 	require.Empty(t, world.Checker.Violations())
 	counts := world.Checker.counts
-	require.Equal(t, 9, counts["samplers reborn"], counts)
+	require.Equal(t, 9, counts["samplers restarted"], counts)
 	require.GreaterOrEqual(t, counts["steps whole"], counts["steps"]-2, counts)
 	require.Contains(t, logs.String(), `"msg":"endpoint_restarted"`)
 }
--- a/internal/platformsim/evacuation.go
+++ b/internal/platformsim/evacuation.go
@@ -6,8 +6,8 @@
 	"github.com/pathbend/pathbend/platform"
 )
 
-// evacuationDeadline is the time after which an evacuated zone must receive nothing. The rule allows
-// 5 s; the shorter bound also finds violations that would only just pass it.
+// evacuationDeadline is the time after which an evacuated zone must receive nothing. The rule
+// allows 5 s; the shorter bound also finds violations that would only just pass it.
 const evacuationDeadline = 2 * time.Second
 
 // evacuateZones evacuates one or two zones, depending on the fault's target, for the duration of
@@ -46,20 +46,20 @@
 
 // RecordEvacuation records when the store acknowledged the evacuation of a zone. A zero time
 // means that the evacuation is about to be reverted.
-func (t *Checker) RecordEvacuation(zone string, at time.Time) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	t.evacuatedAt[zone] = at
+func (c *Checker) RecordEvacuation(zone string, at time.Time) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.evacuatedAt[zone] = at
 	if !at.IsZero() {
-		t.counts["zones evacuated"]++
+		c.counts["zones evacuated"]++
 	}
 }
 
-// checkEvacuation reports a violation if an undisturbed node sends a request or a weight order to a
-// sampler of a zone that has been evacuated for too long. The caller holds t.mutex.
-func (t *Checker) checkEvacuation(sampler, zone, node, what string, now time.Time) {
-	at := t.evacuatedAt[zone]
-	if !at.IsZero() && now.Sub(at) > evacuationDeadline+t.tolerance(now) && t.inTouch(node, now) {
-		t.recordViolation("EVAC", "%s reached %s from %s %v after zone %s was evacuated", what, sampler, node, now.Sub(at), zone)
+// checkEvacuation reports a violation if an undisturbed node sends a request or a weight order to
+// a sampler of a zone that has been evacuated for too long. The caller holds c.mutex.
+func (c *Checker) checkEvacuation(sampler, zone, node, what string, now time.Time) {
+	at := c.evacuatedAt[zone]
+	if !at.IsZero() && now.Sub(at) > evacuationDeadline+c.tolerance(now) && c.inTouch(node, now) {
+		c.recordViolation("EVAC", "%s reached %s from %s %v after zone %s was evacuated", what, sampler, node, now.Sub(at), zone)
 	}
 }
--- a/internal/platformsim/faults.go
+++ b/internal/platformsim/faults.go
@@ -16,14 +16,14 @@
 // Kinds of faults that are chosen at random.
 const (
 	NodeKill FaultKind = iota
-	NodeFreeze
+	NodePause
 	NodeCutFromStore
 	NodeCutFromAll
 	NodeTerminate
 	KillMostNodes
 	KillAllNodes
 	StoreDown
-	StoreSilent
+	StoreUnresponsive
 	StoreSlow
 	StoreLosesWrites
 	StoreDelaysWrites
@@ -34,7 +34,7 @@
 	SamplerFail
 	SamplerMisroutesAnswers
 	SamplerReplaced
-	SamplerLateOrders
+	SamplerDelaysOrders
 	ConfigChange
 	StoreDropsHistory
 	NodeReplaced
@@ -59,8 +59,8 @@
 	CrashingRequest = RegionCut + 1 + iota
 	CrashingItem
 	CrashingReward
-	// SamplerRestarted restarts a sampler under its id. ForeignEntries writes invalid entries to the
-	// samplers' topic.
+	// SamplerRestarted restarts a sampler under its id. ForeignEntries writes invalid entries to
+	// the samplers' topic.
 	SamplerRestarted
 	ForeignEntries
 	// Suspension makes all nodes observe that their machines were suspended for the fault's
@@ -68,6 +68,7 @@
 	Suspension
 )
 
+// faultNames holds the name of each kind, as logs and reports show it.
 var faultNames = [...]string{
 	"node_kill", "node_freeze", "node_cut_from_store", "node_cut_from_all", "node_term", "herd_kill", "kill_all",
 	"store_down", "store_silent", "store_slow", "store_lost", "store_late", "store_rebalance",
@@ -82,7 +83,7 @@
 // String implements fmt.Stringer.
 func (k FaultKind) String() string { return faultNames[k] }
 
-// Fault is one fault of a schedule: it begins at At and lasts for For.
+// Fault is one fault of a schedule: it starts at At and lasts for For.
 type Fault struct {
 	Kind FaultKind
 	At   time.Duration
@@ -94,7 +95,7 @@
 // String implements fmt.Stringer.
 func (f Fault) String() string { return fmt.Sprintf("%v at %v for %v", f.Kind, f.At, f.For) }
 
-// RandomFaults returns count random faults that begin within a time, ordered by their begin.
+// RandomFaults returns count random faults that start within a time, ordered by their start.
 func RandomFaults(seed uint64, within time.Duration, count int) []Fault {
 	random := rand.New(rand.NewPCG(seed, 3))
 	faults := make([]Fault, 0, count)
@@ -123,7 +124,7 @@
 		w.killFor(fault, nodes...)
 	case NodeTerminate:
 		w.terminateNode(node)
-	case NodeFreeze:
+	case NodePause:
 		w.disturb(fault, node.name)
 		w.environment.Pause(node.name)
 		time.Sleep(fault.For)
@@ -156,7 +157,7 @@
 		defer cancel()
 		client := w.newCaller("client-crashing", zones[0], host, w.options.Seed+fault.Target)
 		client.tenant = w.tenants.names[0]
-		client.runCrashing(ctx, fault.Target)
+		client.runCrashingClient(ctx, fault.Target)
 	case CrashingItem, CrashingReward:
 		w.runCrashingStep(fault)
 	case Suspension:
@@ -174,7 +175,7 @@
 	switch fault.Kind {
 	case StoreDown:
 		w.applyStoreFaults(fault, StoreFaults{Down: true})
-	case StoreSilent:
+	case StoreUnresponsive:
 		w.applyStoreFaults(fault, StoreFaults{Unresponsive: true})
 	case StoreSlow:
 		w.applyStoreFaults(fault, StoreFaults{SlowdownFactor: 60})
@@ -185,9 +186,9 @@
 	case CloudDown:
 		w.applyCloudFaults(fault, CloudFaults{Down: true})
 	case CloudSlow:
-		w.applyCloudFaults(fault, CloudFaults{SlowFactor: 60})
+		w.applyCloudFaults(fault, CloudFaults{SlowdownFactor: 60})
 	case CloudLosesAnswers:
-		w.applyCloudFaults(fault, CloudFaults{LossRatio: 0.5})
+		w.applyCloudFaults(fault, CloudFaults{LostAnswerRate: 0.5})
 	case ZoneRestartsCold:
 		w.restartZoneCold(fault, machine.spec.Zone)
 	case SamplersTurnCold:
@@ -208,7 +209,7 @@
 		w.applySamplerFaults(fault, machine, SamplerFaults{ErrorRate: 0.3})
 	case SamplerMisroutesAnswers:
 		w.applySamplerFaults(fault, machine, SamplerFaults{MisroutedAnswerRate: 0.3})
-	case SamplerLateOrders:
+	case SamplerDelaysOrders:
 		w.applySamplerFaults(fault, machine, SamplerFaults{DelayOrders: true})
 	}
 }
@@ -265,10 +266,10 @@
 	w.suspendedNS.Add(int64(fault.For))
 }
 
-// lastOrderSender returns the node that sent the last weight order, or other if none did or that node
-// was removed.
+// lastOrderSender returns the node that sent the last weight order, or other if none did or that
+// node was removed.
 func (w *World) lastOrderSender(other *nodeMachine) *nodeMachine {
-	holder := w.Checker.lastOrderHolder()
+	holder := w.Checker.lastOrderSender()
 	for _, machine := range w.presentNodes() {
 		if machine.name == holder {
 			return machine
@@ -331,7 +332,7 @@
 	return others
 }
 
-// isolateNode holds all traffic between a node and other machines for the fault's duration.
+// isolateNode holds back all traffic between a node and other machines for the fault's duration.
 func (w *World) isolateNode(fault Fault, name string, others []string) {
 	w.disturb(fault, name)
 	w.environment.Isolate([]string{name}, others)
@@ -364,8 +365,8 @@
 	machine.sampler.SetFaults(SamplerFaults{})
 }
 
-// entryExpiryHeartbeats is the number of heartbeat intervals for which the entry of a crashed sampler
-// remains.
+// entryExpiryHeartbeats is the number of heartbeat intervals for which the entry of a crashed
+// sampler remains.
 const entryExpiryHeartbeats = 3
 
 // crashSampler crashes a sampler, removes its entry once that has expired, and restarts the sampler
--- a/internal/platformsim/lost.go
+++ b/internal/platformsim/lost_requests.go
@@ -21,7 +21,7 @@
 	placeOperator = "operator"
 )
 
-// disruption is a disruption: a fault that a run applies to a place until a time.
+// disruption is a fault that affects a place until a time.
 type disruption struct {
 	place, name string
 	until       time.Time
@@ -29,29 +29,29 @@
 	planned bool
 }
 
-// RecordDisruption records a disruption of a place. It lasts until a time, or until the returned function
-// is called if that is later.
-func (t *Checker) RecordDisruption(place, name string, until time.Time, planned bool) (end func()) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
+// RecordDisruption records a disruption of a place. It lasts until a time, or until the returned
+// function is called if that is later.
+func (c *Checker) RecordDisruption(place, name string, until time.Time, planned bool) (end func()) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	recorded := &disruption{place: place, name: name, until: until, planned: planned}
-	t.disruptions = append(t.disruptions, recorded)
+	c.disruptions = append(c.disruptions, recorded)
 	return func() {
-		t.mutex.Lock()
-		defer t.mutex.Unlock()
+		c.mutex.Lock()
+		defer c.mutex.Unlock()
 		recorded.until = laterTime(recorded.until, time.Now())
 	}
 }
 
 // recentDisruption returns the newest disruption that may have caused the failure of a call that
-// began at a time, nil if there is none. Earlier places take precedence. A disruption counts until
-// minUndisturbedTime after its end; a planned one only for calls that were not accepted or were refused.
-// The caller holds t.mutex.
-func (t *Checker) recentDisruption(began time.Time, class failureClass, places ...string) *disruption {
+// started at a time, nil if there is none. Earlier places take precedence. A disruption counts
+// until minUndisturbedTime after its end; a planned one only for calls that were not accepted or
+// were refused. The caller holds c.mutex.
+func (c *Checker) recentDisruption(startedAt time.Time, class failureClass, places ...string) *disruption {
 	for _, place := range places {
-		for _, known := range slices.Backward(t.disruptions) {
+		for _, known := range slices.Backward(c.disruptions) {
 			applies := known.place == place && (!known.planned || class == failureNotAccepted || class == failureRefused)
-			if applies && began.Sub(known.until) < minUndisturbedTime+t.recentWakeDelay(time.Now()) {
+			if applies && startedAt.Sub(known.until) < minUndisturbedTime+c.recentWakeDelay(time.Now()) {
 				return known
 			}
 		}
@@ -70,7 +70,7 @@
 	failureRefused failureClass = "refused"
 )
 
-// refusalReporter is implemented by surroundings in which a proxy between a caller and its node
+// refusalReporter is implemented by environments in which a proxy between a caller and its node
 // accepts connections that the node does not.
 type refusalReporter interface {
 	// Refused reports whether the connection from a caller's address reached no listener.
@@ -97,24 +97,24 @@
 // violation if there is none. A disruption of the called machine or the store excuses the loss, but
 // planned maintenance excuses only a connection that was not accepted. A disruption of samplers
 // excuses only a response that was cut.
-func (t *Checker) checkLostRequest(result callResult, id string, class failureClass) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	t.counts["requests lost"]++
-	wakeDelay := t.recentWakeDelay(time.Now())
+func (c *Checker) checkLostRequest(result callResult, id string, class failureClass) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.counts["requests lost"]++
+	wakeDelay := c.recentWakeDelay(time.Now())
 	places := []string{result.node, placeStore}
 	if class == failureConnectionCut {
 		places = append(places, PlaceSamplers)
 	}
-	cause := t.recentDisruption(result.startedAt, class, places...)
+	cause := c.recentDisruption(result.startedAt, class, places...)
 	switch {
 	case cause != nil:
-		t.causes[fmt.Sprintf("%s during %s", class, cause.name)]++
+		c.causes[fmt.Sprintf("%s during %s", class, cause.name)]++
 	case class == failureTimedOut && wakeDelay > callTimeout-requestDeadline-answerMargin:
-		t.causes[fmt.Sprintf("%s on a machine that was late", class)]++
+		c.causes[fmt.Sprintf("%s on a machine that was late", class)]++
 	default:
-		t.causes[fmt.Sprintf("%s without trouble", class)]++
-		t.recordViolation("LOST", "request %s at %s was %s after %v, without a disruption there or at the store", id, result.node, class, time.Since(result.startedAt))
+		c.causes[fmt.Sprintf("%s without a disruption", class)]++
+		c.recordViolation("LOST", "request %s at %s was %s after %v, without a disruption there or at the store", id, result.node, class, time.Since(result.startedAt))
 	}
 }
 
@@ -124,20 +124,20 @@
 
 // checkRefusedRequest records the cause of a refused request, and reports a violation if there is
 // no recent disruption.
-func (t *Checker) checkRefusedRequest(result callResult, id string) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	t.counts["requests refused"]++
+func (c *Checker) checkRefusedRequest(result callResult, id string) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.counts["requests refused"]++
 	refusal := describeRefusal(result)
-	cause := t.recentDisruption(result.startedAt, failureRefused, result.node, placeStore, PlaceSamplers, placeOperator)
+	cause := c.recentDisruption(result.startedAt, failureRefused, result.node, placeStore, PlaceSamplers, placeOperator)
 	switch {
 	case cause != nil:
-		t.causes[refusal+" during "+cause.name]++
-	case t.recentWakeDelay(time.Now()) > answerMargin:
-		t.causes[refusal+" on a machine that was late"]++
+		c.causes[refusal+" during "+cause.name]++
+	case c.recentWakeDelay(time.Now()) > answerMargin:
+		c.causes[refusal+" on a machine that was late"]++
 	default:
-		t.causes[refusal+" without trouble"]++
-		t.recordViolation("LOST", "request %s at %s got %s after %v, without a disruption", id, result.node, refusal, time.Since(result.startedAt))
+		c.causes[refusal+" without a disruption"]++
+		c.recordViolation("LOST", "request %s at %s got %s after %v, without a disruption", id, result.node, refusal, time.Since(result.startedAt))
 	}
 }
 
@@ -158,11 +158,11 @@
 }
 
 // Causes returns how many requests were lost or refused for each cause.
-func (t *Checker) Causes() map[string]int {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	counts := make(map[string]int, len(t.causes))
-	for cause, count := range t.causes {
+func (c *Checker) Causes() map[string]int {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	counts := make(map[string]int, len(c.causes))
+	for cause, count := range c.causes {
 		counts[cause] = count
 	}
 	return counts
--- a/internal/platformsim/homes.go
+++ b/internal/platformsim/regions.go
@@ -21,23 +21,23 @@
 
 // BindRegion records the region to which a request or an item is bound. An empty region does not
 // bind it.
-func (t *Checker) BindRegion(id, region string) {
+func (c *Checker) BindRegion(id, region string) {
 	if region == "" {
 		return
 	}
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	t.boundRegions[id] = region
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.boundRegions[id] = region
 }
 
 // checkRegion checks that a bound request reached a sampler of its region.
-func (t *Checker) checkRegion(id, sampler, zone string) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	if region := t.boundRegions[id]; region != "" {
-		t.counts["bound arrivals"]++
-		if t.regions[zone] != region {
-			t.recordViolation("HOME", "request %s, bound to %s, reached sampler %s in zone %s", id, region, sampler, zone)
+func (c *Checker) checkRegion(id, sampler, zone string) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if region := c.boundRegions[id]; region != "" {
+		c.counts["bound arrivals"]++
+		if c.regions[zone] != region {
+			c.recordViolation("HOME", "request %s, bound to %s, reached sampler %s in zone %s", id, region, sampler, zone)
 		}
 	}
 }
@@ -47,7 +47,7 @@
 
 var itemBodyPattern = regexp.MustCompile(itemBodyPrefix + "(i[0-9a-f]+)")
 
-// machineResolver is implemented by surroundings in which the address of a call to the store is
+// machineResolver is implemented by environments in which the address of a call to the store is
 // not that of the machine that makes it.
 type machineResolver interface {
 	// MachineAt returns the machine whose calls to the store come from an address, empty if
@@ -61,28 +61,28 @@
 		address = resolver.MachineAt(address)
 	}
 	if address != "" {
-		w.Checker.checkDeliveredRecords(address, records)
+		w.Checker.checkReturnedRecords(address, records)
 	}
 }
 
-// checkDeliveredRecords checks that records returned to a node contain no body of an item that is
+// checkReturnedRecords checks that records returned to a node contain no body of an item that is
 // bound to another region. No client of this world reads bodies from the store, so every body is
 // read by a node for itself.
-func (t *Checker) checkDeliveredRecords(node string, records []byte) {
-	if t.regions == nil {
+func (c *Checker) checkReturnedRecords(node string, records []byte) {
+	if c.regions == nil {
 		return
 	}
 	zone := ZoneOf(node)
 	for _, match := range itemBodyPattern.FindAllSubmatch(records, -1) {
 		id := string(match[1])
-		t.mutex.Lock()
-		if region := t.boundRegions[id]; region != "" {
-			t.counts["bound bodies"]++
-			if t.regions[zone] != region {
-				t.recordViolation("HOME", "the body of item %s, bound to %s, went to %s", id, region, node)
+		c.mutex.Lock()
+		if region := c.boundRegions[id]; region != "" {
+			c.counts["bound bodies"]++
+			if c.regions[zone] != region {
+				c.recordViolation("HOME", "the body of item %s, bound to %s, went to %s", id, region, node)
 			}
 		}
-		t.mutex.Unlock()
+		c.mutex.Unlock()
 	}
 }
 
--- a/internal/platformsim/regions_test.go
+++ b/internal/platformsim/regions_test.go
@@ -35,8 +35,8 @@
 // Injects each kind of fault that changes which nodes decide or forward, on its own, twice.
 func TestEachFaultOfTwoRegions(t *testing.T) {
 	kinds := []FaultKind{
-		NodeKill, NodeFreeze, NodeCutFromStore, NodeCutFromAll, NodeTerminate, KillMostNodes, KillAllNodes, NodeReplaced, ConfigChange,
-		StoreSilent, StoreLosesWrites, StoreRebalance, SamplerCrash, RegionCut,
+		NodeKill, NodePause, NodeCutFromStore, NodeCutFromAll, NodeTerminate, KillMostNodes, KillAllNodes, NodeReplaced, ConfigChange,
+		StoreUnresponsive, StoreLosesWrites, StoreRebalance, SamplerCrash, RegionCut,
 	}
 	for _, kind := range kinds {
 		for target := range uint64(3) {
@@ -78,18 +78,18 @@
 // This violates the rule on refused jobs only if the unanswered submission is refused too.
 func TestItemsMayRunBeforeTheirSubmissionIsAnswered(t *testing.T) {
 	for _, refused := range []bool{false, true} {
-		truth := NewChecker()
+		checker := NewChecker()
 		job := &jobHistory{id: "j", items: []string{"i"}}
-		truth.RecordJob(job, map[string]*itemHistory{"i": {}})
-		truth.recordSubmissionAnswer(job, false, true)
+		checker.RecordJob(job, map[string]*itemHistory{"i": {}})
+		checker.recordSubmissionAnswer(job, false, true)
 		job.submitting = true
-		truth.RunStarted("i", "s", "n")
-		truth.recordSubmissionAnswer(job, !refused, refused)
-		require.Equal(t, refused, len(truth.Violations()) > 0)
+		checker.RunStarted("i", "s", "n")
+		checker.recordSubmissionAnswer(job, !refused, refused)
+		require.Equal(t, refused, len(checker.Violations()) > 0)
 	}
-	truth := NewChecker()
+	checker := NewChecker()
 	job := &jobHistory{id: "j", items: []string{"i"}, refused: true}
-	truth.RecordJob(job, map[string]*itemHistory{"i": {}})
-	truth.RunStarted("i", "s", "n")
-	require.NotEmpty(t, truth.Violations(), "no submission is unanswered")
+	checker.RecordJob(job, map[string]*itemHistory{"i": {}})
+	checker.RunStarted("i", "s", "n")
+	require.NotEmpty(t, checker.Violations(), "no submission is unanswered")
 }
--- a/internal/platformsim/sampler.go
+++ b/internal/platformsim/sampler.go
@@ -72,9 +72,9 @@
 	crash func(key, node string)
 }
 
-func newSampler(id string, spec SamplerSpec, models map[string]uint64, truth *Checker, store *Store, seed uint64, coldUntil time.Time) *Sampler {
+func newSampler(id string, spec SamplerSpec, models map[string]uint64, checker *Checker, store *Store, seed uint64, coldUntil time.Time) *Sampler {
 	sampler := &Sampler{
-		SamplerSpec: spec, ID: id, startedMS: time.Now().UnixMilli(), checker: truth, store: store, models: models,
+		SamplerSpec: spec, ID: id, startedMS: time.Now().UnixMilli(), checker: checker, store: store, models: models,
 		random: rand.New(rand.NewPCG(seed, 7)), slotFreed: make(chan struct{}), cold: coldState{until: coldUntil},
 	}
 	sampler.register()
@@ -263,6 +263,7 @@
 	s.slotFreed = make(chan struct{})
 }
 
+// simulateWork waits for the service time. It reports false if the request is canceled meanwhile.
 func (s *Sampler) simulateWork(request *http.Request) bool {
 	s.mutex.Lock()
 	delay := time.Duration(float64(s.ServiceTime) * max(s.faults.SlowdownFactor, 1))
@@ -290,6 +291,8 @@
 	return s.models[model]
 }
 
+// serveStream serves the run of an item: a stream of its events, after the one at which the request
+// asks to continue.
 func (s *Sampler) serveStream(writer http.ResponseWriter, request *http.Request, id, model, node string) {
 	from, _ := strconv.Atoi(request.Header.Get(platform.HeaderLastEventID))
 	_, outputTokens, _ := strings.Cut(request.Header.Get(platform.HeaderTokenCounts), ",")
--- a/internal/platformsim/sharing_test.go
+++ b/internal/platformsim/sharing_test.go
@@ -34,7 +34,7 @@
 			{Kind: SamplerReplaced, At: 9 * time.Second, Target: 2},
 			{Kind: NodeCutFromAll, At: 18 * time.Second, For: 4 * time.Second, Target: 4},
 			{Kind: SamplerReplaced, At: 19 * time.Second, Target: 3},
-			{Kind: NodeFreeze, At: 28 * time.Second, For: 4 * time.Second, Target: 8},
+			{Kind: NodePause, At: 28 * time.Second, For: 4 * time.Second, Target: 8},
 			{Kind: SamplerReplaced, At: 29 * time.Second, Target: 7},
 		},
 		"all start at once": {
--- a/internal/platformsim/simulation_test.go
+++ b/internal/platformsim/simulation_test.go
@@ -32,8 +32,8 @@
 	closeTime  = 30 * time.Second
 )
 
-// runSimulation runs a world under traffic, injects the faults, checks the accepted jobs at the end and
-// returns the closed world.
+// runSimulation runs a world under traffic, injects the faults, checks the accepted jobs at the
+// end and returns the closed world.
 func runSimulation(t *testing.T, options Options, faults []Fault) *World {
 	t.Helper()
 	var world *World
@@ -55,9 +55,9 @@
 		var running conc.WaitGroup
 		traffic, stopTraffic := context.WithTimeout(background, faultTime+healTime)
 		running.Go(func() { world.RunTraffic(traffic) })
-		began := time.Now()
+		startedAt := time.Now()
 		for _, fault := range faults {
-			time.Sleep(time.Until(began.Add(fault.At)))
+			time.Sleep(time.Until(startedAt.Add(fault.At)))
 			running.Go(func() { world.Inject(fault) })
 		}
 		running.Wait()
@@ -219,7 +219,7 @@
 // Guards against retries that ignore evacuations. Random faults hardly ever make a back end
 // fail requests while another zone is evacuated: 60 seeds did not detect it.
 func TestFailedRequestsStayOutOfAnEvacuatedZone(t *testing.T) {
-	const zoneA, applicationB, applicationC = 3, 7, 8 // fault targets in the world of example
+	const zoneA, applicationB, applicationC = 3, 7, 8 // fault targets in the world of exampleOptions
 	faults := []Fault{
 		{Kind: Evacuate, At: 8 * time.Second, For: 20 * time.Second, Target: zoneA},
 		{Kind: SamplerFail, At: 8 * time.Second, For: 20 * time.Second, Target: applicationB},
--- a/internal/platformsim/store.go
+++ b/internal/platformsim/store.go
@@ -28,8 +28,8 @@
 	Down, Unresponsive bool
 	// SlowdownFactor multiplies the response time; values below 1 have no effect.
 	SlowdownFactor float64
-	// LostWriteRate is the fraction of writes that are executed but not answered; DelayWrites delays their
-	// execution by up to maxAppendDelay.
+	// LostWriteRate is the fraction of writes that are executed but not answered; DelayWrites
+	// delays their execution by up to maxAppendDelay.
 	LostWriteRate float64
 	DelayWrites   bool
 }
@@ -54,7 +54,7 @@
 // topicReader identifies a machine that reads a topic.
 type topicReader struct{ topic, machine string }
 
-// ReadCounts returns the number of reads of a topic by machine.
+// ReadCounts returns the number of reads of a topic by each machine.
 func (s *Store) ReadCounts(topic string) map[string]int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -257,6 +257,9 @@
 	}
 }
 
+// encodeRecords encodes the answer to a read: the partition's end offset, its oldest offset, which
+// is always 0, and the records from an offset on, each after its length. It adds records up
+// to about maxBytes, but at least one if there is any.
 func encodeRecords(records [][]byte, from, maxBytes int) []byte {
 	answer := binary.BigEndian.AppendUint64(nil, uint64(len(records)))
 	answer = binary.BigEndian.AppendUint64(answer, 0)
--- a/internal/platformsim/tenants.go
+++ b/internal/platformsim/tenants.go
@@ -78,7 +78,7 @@
 	defer r.mutex.Unlock()
 	var documents []platform.TenantDocument
 	for i, name := range r.names {
-		documents = append(documents, platform.TenantDocument{Name: name, APIKeys: r.heldKeys(name), Priority: i % 2})
+		documents = append(documents, platform.TenantDocument{Name: name, APIKeys: r.validKeys(name), Priority: i % 2})
 		if r.regionBound && i == 0 {
 			documents[i].AllowedRegions = []string{tenantRegion}
 		}
@@ -86,24 +86,24 @@
 	return documents
 }
 
-// heldKeys returns the valid keys of a tenant, sorted; the caller holds r.mutex.
-func (r *tenantRegistry) heldKeys(tenant string) []string {
-	var held []string
+// validKeys returns the valid keys of a tenant, sorted; the caller holds r.mutex.
+func (r *tenantRegistry) validKeys(tenant string) []string {
+	var valid []string
 	for key, known := range r.keys {
 		if known.tenant == tenant && known.revokedAt.IsZero() {
-			held = append(held, key)
+			valid = append(valid, key)
 		}
 	}
-	slices.Sort(held)
-	return held
+	slices.Sort(valid)
+	return valid
 }
 
 // randomKey returns a random valid key of a tenant.
 func (r *tenantRegistry) randomKey(tenant string, random *rand.Rand) string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	held := r.heldKeys(tenant)
-	return held[random.IntN(len(held))]
+	valid := r.validKeys(tenant)
+	return valid[random.IntN(len(valid))]
 }
 
 // revokedKey returns a key that was revoked more than configDeadline ago and its history, or
@@ -150,18 +150,18 @@
 func authorizationHeader(key string) string { return platform.AuthSchemeToken + " " + key }
 
 // RecordTenant records the tenant for which a request or an item runs.
-func (t *Checker) RecordTenant(id, tenant string) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	t.tenants[id] = tenant
+func (c *Checker) RecordTenant(id, tenant string) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.tenants[id] = tenant
 }
 
 // RecordUnauthorizedRequest records a request, sent now, whose key was revoked or never granted.
-func (t *Checker) RecordUnauthorizedRequest(id string, key keyHistory) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	t.tenants[id] = key.tenant
-	t.unauthorized[id] = unauthorizedRequest{revokedAt: key.revokedAt, sentAt: time.Now()}
+func (c *Checker) RecordUnauthorizedRequest(id string, key keyHistory) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.tenants[id] = key.tenant
+	c.unauthorized[id] = unauthorizedRequest{revokedAt: key.revokedAt, sentAt: time.Now()}
 }
 
 // unauthorizedRequest is a request with a key that no tenant holds.
@@ -174,47 +174,47 @@
 // checkTenant checks the tenant that a request from a node names to a sampler, and that no
 // invalid key and no authorization header reaches one. A disturbed machine may still accept a
 // revoked key; it then names the tenant that held the key.
-func (t *Checker) checkTenant(id, node string, header http.Header) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
+func (c *Checker) checkTenant(id, node string, header http.Header) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	if credentials := header.Get(platform.HeaderAuthorization); credentials != "" {
-		t.recordViolation("UNASKED", "request %s passed authorization header %q to a sampler", id, credentials)
+		c.recordViolation("UNASKED", "request %s passed authorization header %q to a sampler", id, credentials)
 	}
-	if named := header.Get(platform.HeaderTenant); named != t.tenants[id] {
-		t.recordViolation("UNASKED", "request %s of tenant %q named tenant %q to a sampler", id, t.tenants[id], named)
+	if named := header.Get(platform.HeaderTenant); named != c.tenants[id] {
+		c.recordViolation("UNASKED", "request %s of tenant %q named tenant %q to a sampler", id, c.tenants[id], named)
 	}
-	known, unauthorized := t.unauthorized[id]
+	known, unauthorized := c.unauthorized[id]
 	if !unauthorized {
 		return
 	}
 	delay := known.sentAt.Sub(known.revokedAt)
 	switch {
 	case known.revokedAt.IsZero():
-		t.recordViolation("ROUTE", "request %s with a key that was never granted reached a sampler from %s", id, node)
-	case delay > configDeadline+t.recentWakeDelay(time.Now()) && t.inTouch(node, time.Now()):
-		t.recordViolation("CONFIG", "request %s, sent %v after its key was revoked, reached a sampler from %s", id, delay, node)
+		c.recordViolation("ROUTE", "request %s with a key that was never granted reached a sampler from %s", id, node)
+	case delay > configDeadline+c.recentWakeDelay(time.Now()) && c.inTouch(node, time.Now()):
+		c.recordViolation("CONFIG", "request %s, sent %v after its key was revoked, reached a sampler from %s", id, delay, node)
 	}
 }
 
-// checkUnauthorized reports a 401 to a key that has been valid for long enough that every node must
+// checkDenial reports a 401 to a key that has been valid for long enough that every node must
 // know it.
-func (t *Checker) checkUnauthorized(got callResult, id, key string, heldFor time.Duration) {
-	if got.status != http.StatusUnauthorized {
+func (c *Checker) checkDenial(result callResult, id, key string, validFor time.Duration) {
+	if result.status != http.StatusUnauthorized {
 		return
 	}
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	if heldFor > configDeadline+t.tolerance(time.Now()) {
-		t.recordViolation("DENIED", "node %s denied request %s with key %s, valid for %v", got.node, id, key, heldFor)
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if validFor > configDeadline+c.tolerance(time.Now()) {
+		c.recordViolation("DENIED", "node %s denied request %s with key %s, valid for %v", result.node, id, key, validFor)
 	}
 }
 
-// checkUnauthorizedAccess reports a successful answer to a key that no tenant holds. A disturbed node may
-// still accept a key that was revoked, but never one that was not granted.
-func (t *Checker) checkUnauthorizedAccess(got callResult, id, key string) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	if got.status < http.StatusMultipleChoices && (key == unknownKey || t.inTouch(got.node, got.startedAt)) {
-		t.recordViolation("ROUTE", "node %s served request %s with invalid key %s", got.node, id, key)
+// checkUnauthorizedAccess reports a successful answer to a key that no tenant holds. A disturbed
+// node may still accept a key that was revoked, but never one that was not granted.
+func (c *Checker) checkUnauthorizedAccess(result callResult, id, key string) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if result.status < http.StatusMultipleChoices && (key == unknownKey || c.inTouch(result.node, result.startedAt)) {
+		c.recordViolation("ROUTE", "node %s served request %s with invalid key %s", result.node, id, key)
 	}
 }
--- a/internal/platformsim/tenants_test.go
+++ b/internal/platformsim/tenants_test.go
@@ -15,10 +15,10 @@
 // Guards against a false violation. When keys are revoked while the store does not answer, nodes
 // that are out of touch keep accepting them and name the tenant that held the key, which the
 // check took for a wrong tenant (seed 7014 with eight faults).
-func TestKeysRevokedWhileTheStoreIsSilent(t *testing.T) {
+func TestKeysRevokedWhileTheStoreIsUnresponsive(t *testing.T) {
 	faults := []Fault{
-		{Kind: StoreSilent, At: 17 * time.Second, For: 4 * time.Second},
-		{Kind: StoreSilent, At: 27 * time.Second, For: 7 * time.Second},
+		{Kind: StoreUnresponsive, At: 17 * time.Second, For: 4 * time.Second},
+		{Kind: StoreUnresponsive, At: 27 * time.Second, For: 7 * time.Second},
 		{Kind: KeysRevoked, At: 30 * time.Second, For: 4 * time.Second, Target: 3},
 	}
 	world := runSimulation(t, exampleOptions(7014, nil), faults)
@@ -44,18 +44,18 @@
 	} {
 		t.Run(example.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				truth := NewChecker()
+				checker := NewChecker()
 				time.Sleep(time.Minute)
 				if example.disturbed != "" {
-					truth.RecordDisturbance(strings.TrimPrefix(example.disturbed, storeDisturbed), time.Now())
+					checker.RecordDisturbance(strings.TrimPrefix(example.disturbed, storeDisturbed), time.Now())
 				}
 				key := keyHistory{tenant: example.namedTenant}
 				if example.revokedFor > 0 {
 					key = keyHistory{tenant: tenant, revokedAt: time.Now().Add(-example.revokedFor)}
 				}
-				truth.RecordUnauthorizedRequest("x", key)
-				truth.checkTenant("x", node, http.Header{platform.HeaderTenant: {example.namedTenant}})
-				violations := truth.Violations()
+				checker.RecordUnauthorizedRequest("x", key)
+				checker.checkTenant("x", node, http.Header{platform.HeaderTenant: {example.namedTenant}})
+				violations := checker.Violations()
 				if example.want == "" {
 					require.Empty(t, violations)
 					return
--- a/internal/platformsim/lateness.go
+++ b/internal/platformsim/wake_delay.go
@@ -22,33 +22,34 @@
 // MeasureWakeDelays measures by how much timers fire late on this machine, until ctx ends. Time
 // bounds are widened by this delay, since a program cannot react faster than the machine schedules
 // it. Timers of a virtual clock are never late.
-func (t *Checker) MeasureWakeDelays(ctx context.Context) {
+func (c *Checker) MeasureWakeDelays(ctx context.Context) {
 	for ctx.Err() == nil {
-		began := time.Now()
+		startedAt := time.Now()
 		time.Sleep(wakeInterval)
-		t.RecordWakeDelay(time.Since(began) - wakeInterval)
+		c.RecordWakeDelay(time.Since(startedAt) - wakeInterval)
 	}
 }
 
 // RecordWakeDelay records by how much a timer fired late.
-func (t *Checker) RecordWakeDelay(delay time.Duration) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
+func (c *Checker) RecordWakeDelay(delay time.Duration) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	now := time.Now()
-	for len(t.wakeDelays) > 0 && now.Sub(t.wakeDelays[0].at) > wakeDelayRetention {
-		t.wakeDelays = t.wakeDelays[1:]
+	for len(c.wakeDelays) > 0 && now.Sub(c.wakeDelays[0].at) > wakeDelayRetention {
+		c.wakeDelays = c.wakeDelays[1:]
 	}
 	// Drop earlier delays that are not longer: the new one outlives them.
-	for len(t.wakeDelays) > 0 && t.wakeDelays[len(t.wakeDelays)-1].delay <= delay {
-		t.wakeDelays = t.wakeDelays[:len(t.wakeDelays)-1]
+	for len(c.wakeDelays) > 0 && c.wakeDelays[len(c.wakeDelays)-1].delay <= delay {
+		c.wakeDelays = c.wakeDelays[:len(c.wakeDelays)-1]
 	}
-	t.wakeDelays = append(t.wakeDelays, wakeDelaySample{at: now, delay: delay})
-	t.maxWakeDelay = max(t.maxWakeDelay, delay)
+	c.wakeDelays = append(c.wakeDelays, wakeDelaySample{at: now, delay: delay})
+	c.maxWakeDelay = max(c.maxWakeDelay, delay)
 }
 
-// recentWakeDelay returns the longest wake-up delay within wakeDelayRetention. The caller holds t.mutex.
-func (t *Checker) recentWakeDelay(now time.Time) time.Duration {
-	for _, wake := range t.wakeDelays {
+// recentWakeDelay returns the longest wake-up delay within wakeDelayRetention. The caller holds
+// c.mutex.
+func (c *Checker) recentWakeDelay(now time.Time) time.Duration {
+	for _, wake := range c.wakeDelays {
 		if now.Sub(wake.at) <= wakeDelayRetention {
 			return max(wake.delay, 0)
 		}
@@ -57,14 +58,14 @@
 }
 
 // MaxWakeDelay returns the longest wake-up delay of the whole run.
-func (t *Checker) MaxWakeDelay() time.Duration {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	return t.maxWakeDelay
+func (c *Checker) MaxWakeDelay() time.Duration {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.maxWakeDelay
 }
 
 // tolerance returns the tolerance for times that are measured at the far end of a link. The caller
-// holds t.mutex.
-func (t *Checker) tolerance(now time.Time) time.Duration {
-	return linkTolerance + t.recentWakeDelay(now)
+// holds c.mutex.
+func (c *Checker) tolerance(now time.Time) time.Duration {
+	return linkTolerance + c.recentWakeDelay(now)
 }
--- a/internal/platformsim/world.go
+++ b/internal/platformsim/world.go
@@ -434,11 +434,11 @@
 
 // acceptedJobs returns the jobs accepted within maxCheckedJobAge, ordered by time of
 // acceptance, then id.
-func (t *Checker) acceptedJobs() []*jobHistory {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
+func (c *Checker) acceptedJobs() []*jobHistory {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	var accepted []*jobHistory
-	for _, job := range t.jobs {
+	for _, job := range c.jobs {
 		if !job.accepted.IsZero() && time.Since(job.accepted) < maxCheckedJobAge {
 			accepted = append(accepted, job)
 		}
@@ -449,8 +449,8 @@
 	return accepted
 }
 
-// CheckAcceptedJobs reads every recently accepted job from its first result at every node and reports
-// results that are missing. It is called once all faults are over.
+// CheckAcceptedJobs reads every recently accepted job from its first result at every node and
+// reports results that are missing. It is called once all faults are over.
 func (w *World) CheckAcceptedJobs(ctx context.Context) {
 	reader := w.newCaller("judge", zones[0], host, 99)
 	for _, machine := range w.presentNodes() {
--- a/internal/platformsim/zones.go
+++ b/internal/platformsim/zones.go
@@ -74,7 +74,7 @@
 		endings = append(endings, w.Checker.RecordDisruption(place, name, until, false))
 	}
 	switch fault.Kind {
-	case NodeKill, NodeFreeze, NodeCutFromStore, NodeCutFromAll:
+	case NodeKill, NodePause, NodeCutFromStore, NodeCutFromAll:
 		record(node.name, until)
 	case NodeTerminate:
 		endings = append(endings, w.Checker.RecordDisruption(node.name, name, time.Now().Add((gracePeriodS+1)*time.Second), true))
@@ -89,7 +89,7 @@
 			record(machine.name, until)
 		}
 		record(PlaceSamplers, until)
-	case StoreDown, StoreSilent, StoreSlow, StoreLosesWrites, StoreDelaysWrites, StoreRebalance, StoreDropsHistory:
+	case StoreDown, StoreUnresponsive, StoreSlow, StoreLosesWrites, StoreDelaysWrites, StoreRebalance, StoreDropsHistory:
 		record(placeStore, until)
 	case ConfigChange, KeysRevoked, Evacuate:
 		record(placeOperator, until)
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -183,13 +183,13 @@
 	return startAfter, duration, random.Uint64()
 }
 
-// planAlternating returns an evacuation in one round and one of alternatingKinds in the next, in some
-// rounds together with an outage of the store.
+// planAlternating returns an evacuation in one round and one of alternatingKinds in the next, in
+// some rounds together with an outage of the store.
 func (r *run) planAlternating(random *rand.Rand) []scheduledFault {
 	startAfter, duration, target := randomTiming(random)
 	var planned []scheduledFault
 	if random.IntN(oneIn) == 0 {
-		kinds := []platformsim.FaultKind{platformsim.StoreDown, platformsim.StoreSilent}
+		kinds := []platformsim.FaultKind{platformsim.StoreDown, platformsim.StoreUnresponsive}
 		planned = append(planned, r.simulationFault(kinds[random.IntN(len(kinds))], startAfter, duration, target))
 	}
 	kind := alternatingKinds[random.IntN(len(alternatingKinds))]
@@ -208,8 +208,9 @@
 	return scheduledFault{name: kind.String(), startAfter: startAfter, duration: duration, inject: func(context.Context) { r.world.Inject(fault) }}
 }
 
-// randomFault returns an environment fault or a fault of package platformsim, with equal probability.
-// An environment fault records which place it affects, and that all machines are disturbed.
+// randomFault returns an environment fault or a fault of package platformsim, with equal
+// probability. An environment fault records which place it affects, and that all machines are
+// disturbed.
 func (r *run) randomFault(random *rand.Rand, startAfter, duration time.Duration, target uint64) scheduledFault {
 	if random.IntN(2) != 0 {
 		return r.simulationFault(platformsim.RandomKind(random), startAfter, duration, target)
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -87,7 +87,8 @@
 	listenRetryInterval = 20 * time.Millisecond
 )
 
-// resumeListening accepts connections again, at the same address, and forwards them to a new target.
+// resumeListening accepts connections again, at the same address, and forwards them to a new
+// target.
 func (p *proxy) resumeListening(target string) error {
 	p.setTarget(target)
 	var lastErr error
@@ -270,8 +271,8 @@
 	_ = network.Abort(from)
 }
 
-// awaitUnblocked waits until the direction is not blocked, and then for the latency and delay of the
-// link. It returns false if the proxy is closed.
+// awaitUnblocked waits until the direction is not blocked, and then for the latency and delay of
+// the link. It returns false if the proxy is closed.
 func (p *proxy) awaitUnblocked(from net.Conn, isBlocked func(linkState) bool) bool {
 	for {
 		p.mutex.Lock()
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// If the target is looked up again at the end of a fault, it maps to another node once a machine has
-// been replaced, and the first link stays blocked for ever (seed 88104201).
+// If the target is looked up again at the end of a fault, it maps to another node once a machine
+// has been replaced, and the first link stays blocked for ever (seed 88104201).
 func TestFaultEndsAtLinkWhereItStarted(t *testing.T) {
 	links := []*proxy{newTestProxy(t, "127.0.0.1:1"), newTestProxy(t, "127.0.0.1:1")}
 	var found, applied []*proxy
@@ -98,8 +98,8 @@
 	require.Equal(t, []*proxy{links[0], links[0]}, applied)
 }
 
-// If a node's front and readiness addresses are the same port, both servers listen there and half of
-// the callers get status 404 (seed 460218).
+// If a node's front and readiness addresses are the same port, both servers listen there and half
+// of the callers get status 404 (seed 460218).
 func TestAddressesAreAssignedOnce(t *testing.T) {
 	e, err := newEnvironment("/bin/false", t.TempDir(), nil)
 	require.NoError(t, err)
