--- a/internal/schedule/remote.go
+++ b/internal/schedule/remote.go
@@ -29,9 +29,9 @@
 	}
 }
 
-// RecordEvents records the total number of events of a run and the versions that made them. The events
-// since the last report are assumed to be evenly spaced. It reports false if the run is no
-// longer current or an event is rejected.
+// RecordEvents records the total number of events of a run and the versions that made them.
+// The events since the last report are assumed to be evenly spaced. It reports false if the
+// run is no longer current or an event is rejected.
 func (s *Scheduler) RecordEvents(key Key, run, events uint64, versions []uint64, now time.Time) bool {
 	entry := s.currentRun(key, run)
 	if entry == nil {
--- a/internal/schedule/sampler.go
+++ b/internal/schedule/sampler.go
@@ -128,8 +128,8 @@
 	return loading
 }
 
-// capacity returns the number of items that the sampler may accept now. fleet is the pace
-// of the fleet.
+// capacity returns the number of items that the sampler may accept now. fleetPace is the
+// pace of the fleet.
 func (s *samplerState) capacity(fleetPace time.Duration, now time.Time) int {
 	if s.Leaving || s.evacuated || now.Before(s.notBefore) {
 		return 0
--- a/internal/schedule/scheduler.go
+++ b/internal/schedule/scheduler.go
@@ -20,8 +20,8 @@
 	samplers map[string]*samplerState
 	// limits are the request limits of cold samplers, by service.
 	limits map[string]coldlimit.Limits
-	// ordered lists the samplers by id. nextIndex is reset when ordered changes; selections
-	// use servingIndex.nextIndex.
+	// ordered lists the samplers by id. nextIndex is reset when ordered changes, but is not read:
+	// selections use servingIndex.nextIndex.
 	ordered   []*samplerState
 	nextIndex int
 	serving   servingIndex
--- a/internal/schedule/scheduler_test.go
+++ b/internal/schedule/scheduler_test.go
@@ -111,7 +111,8 @@
 }
 
 // Guards against long items that start late: with an order by group alone, long items of
-// other groups waited behind short items of the group with the longest one.
+// other groups waited behind short items of the group with the longest one. The last items of
+// a step then started when they should have been half complete.
 func TestItemsStartByDueTimeThenLength(t *testing.T) {
 	h := newHarness(t, sampler("s", 10, 1))
 	h.addJob(h.newJob("late", 1, "g:900"), policy(9*time.Second), storedTexts{})
--- a/internal/schedule/speculative.go
+++ b/internal/schedule/speculative.go
@@ -56,8 +56,8 @@
 }
 
 // laterJobMinVersion returns the oldest version that a job will accept if it is submitted
-// after the next version of the model is announced. ok is false if no sampler can serve that version yet,
-// or if no version newer than the open job was announced.
+// after the next version of the model is announced. ok is false if no sampler can serve that
+// version yet, or if no version newer than the open job was announced.
 func (s *Scheduler) laterJobMinVersion(open *job) (version uint64, ok bool) {
 	newest, allowedLag := s.newestVersions[open.spec.Model], s.versionLags[open.spec.Model].versions
 	if newest <= open.newestVersion || allowedLag == 0 {
@@ -176,9 +176,9 @@
 	return speculativeItem.key, wasRunning
 }
 
-// adoptSpeculative gives a resubmitted item the text of its speculative run, if the job
-// accepts the versions and the text is longer than the item's own. It returns the
-// speculative run to stop, if there is one.
+// adoptSpeculative gives a resubmitted item the text of its speculative run, or the text kept
+// from an earlier job, if the job accepts the versions and the text is longer than the item's
+// own. It returns the speculative run to stop, if there is one.
 func (s *Scheduler) adoptSpeculative(entry *item) (stopped []Key) {
 	speculativeItem, ok := s.speculativeItems[entry.key.Item]
 	if !ok {
--- a/internal/schedule/speculative_test.go
+++ b/internal/schedule/speculative_test.go
@@ -32,8 +32,9 @@
 	return starts[0]
 }
 
-// Guards against resubmitted long items that start from the beginning under newer weights:
-// without speculative runs, a whole step waited 7.2 s for them.
+// Guards against long items that a job leaves unfinished, that are resubmitted two steps later
+// and start from the beginning under newer weights: without speculative runs, a whole step
+// waited 7.2 s for them.
 func TestSpeculativeRunContinuesInTheJobThatResubmitsTheItem(t *testing.T) {
 	h := newResubmittingHarness(t, 4, sampler("old", 4, 1))
 	startLongItem(h, 10)
