--- a/internal/weights/rolling_update_test.go
+++ b/internal/weights/rolling_update_test.go
@@ -140,9 +140,9 @@
 	require.Len(t, NewRollingUpdate(2).Next(now, MemberList(newMembers(9, map[string]uint64{"a": 1})), map[string]uint64{"a": 2}), 2)
 }
 
-// Guards against idle samplers beside a model whose replicas have a queue: jobs accept the
-// version before the newest, so twice as many samplers can serve them with the same number
-// of loads.
+// Guards against idle samplers beside a model whose replicas have a queue: half of the samplers
+// were idle while a model's nine replicas had one. Jobs accept the version before the newest,
+// so twice as many samplers can serve them with the same number of loads.
 func TestReplicasAlternateVersionsWhenJobsAllowAVersionLag(t *testing.T) {
 	now := time.Unix(100, 0)
 	rolling := NewRollingUpdate(2)
