--- a/internal/quarantine/registry.go
+++ b/internal/quarantine/registry.go
@@ -95,9 +95,9 @@
 	return 0
 }
 
-// sameCrashWindow is how long after the first report further reports of a back end count as
-// the same crash, since several nodes detect it at different times. A later report under
-// the same id is another crash: the back end has been restarted in between.
+// sameCrashWindow is how long after the last change of a record another report of a back end in
+// it counts as the same crash, since several nodes detect a crash at different times. A later
+// report under the same id is another crash: the back end has been restarted in between.
 const sameCrashWindow = 2 * time.Second
 
 // AddCrash records that a back end crashed while running a digest. It returns the record to
