--- a/internal/routing/profile.go
+++ b/internal/routing/profile.go
@@ -99,15 +99,15 @@
 }
 
 // platformSameZoneWeight is the weight of the node's own zone in NewPlatformProfile. It only
-// decides between equally loaded endpoints: one request in flight at an endpoint with a capacity of six outweighs
-// it. With a higher weight a burst in one zone fills that zone's endpoints while others are
-// idle.
+// decides between equally loaded endpoints: one request in flight at an endpoint with a
+// capacity of six outweighs it. With a higher weight a burst in one zone fills that zone's
+// endpoints while others are idle.
 const platformSameZoneWeight = 0.4
 
 // platformSameRegionWeight is the additional weight of the node's own region in
 // NewPlatformProfile. An endpoint with a capacity of six in another region is picked once
-// those of the own region have two more requests of this node. A request then waits for a third of its own service time, which is
-// about the round-trip time to the other region.
+// those of the own region have two more requests of this node. A request then waits for a
+// third of its own service time, which is about the round-trip time to the other region.
 const platformSameRegionWeight = 0.6
 
 // NodeLocation is the location of a routing node together with the topology it knows.
@@ -121,9 +121,10 @@
 }
 
 // NewPlatformProfile returns the pipeline for nodes that receive no load reports. It picks
-// the endpoint in the allowed regions with the fewest requests of this node. Between equally
-// loaded endpoints it prefers the own zone, then the own region, then the node's preference
-// order. That keeps traffic within the zone and the number of connections small.
+// the endpoint in the allowed regions with the fewest requests of this node, but one in
+// another region only under the condition of platformSameRegionWeight. Between equally loaded
+// endpoints it prefers the own zone, then the own region, then the node's preference order.
+// That keeps traffic within the zone and the number of connections small.
 func NewPlatformProfile(random *rand.Rand, location NodeLocation) *Profile {
 	region := location.Topology.Region(location.Zone)
 	return NewProfile(random, RendezvousSubset{Location: location},
--- a/internal/routing/rendezvous_subset.go
+++ b/internal/routing/rendezvous_subset.go
@@ -10,7 +10,8 @@
 
 // RendezvousSubset selects endpoints in a preference order specific to the node: the
 // request's zone first, then the node's region, then the rest, each group ordered by a
-// rendezvous hash of node and endpoint. Endpoints outside the request's allowed regions are omitted.
+// rendezvous hash of node and endpoint. Endpoints outside the request's allowed regions are
+// omitted.
 //
 // A node with few requests thus reuses a few endpoints and its connections to them, while
 // the nodes together spread over all endpoints. The subset grows with the node's requests
