--- a/internal/dispatch/exchange.go
+++ b/internal/dispatch/exchange.go
@@ -57,9 +57,9 @@
 // Close closes idle connections.
 func (e *Exchanger) Close() { e.transport.CloseIdleConnections() }
 
-// crashProbeTimeout is the timeout of a probe that checks whether a back end still listens. It is longer
-// than a TCP handshake between regions and short compared with the latency objective of a
-// request.
+// crashProbeTimeout is the timeout of a probe that checks whether a back end still listens. It
+// is longer than a TCP handshake between regions and short compared with the latency
+// objective of a request.
 const crashProbeTimeout = 250 * time.Millisecond
 
 // ProbeStopped reports whether a back end has stopped listening at its address, so that its
