--- a/internal/election/candidate_test.go
+++ b/internal/election/candidate_test.go
@@ -52,8 +52,8 @@
 	require.False(t, candidate.Joined())
 }
 
-// Guards against small nodes that stay in the group without executing: if each of them owns
-// one partition, a large node that comes back gets none.
+// Guards against small nodes that stay in the group without executing: eight small nodes that
+// owned one partition each never left, so a large node that came back got none.
 func TestSmallNodesThatDoNotExecuteLeave(t *testing.T) {
 	var candidate Candidate
 	candidate.Observe(newView(), small)
