--- a/internal/schedule/saved.go
+++ b/internal/schedule/saved.go
@@ -25,10 +25,11 @@
 	Text     []byte
 }
 
-// Unsaved returns, by job, the unsaved text of each running item that made at least
-// minEvents events since its last saved part, and marks it as sent. If a part is not
-// read back in time, the whole text is sent again: the log may have lost the part, or
-// another executor may have restarted the item.
+// Unsaved returns, by job, the unsaved text of each running item that made enough events since
+// its last saved part, and marks it as sent. The first part needs minEvents events, later ones
+// fewer. Texts held by a worker are left out. If a part is not read back in time, the whole
+// text is sent again: the log may have lost the part, or another executor may have restarted
+// the item.
 func (s *Scheduler) Unsaved(minEvents uint64, log ProgressSource, now time.Time) map[string][]TextPart {
 	unsaved := make(map[string][]TextPart)
 	for _, key := range s.runningKeys() {
