--- a/internal/platformnode/worker.go
+++ b/internal/platformnode/worker.go
@@ -33,7 +33,8 @@
 	// maxStartDelay bounds how much longer than usual a call may take to arrive for its
 	// starts to be executed, and how long after its start order a run may begin. The budget
 	// of a cold sampler and the state of the job are those of the time at which the executor
-	// scheduled the run. The requirement after a suspended process resumes is 300 ms.
+	// scheduled the run. The users' rules allow runs that were ordered before a suspension to
+	// start for 300 ms after it.
 	maxStartDelay = 300 * time.Millisecond
 	// maxLongPoll bounds how long a call may wait for reports.
 	maxLongPoll = time.Second
@@ -141,7 +142,7 @@
 	for ctx.Err() == nil {
 		ticks := ticker.C
 		if !w.active.Load() {
-			// Until the first call there is nothing to check, so the node is spared the ticks.
+			// Until the first call, which wakes this loop, there is nothing to check.
 			ticks = nil
 		}
 		select {
