--- a/internal/sharedlog/keyed.go
+++ b/internal/sharedlog/keyed.go
@@ -138,8 +138,8 @@
 	}
 }
 
-// reportPartial passes the records read so far to OnPartial if their number has doubled since
-// the last call, so that each record is passed about twice in total.
+// reportPartial passes all records read so far to OnPartial if their number has doubled since
+// the last call, so that all calls together pass at most twice as many records as were read.
 func (f *KeyedFollower) reportPartial() {
 	if read := len(f.initialRead.Records); f.OnPartial != nil && read >= 2*f.initialRead.reported {
 		f.initialRead.reported = read
--- a/internal/sharedlog/keyed_test.go
+++ b/internal/sharedlog/keyed_test.go
@@ -77,9 +77,9 @@
 }
 
 // Guards against restarting the initial read after each failed page. When 300 nodes that
-// started at once read 2,400 sampler entries in five pages each, not all of them received
-// their pages within 1.3 s and began with the first page again. No node ever completed the
-// list, or the configuration that was queued behind it.
+// started at once read 2,400 sampler entries in five pages each, the log could not serve a page
+// to all of them within the timeout of 1.3 s, and each failure restarted the read at the first
+// page. No node ever received the entire list, or the configuration that was queued behind it.
 func TestPagesAreRetainedAndTheTimeoutGrowsWhenALaterPageFails(t *testing.T) {
 	log := &pagedLog{keys: []KeyedRecord{{Key: "a", Offset: 1}, {Key: "b", Offset: 2}, {Key: "c", Offset: 3}}, end: 5, latency: 3 * time.Second}
 	reset, _ := runKeyedFollower(t, log, 20*time.Second)
