--- a/internal/topicreader/fetch.go
+++ b/internal/topicreader/fetch.go
@@ -16,8 +16,9 @@
 // on the slowest link, and a reader may serve about thirty nodes at once.
 const responseTimeout = 700 * time.Millisecond
 
-// fetch sends a request to the readers in turn until one responds. It reports false if none
-// of them did.
+// fetch sends a request to the readers in turn until one gives a usable response. It reports
+// false if none of them did. A reader that is unreachable, lags or sends an invalid response is
+// avoided for a while.
 func (f *Feed) fetch(ctx context.Context, plan fanout.Plan, request *pathbendv1.ReadEntries, hold time.Duration) (sharedlog.KeyedBatch, bool) {
 	request.Topic = f.config.Topic
 	for _, reader := range f.selector.Select(plan, time.Now()) {
@@ -29,7 +30,8 @@
 		if ctx.Err() != nil {
 			return sharedlog.KeyedBatch{}, false
 		}
-		// A reader that is still starting has no entries yet; it is not avoided.
+		// A reader that is still starting has no entries yet. It is not avoided, so that it is
+		// asked again soon.
 		if !result.Is(err, result.NotReady) {
 			f.avoid(reader, err)
 		}
