--- a/internal/relay/selector.go
+++ b/internal/relay/selector.go
@@ -75,8 +75,9 @@
 }
 
 // Relaying reports whether calls go through peers, and whether this call, if mayProbe allows
-// it, is to try the direct path first. If calls go directly, relayingStarted is closed once they
-// begin to go through peers; otherwise it is nil.
+// it, is to try the direct path first. mayProbe is false for a call that the service is asked to
+// hold, as its answer would be late and so could not tell soon whether the path works. If calls go
+// directly, relayingStarted is closed once they begin to go through peers; otherwise it is nil.
 func (s *Selector) Relaying(mayProbe bool, now time.Time) (relaying, probe bool, relayingStarted <-chan struct{}) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
