--- a/client/client.go
+++ b/client/client.go
@@ -29,7 +29,8 @@
 	Spread bool
 	// MaxAttempts is the maximum number of attempts per request; 0 means DefaultMaxAttempts.
 	MaxAttempts int
-	// Network opens the connections; nil uses the network of the operating system.
+	// Network opens the connections, for example those of a simulation; nil uses the network of
+	// the operating system.
 	Network Dialer
 	// Random is the source of jitter; nil uses the global source of math/rand/v2.
 	Random *rand.Rand
