--- a/internal/network/transport.go
+++ b/internal/network/transport.go
@@ -17,7 +17,7 @@
 )
 
 // incarnationSeparator separates the host from the start time of an incarnation. Host
-// names are assumed not to contain it.
+// names are assumed not to contain it; IP addresses never do.
 const incarnationSeparator = "--"
 
 // IncarnationAddress returns an address, for use in URLs of a transport, that identifies one
