--- a/internal/delivery/sample.go
+++ b/internal/delivery/sample.go
@@ -60,7 +60,8 @@
 	// MaxVersions is how many versions a sample's oldest token may be behind the
 	// trainer.
 	MaxVersions uint64
-	// MaxAge is the time since the sample's oldest token was requested.
+	// MaxAge limits the time since the sample's oldest token was requested. A sample of
+	// exactly this age is no longer delivered.
 	MaxAge time.Duration
 }
 
