--- a/internal/platformsim/cloud.go
+++ b/internal/platformsim/cloud.go
@@ -13,7 +13,7 @@
 
 const (
 	// reportWindow is the length of a usage window; its report is due usageReportTimeout after
-	// the window ends.
+	// the window ends. Both are the users' limits for usage reports, which nodes get as settings.
 	reportWindow       = 5 * time.Second
 	usageReportTimeout = 10 * time.Second
 	cloudLatency       = 4 * time.Millisecond
--- a/internal/platformsim/mutants_test.go
+++ b/internal/platformsim/mutants_test.go
@@ -135,7 +135,7 @@
 	}},
 }
 
-// Guards against mutants that no longer apply, as happens when code moves to another file.
+// Guards against mutants that no longer apply: three did not after code had moved to another file.
 func TestMutantsEditWhatStands(t *testing.T) {
 	for _, mutant := range mutants {
 		for _, edit := range mutant.Edits {
--- a/internal/platformsim/simulation_test.go
+++ b/internal/platformsim/simulation_test.go
@@ -149,9 +149,9 @@
 	}
 }
 
-// Guards against batches of a model stopping, with its trainer idle, after a machine is replaced
-// by an empty one at another address. The replaced machine is the one that executes jobs and
-// sends weight orders.
+// Guards against the batches of both models stopping, with their trainers idle, after a machine is
+// replaced by an empty one at another address. The replaced machine is the one that executes jobs
+// and sends weight orders.
 func TestModelsContinueAfterExecutorReplacement(t *testing.T) {
 	faults := []Fault{
 		{Kind: NodeReplaced, At: 8 * time.Second, For: 2 * time.Second},
