--- a/internal/simulation/propagation_test.go
+++ b/internal/simulation/propagation_test.go
@@ -15,7 +15,7 @@
 
 const (
 	// revisionPropagationLimit is how long an accepted revision may take to be in force on
-	// all nodes.
+	// all nodes. This limit and those below are requirements of the users.
 	revisionPropagationLimit = 5 * time.Second
 	// crashDetectionLimit is how long all other nodes may take to detect a crash.
 	crashDetectionLimit = 5 * time.Second
