--- a/internal/platformsim/lost_requests.go
+++ b/internal/platformsim/lost_requests.go
@@ -96,7 +96,8 @@
 // checkLostRequest records the cause of a request that got no complete response, and reports a
 // violation if there is none. A disruption of the called machine or the store excuses the loss, but
 // planned maintenance excuses only a connection that was not accepted. A disruption of samplers
-// excuses only a response that was cut.
+// excuses only a response that was cut. A wake-up delay excuses a timeout if it leaves less than
+// answerMargin between the request's deadline and its caller's timeout.
 func (c *Checker) checkLostRequest(result callResult, id string, class failureClass) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -119,11 +120,11 @@
 }
 
 // answerMargin is the part of the time between a request's deadline and its caller's timeout that
-// wake-up delays must leave free.
+// wake-up delays must leave free. A longer wake-up delay also excuses a refused request.
 const answerMargin = 100 * time.Millisecond
 
 // checkRefusedRequest records the cause of a refused request, and reports a violation if there is
-// no recent disruption.
+// no recent disruption and no recent wake-up delay longer than answerMargin.
 func (c *Checker) checkRefusedRequest(result callResult, id string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
