--- a/internal/explain/steps.go
+++ b/internal/explain/steps.go
@@ -124,7 +124,7 @@
 }
 
 // completedField returns the name of the field that holds the time at which the text was
-// complete. Releases before December 2026 wrote it under another name.
+// complete. Earlier releases wrote it as whole_ms_ago.
 func completedField(line Line) string {
 	const current, former = "completed_ms_ago", "whole_ms_ago"
 	if _, isFormer := line.Fields[former]; isFormer {
