--- a/internal/platformsim/entries.go
+++ b/internal/platformsim/entries.go
@@ -69,6 +69,10 @@
 	w.markDown(machine)
 	sampler := machine.sampler
 	values := invalidEntries(sampler.registryEntry())
+	// A weight load that completes later would otherwise write the sampler's own entry again.
+	sampler.mutex.Lock()
+	sampler.removed = true
+	sampler.mutex.Unlock()
 	for i, value := range values {
 		w.Store.Put(platform.TopicSamplers, fmt.Sprintf("foreign-%d-%d", fault.Target, i), value)
 	}
